--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -17,8 +17,8 @@
 
 from sprucepost import interface as i
 from sprucepost.admission import Admission, Ask
-from sprucepost.brain import Scheduler
 from sprucepost.placing.ledger import Ledger, Outcome
+from sprucepost.scheduler import Scheduler
 from tests.support import entry, full_list, settings
 
 
--- a/sprucepost/adapter.py
+++ b/sprucepost/adapter.py
@@ -12,7 +12,7 @@
 from typing import Any, TextIO
 
 from sprucepost import interface as i
-from sprucepost.brain import Scheduler
+from sprucepost.scheduler import Scheduler
 
 EFFECTS = {"pure": i.Effect.SAFE, "token": i.Effect.KEYED, "side_effect": i.Effect.UNSAFE}
 PLACES = {
--- a/sprucepost/agreement/server.py
+++ b/sprucepost/agreement/server.py
@@ -27,7 +27,7 @@
 from sprucepost.agreement.replication import Replication
 from sprucepost.agreement.snapshots import Snapshots
 from sprucepost.agreement.state import Bounds, Role, ServerState, Timing
-from sprucepost.draws import Draws
+from sprucepost.random_source import RandomSource
 
 DEFAULT_TIMING, DEFAULT_BOUNDS = Timing(), Bounds()
 
@@ -48,7 +48,7 @@
         self,
         server_id: str,
         stored: PersistentState,
-        rng: Draws,
+        rng: RandomSource,
         now: float,
         timing: Timing = DEFAULT_TIMING,
         bounds: Bounds = DEFAULT_BOUNDS,
--- a/sprucepost/agreement/state.py
+++ b/sprucepost/agreement/state.py
@@ -29,7 +29,7 @@
 from sprucepost.agreement.entries import Entry, Snapshot
 from sprucepost.agreement.log import Log
 from sprucepost.agreement.messages import Message
-from sprucepost.draws import Draws
+from sprucepost.random_source import RandomSource
 
 
 class Role(Enum):
@@ -80,7 +80,7 @@
     """``stored`` is what this server has durable. ``now`` is a monotonic clock's ms."""
 
     def __init__(
-        self, server_id: str, stored: PersistentState, rng: Draws, now: float, timing: Timing, bounds: Bounds
+        self, server_id: str, stored: PersistentState, rng: RandomSource, now: float, timing: Timing, bounds: Bounds
     ) -> None:
         self.server_id, self.rng, self.now, self.timing, self.bounds = server_id, rng, now, timing, bounds
         self.term, self.voted_for = stored.term, stored.voted_for
--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -1,6 +1,6 @@
 """The parts of a task's walk put together, and the wire's words led to the part that each is for.
 
-Where a task goes is decided in ``sprucepost.brain`` alone; what the other parts do stands in ``sprucepost.placing``.
+Where a task goes is decided in ``sprucepost.scheduler`` alone; what the other parts do stands in ``sprucepost.placing``.
 """
 
 from __future__ import annotations
--- a/sprucepost/placing/__init__.py
+++ b/sprucepost/placing/__init__.py
@@ -4,7 +4,7 @@
 
 =============  ========================================================================================================
 ``intake``     what owners ask: a new task, a joined one, a cancelled one, a refusal at once
-``desk``       the batch for ``sprucepost.brain`` and what it answers; the clock that it decides by
+``desk``       the batch for ``sprucepost.scheduler`` and what it answers; the clock that it decides by
 ``seat``       a desk's share of what cold machines bear, while the fleet's size changes
 ``attempts``   an offer from the decision to its end: for which life of a machine, how much of its time is left
 ``answers``    the one outcome of each task, and to whom it is told
--- a/sprucepost/placing/desk.py
+++ b/sprucepost/placing/desk.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 
 from sprucepost import interface as i
-from sprucepost.brain import Scheduler
 from sprucepost.loop import AlignedClock, Loop
+from sprucepost.scheduler import Scheduler
 
 
 class Desk:
--- a/sprucepost/play/cold_starts.py
+++ b/sprucepost/play/cold_starts.py
@@ -1,6 +1,6 @@
 """A fleet's decision modules and cold machines in virtual time: how many offers reach a machine in any window of `fall`.
 
-Every process hosts one :class:`~sprucepost.brain.Scheduler` with its own number, clock and random seed; no process knows
+Every process hosts one :class:`~sprucepost.scheduler.Scheduler` with its own number, clock and random seed; no process knows
 of another. A machine starts cold at a drawn time, each process is told of it at a time of its own, and offers count when
 they *arrive*: after the delay between decision and write, a late connection and the network. Same seed, same play.
 """
@@ -14,10 +14,10 @@
 from functools import partial
 
 from sprucepost import interface as i
-from sprucepost.brain import Scheduler
 from sprucepost.membership import Generation, Side, stance
 from sprucepost.play.agenda import Agenda
 from sprucepost.play.cold_conditions import ColdStart, Conditions, Life
+from sprucepost.scheduler import Scheduler
 
 EPOCH_MS = 1_000_000.0  # when a play begins, by the wall clock
 LEAD_FALLS = 1.5  # the first cold start comes so many `fall` later: no process is new any more
--- a/sprucepost/draws.py
+++ b/sprucepost/random_source.py
@@ -8,7 +8,7 @@
 T = TypeVar("T")
 
 
-class Draws(Protocol):
+class RandomSource(Protocol):
     """What such a part draws; ``random.Random`` is one."""
 
     def random(self) -> float: ...
--- a/sprucepost/scale/state.py
+++ b/sprucepost/scale/state.py
@@ -20,12 +20,12 @@
 from sprucepost import interface as i
 from sprucepost.agreement import commands
 from sprucepost.agreement.registry import Registry
-from sprucepost.brain import Scheduler
 from sprucepost.membership import Generation
 from sprucepost.node.bulletin import Bulletin
 from sprucepost.peers.codec import decode, encode
 from sprucepost.placing.ledger import Ledger, Outcome
 from sprucepost.scale.results import ResultsError
+from sprucepost.scheduler import Scheduler
 from sprucepost.v1 import common_pb2, fleet_pb2, placer_pb2
 from sprucepost.view.record import Record
 from sprucepost.view.rings import rings_for
--- a/sprucepost/view/view.py
+++ b/sprucepost/view/view.py
@@ -37,7 +37,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from sprucepost.draws import Draws
+from sprucepost.random_source import RandomSource
 from sprucepost.view.record import VERSION_MOST, Record, fingerprint, merge
 from sprucepost.view.rings import watched
 from sprucepost.view.words import Action, Beat, Changed, Close, Dial, Hello, News, Send, Summary, Word
@@ -88,7 +88,7 @@
         cluster: str,
         settings: str,
         seeds: tuple[str, ...],
-        rng: Draws,
+        rng: RandomSource,
         now: float,
         fixed_settings: str = "",
     ) -> None:
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 
 from sprucepost import interface as i
-from sprucepost.brain import Scheduler
+from sprucepost.scheduler import Scheduler
 from tests.support import entry, full_list, settings
 
 START = 1_000_000.0
--- a/tests/support.py
+++ b/tests/support.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from sprucepost import interface as i
-from sprucepost.brain import Scheduler
+from sprucepost.scheduler import Scheduler
 
 READY, DRAINING, GONE = i.MachineState.READY, i.MachineState.DRAINING, i.MachineState.GONE
 
--- a/tests/test_decision_slices.py
+++ b/tests/test_decision_slices.py
@@ -6,7 +6,7 @@
 
 from sprucepost import interface as i
 from sprucepost.adapter import settings_from
-from sprucepost.brain import Scheduler
+from sprucepost.scheduler import Scheduler
 from tests.node.platform import settings
 
 # A release has to be passed on within 1 s, also on a third of a core and while two batches lie before it.
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sprucepost import interface as i
-from sprucepost.brain import CANDIDATES, INTERVAL, LEAN, LIST_CALL, NEAR, SUSPECT, TURNS, Scheduler
+from sprucepost.scheduler import CANDIDATES, INTERVAL, LEAN, LIST_CALL, NEAR, SUSPECT, TURNS, Scheduler
 from tests.support import (
     DRAINING,
     GONE,
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MODULE = ROOT / "sprucepost" / "brain.py"
+MODULE = ROOT / "sprucepost" / "scheduler.py"
 
 
 def test_the_module_stays_small() -> None:
