--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -33,7 +33,7 @@
 def soak(services: int, with_list: bool, seed: int = 1) -> dict[str, Any]:
     """One task for each of ``services`` new services, twenty a second of simulated time."""
     rng, now = random.Random(seed), 1e9
-    config = settings(accepts_cores=4.0, accepts_memory=4.0, n_instances=20, report_counts=i.Counts.USED)
+    config = settings(accepts_cores=4.0, accepts_memory=4.0, n_instances=20, report_counts=i.LoadBasis.USED)
     scheduler, ledger = Scheduler(config, seed), Ledger()
     gate = Admission[int](0.0, 20_000, 400.0, 25.0, 1000.0)
     fleet = [f"m{n}" for n in range(40)]
@@ -101,10 +101,10 @@
         "growth_in_last_half_mib": round((marks["end_kib"] - marks["half_kib"]) / 1024, 2),
         "us_each_first_tenth": round(spent[0] / tenth * 1e6, 1),
         "us_each_last_tenth": round(spent[-1] / tenth * 1e6, 1),
-        "longest_ledger": max(len(machine.ledger) for machine in scheduler.machines.values()),
+        "longest_ledger": max(len(machine.pending_changes) for machine in scheduler.machines.values()),
         "machines_kept": len(scheduler.machines),
         "services_kept": len(scheduler.services),
-        "orders_kept": len(scheduler.orders),
+        "orders_kept": len(scheduler.machine_orders),
     }
 
 
--- a/sprucepost/adapter.py
+++ b/sprucepost/adapter.py
@@ -16,11 +16,11 @@
 
 EFFECTS = {"pure": i.Effect.SAFE, "token": i.Effect.KEYED, "side_effect": i.Effect.UNSAFE}
 PLACES = {
-    "off": i.Place.NONE,
-    "machine": i.Place.MACHINE,
-    "cell": i.Place.CELL,
-    "zone": i.Place.ZONE,
-    "all": i.Place.ALL,
+    "off": i.Scope.NONE,
+    "machine": i.Scope.MACHINE,
+    "cell": i.Scope.CELL,
+    "zone": i.Scope.ZONE,
+    "all": i.Scope.ALL,
 }
 REPORTS = {
     "x0": "free_cores",
@@ -153,7 +153,7 @@
         max_retry_after=_number("policy_limits.max_retry_after", limits.get("max_retry_after", 0.0)),
         room_in_list=bool(family.get("free_in_list", False)),
         report_counts=_choice(
-            "family_info.measured_by", {c.value: c for c in i.Counts}, family.get("measured_by", "used")
+            "family_info.measured_by", {c.value: c for c in i.LoadBasis}, family.get("measured_by", "used")
         ),
         runs_when_accepted=family.get("yes_at") == "running",
         preempts=bool(family.get("makes_room", False)),
@@ -239,7 +239,7 @@
             "ACCEPTED": self._accepted,
             "STATUS_NOTE": self._note,
             "RESPONSE": self._outcome,
-            "LAPSED": lambda name, parts: i.Gone(parts.integer()),
+            "LAPSED": lambda name, parts: i.RequestAbandoned(parts.integer()),
             "BELL": lambda name, parts: i.TimerFired(parts.rest()),
         }
 
@@ -318,7 +318,7 @@
         request, attempt = parts.integer(), parts.integer()
         parts.text("")
         kind, value = parts.integer(), parts.number(0.0)
-        return i.Note(request, attempt, i.NoteKind(kind), value) if kind in set(i.NoteKind) else None
+        return i.StatusNote(request, attempt, i.StatusKind(kind), value) if kind in set(i.StatusKind) else None
 
     def _outcome(self, name: str, parts: _Parts) -> i.Event:
         request, attempt = parts.integer(), parts.integer()
--- a/sprucepost/interface.py
+++ b/sprucepost/interface.py
@@ -18,7 +18,7 @@
     UNSAFE = "unsafe"
 
 
-class Place(Enum):
+class Scope(Enum):
     """A set of machines: the group that discards repeats of a key, or the place a spread limit counts in."""
 
     NONE = "none"
@@ -35,7 +35,7 @@
     ASK = "ask"
 
 
-class Counts(Enum):
+class LoadBasis(Enum):
     """What the free cores and memory of a load report leave out."""
 
     ASKED = "asked"
@@ -65,7 +65,7 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    VOID = "moot"
 
 
 class Reason(IntEnum):
@@ -81,7 +81,7 @@
     SENT_AWAY = 7
 
 
-class NoteKind(IntEnum):
+class StatusKind(IntEnum):
     """What a note on an unfinished attempt tells."""
 
     RUNNING = 1
@@ -120,10 +120,10 @@
     worth: float
     late_worth: float = 0.0
     start_worth: float = 0.0
-    group: Place = Place.ALL
+    group: Scope = Scope.ALL
     window: float = 0.0
     kind: int = -1
-    spread: Place = Place.NONE
+    spread: Scope = Scope.NONE
     most: int = 0
     priority: int = 0
     calm: float = 1.0
@@ -133,11 +133,11 @@
         _check("classes.aim", self.aim > 0, "must be above 0")
         _check("classes.deadline", self.deadline > 0, "must be above 0")
         _check("classes.worth", self.worth >= 0, "must not be negative")
-        groups = (Place.ALL, Place.ZONE, Place.CELL)
+        groups = (Scope.ALL, Scope.ZONE, Scope.CELL)
         _check("classes.group", self.group in groups, "must be all, zone or cell")
-        _check("classes.spread", self.spread is not Place.ALL, "must be none, machine, cell or zone")
+        _check("classes.spread", self.spread is not Scope.ALL, "must be none, machine, cell or zone")
         _check("classes.window", self.effect is not Effect.KEYED or self.window > 0, "must be above 0")
-        _check("classes.most", self.spread is Place.NONE or self.most >= 1, "must be at least 1")
+        _check("classes.most", self.spread is Scope.NONE or self.most >= 1, "must be at least 1")
         _check("classes.fade", self.fade > 0, "must be above 0")
 
 
@@ -176,7 +176,7 @@
     over_share_worth: float = 1.0
     max_retry_after: float = 0.0
     room_in_list: bool = False
-    report_counts: Counts = Counts.USED
+    report_counts: LoadBasis = LoadBasis.USED
     runs_when_accepted: bool = False
     preempts: bool = False
 
@@ -212,12 +212,12 @@
     free_cores: float = 0.0
     free_memory: float = 0.0
 
-    def shares(self, place: Place, other: MachineEntry) -> bool:
+    def shares_scope(self, place: Scope, other: MachineEntry) -> bool:
         """Whether the two machines are in one such place; one of unknown place may be anywhere."""
-        if place is Place.MACHINE:
+        if place is Scope.MACHINE:
             return self.machine == other.machine
-        here, there = (self.cell, other.cell) if place is Place.CELL else (self.zone, other.zone)
-        return place is Place.ALL or here == there or -1 in (here, there)
+        here, there = (self.cell, other.cell) if place is Scope.CELL else (self.zone, other.zone)
+        return place is Scope.ALL or here == there or -1 in (here, there)
 
 
 @dataclass(frozen=True)
@@ -240,7 +240,7 @@
     left: float
     tenant: int = 0
     task: str = ""
-    life: float | None = None
+    lifetime: float | None = None
     repeat: bool = False
 
 
@@ -273,12 +273,12 @@
 
 
 @dataclass(frozen=True)
-class Note:
+class StatusNote:
     """Word on an attempt that has not ended."""
 
     request: int
     attempt: int
-    kind: NoteKind
+    kind: StatusKind
     value: float
 
 
@@ -295,7 +295,7 @@
 
 
 @dataclass(frozen=True)
-class Gone:
+class RequestAbandoned:
     """Nobody waits for the request any more."""
 
     request: int
@@ -314,16 +314,18 @@
     size changes they differ from the number and size; with no seats nothing is offered to a cold machine."""
 
     n_instances: int
-    seat: int
-    seats: int
+    slot: int
+    slots: int
 
     def __post_init__(self) -> None:
         _check("n_instances", self.n_instances >= 1, "must be at least 1")
-        _check("seats", self.seats >= 0, "must not be negative")
-        _check("seat", 0 <= self.seat < max(1, self.seats), "must be below seats")
+        _check("seats", self.slots >= 0, "must not be negative")
+        _check("seat", 0 <= self.slot < max(1, self.slots), "must be below seats")
 
 
-Event = MachineList | TaskRequest | TaskFound | Accepted | Note | Outcome | Gone | TimerFired | Membership
+Event = (
+    MachineList | TaskRequest | TaskFound | Accepted | StatusNote | Outcome | RequestAbandoned | TimerFired | Membership
+)
 
 
 @dataclass(frozen=True)
--- a/sprucepost/node/__init__.py
+++ b/sprucepost/node/__init__.py
@@ -22,6 +22,6 @@
 ``service``     puts these together: start, signals, stop
 =============== =======================================================================================================
 
-Where a task goes, how long an attempt may take and which host is healthy is decided in ``sprucepost.scheduler`` alone. What is
-decided here is which bytes count. Nothing heavier than h11 is imported: a placer lives in a few dozen MB.
+Where a task goes, how long an attempt may take and which host is healthy is decided in ``sprucepost.scheduler`` alone.
+What is decided here is which bytes count. Nothing heavier than h11 is imported: a placer lives in a few dozen MB.
 """
--- a/sprucepost/node/hosts.py
+++ b/sprucepost/node/hosts.py
@@ -108,7 +108,7 @@
     def _unwritten(self, host: Host) -> None:
         waiting, host.waiting = host.waiting, []
         for attempt in waiting:
-            self._tasks.end(attempt, i.Ending.MOOT)
+            self._tasks.end(attempt, i.Ending.VOID)
 
     def _tidy(self, host: Host) -> None:
         """A host that has gone is forgotten once nothing of ours is left there."""
@@ -133,7 +133,7 @@
             self._tasks.end(attempt, i.Ending.CONNECT_FAILED)
             return
         if attempt.machine in self._tasks.closed:
-            self._tasks.end(attempt, i.Ending.MOOT)
+            self._tasks.end(attempt, i.Ending.VOID)
             return
         host.waiting.append(attempt)
         self._serve(host)
@@ -171,7 +171,7 @@
         data = self._tasks.write(attempt)
         if data is None:
             self._tasks.end(
-                attempt, i.Ending.MOOT if attempt.machine in self._tasks.closed else i.Ending.CONNECT_FAILED
+                attempt, i.Ending.VOID if attempt.machine in self._tasks.closed else i.Ending.CONNECT_FAILED
             )
             return
         attempt.link = link
@@ -241,7 +241,7 @@
                 for attempt in [attempt for attempt in host.waiting if attempt.entry.service in services]:
                     host.waiting.remove(attempt)
                     self.counters["recalled"] += 1
-                    self._tasks.end(attempt, i.Ending.MOOT)
+                    self._tasks.end(attempt, i.Ending.VOID)
 
     # Connections
 
@@ -362,7 +362,7 @@
         host.unheard |= why in ("reset", "malformed", "untested") and host.uid in self._tasks.standing
         attempts, link.open = list(link.open.values()), {}
         for attempt in attempts:
-            self._tasks.end(attempt, i.Ending.RESET if self.went_out(attempt) else i.Ending.MOOT)
+            self._tasks.end(attempt, i.Ending.RESET if self.went_out(attempt) else i.Ending.VOID)
         if why != "room":
             self._serve(host)
             self._find(host)
--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -171,7 +171,7 @@
             hosts=len(self.hosts.hosts),
             services=len(scheduler.services),
             machines=len(scheduler.machines),
-            orders=len(scheduler.orders),
+            orders=len(scheduler.machine_orders),
             late_ms=round(self.loop.late_ms, 1),
             log_dropped=self.log.dropped(),
             **dict(sorted(self.counters.items())),
--- a/sprucepost/node/tasks.py
+++ b/sprucepost/node/tasks.py
@@ -70,7 +70,7 @@
 TAKEN_BACK = (16, 31)
 TAKEN_BACK_MS = 100.0  # after that such a cause on another connection is of a later attempt
 # A host's causes that say that a set-up never stood there.
-NEVER_STOOD = {34: i.Ending.FULL, 47: i.Ending.ERROR, 102: i.Ending.MOOT}
+NEVER_STOOD = {34: i.Ending.FULL, 47: i.Ending.ERROR, 102: i.Ending.VOID}
 GIVEN_UP = 16  # the cause with which a set-up is taken back, and a standing task let go
 LATE_MS = 8000.0  # an owner that could not be released hears of it for so long
 FOUND_FIRST_MS = 100.0  # a new set-up waits so long for those that stand: half of the 0.2 s after which these count
@@ -217,7 +217,7 @@
         self._settle(entry, Outcome.FAILED)
         self._withdraw(entry)
         if not entry.ask.in_line:
-            self._desk.push(i.Gone(entry.request))
+            self._desk.push(i.RequestAbandoned(entry.request))
 
     def abandon(self) -> None:
         """The process ends: what is still open has failed, and its owner hears so."""
@@ -234,7 +234,7 @@
         if entry is not None and entry.outcome is not Outcome.OPEN and crossed:
             if isinstance(action, i.Offer):
                 entry.attempts += 1
-                self._desk.push(i.Outcome(entry.request, entry.attempts - 1, i.Ending.MOOT, True))
+                self._desk.push(i.Outcome(entry.request, entry.attempts - 1, i.Ending.VOID, True))
             return
         if entry is None or entry.outcome is not Outcome.OPEN:
             raise AssertionError(f"{type(action).__name__} for request {action.request}, which is over")
@@ -306,7 +306,7 @@
         if went:
             attempt.entry.ask.withdrawn[attempt.machine] = Withdrawal(self.loop.now(), attempt.noted)
         self.counters["timeouts" if went else "unsent"] += 1
-        unsent = i.Ending.MOOT if self.hosts.kept_from_dialling(attempt) else i.Ending.CONNECT_FAILED
+        unsent = i.Ending.VOID if self.hosts.kept_from_dialling(attempt) else i.Ending.CONNECT_FAILED
         self.hosts.give_up(attempt)
         self.end(attempt, i.Ending.TIMEOUT if went else unsent)
 
@@ -326,7 +326,7 @@
             attempt.timer.cancel()
         self.counters[f"ended_{ending.value}"] += 1
         self.trace(entry.name, "attempt_ended", host=attempt.machine, attempt=attempt.number, why=ending.value)
-        if ending not in (i.Ending.FULL, i.Ending.CONNECT_FAILED, i.Ending.MOOT) and entry.ask.may_run is None:
+        if ending not in (i.Ending.FULL, i.Ending.CONNECT_FAILED, i.Ending.VOID) and entry.ask.may_run is None:
             entry.ask.may_run = attempt.sent
         closed = entry.outcome is not Outcome.OPEN
         self._desk.push(i.Outcome(entry.request, attempt.number, ending, closed, reason, report))
@@ -409,7 +409,7 @@
         elif line.word is Word.EVENT:
             kind, value = words.NOTES.get(line.attrs.get("note", "")), words.figure(line.attrs.get("value"))
             if kind is not None and value is not None:
-                self._desk.push(i.Note(entry.request, entry.attempt, kind, value))
+                self._desk.push(i.StatusNote(entry.request, entry.attempt, kind, value))
         elif line.word is Word.CLOSE:
             ending = {16: i.Ending.OK, 31: i.Ending.CANCELLED}.get(line.code or 0, i.Ending.RESET)
             cause = {i.Ending.OK: ENDED, i.Ending.RESET: BROKEN}.get(ending)
@@ -479,7 +479,7 @@
         self.early.note(entry.name, Early.OVER, self.loop.now())
         self._withdraw(entry)
         if not entry.ask.in_line:
-            self._desk.push(i.Gone(entry.request))
+            self._desk.push(i.RequestAbandoned(entry.request))
         entry.ask.owner.refuse(entry.name, FAILED, 0.0)
 
     def lost(self, machine: str, why: str, before: float | None = None) -> int:
--- a/sprucepost/node/words.py
+++ b/sprucepost/node/words.py
@@ -158,11 +158,11 @@
     "sent_away": i.Reason.SENT_AWAY,
 }
 NOTES = {
-    "runs": i.NoteKind.RUNNING,
-    "cores": i.NoteKind.CORES_USED,
-    "memory": i.NoteKind.MEMORY_USED,
-    "served": i.NoteKind.SERVED_SHARE,
-    "pressure": i.NoteKind.MACHINE_MEMORY,
+    "runs": i.StatusKind.RUNNING,
+    "cores": i.StatusKind.CORES_USED,
+    "memory": i.StatusKind.MEMORY_USED,
+    "served": i.StatusKind.SERVED_SHARE,
+    "pressure": i.StatusKind.MACHINE_MEMORY,
 }
 
 
--- a/sprucepost/placing/answers.py
+++ b/sprucepost/placing/answers.py
@@ -71,7 +71,7 @@
 
     def give_up(self, entry: Entry, why: str) -> None:
         """Answer an open task that nobody here works on any more: refused where that is true, else failed."""
-        self._desk.push(i.Gone(entry.request))
+        self._desk.push(i.RequestAbandoned(entry.request))
         if self.harmless(entry):
             self.refuse(entry, why)
         else:
--- a/sprucepost/placing/attempts.py
+++ b/sprucepost/placing/attempts.py
@@ -171,7 +171,7 @@
         if not out.accepted:
             return
         if kind == "running":
-            self._desk.push(i.Note(key[0], key[1], i.NoteKind.RUNNING, 1.0))
+            self._desk.push(i.StatusNote(key[0], key[1], i.StatusKind.RUNNING, 1.0))
             self._answers.tell(out.entry, running=pb.Running())
         elif kind == "use":
             self._use(key, out, frame.use)
@@ -202,13 +202,13 @@
 
     def _use(self, key: Key, out: Out, use: machine_pb2.TaskUse) -> None:
         for field, kind in (
-            ("cores", i.NoteKind.CORES_USED),
-            ("memory", i.NoteKind.MEMORY_USED),
-            ("served_share", i.NoteKind.SERVED_SHARE),
-            ("machine_memory", i.NoteKind.MACHINE_MEMORY),
+            ("cores", i.StatusKind.CORES_USED),
+            ("memory", i.StatusKind.MEMORY_USED),
+            ("served_share", i.StatusKind.SERVED_SHARE),
+            ("machine_memory", i.StatusKind.MACHINE_MEMORY),
         ):
             if use.HasField(field):
-                self._desk.push(i.Note(key[0], key[1], kind, getattr(use, field)))
+                self._desk.push(i.StatusNote(key[0], key[1], kind, getattr(use, field)))
         self._answers.tell(out.entry, use=pb.Use(cores=use.cores, memory=use.memory))
 
     def _ended(self, key: Key, out: Out, frame: machine_pb2.FromMachine) -> None:
@@ -237,12 +237,12 @@
                 if not out.accepted:
                     self.accept(key, out)
                 if held[key] and out.accepted:
-                    self._desk.push(i.Note(key[0], key[1], i.NoteKind.RUNNING, 1.0))
+                    self._desk.push(i.StatusNote(key[0], key[1], i.StatusKind.RUNNING, 1.0))
             elif out.accepted:
                 self.lost(key, out)
             elif new_life:  # an offer that never went out was for the life before, and is for no other
                 self._drop(machine, key)
-                self.end(key, out, i.Ending.RESET if out.written else i.Ending.MOOT)
+                self.end(key, out, i.Ending.RESET if out.written else i.Ending.VOID)
 
     def buried(self, machine: str) -> None:
         """The machine is gone for good: what it held is lost."""
@@ -250,7 +250,7 @@
             if out.accepted:
                 self.lost(key, out)
             else:
-                self.end(key, out, i.Ending.RESET if out.written else i.Ending.MOOT)
+                self.end(key, out, i.Ending.RESET if out.written else i.Ending.VOID)
         self._on.pop(machine, None)
 
     def close(self, machine: str, closed: bool) -> None:
@@ -269,7 +269,7 @@
         for key, out in self.on(machine):
             if not out.written and not out.accepted:
                 self._drop(machine, key)
-                self.end(key, out, i.Ending.MOOT)
+                self.end(key, out, i.Ending.VOID)
 
     # Tasks that were found running
 
--- a/sprucepost/placing/late.py
+++ b/sprucepost/placing/late.py
@@ -84,7 +84,7 @@
 
     def _place(self, machine: str, held: machine_pb2.Held, entry: Entry) -> None:
         """It is the answer to a task still open."""
-        self._desk.push(i.Gone(entry.request))
+        self._desk.push(i.RequestAbandoned(entry.request))
         self._answers.settle(entry, Outcome.PLACED)
         self._ledger.renumber(entry)
         self._attempts.found(machine, held, entry, self._tasks.request(entry, 0.0))
--- a/sprucepost/placing/tasks.py
+++ b/sprucepost/placing/tasks.py
@@ -50,6 +50,6 @@
             left=left_ms,
             tenant=self._tenants.get(task.tenant, 0),
             task=entry.name,
-            life=task.life_ms or None,
+            lifetime=task.life_ms or None,
             repeat=repeat,
         )
--- a/sprucepost/scale/present.py
+++ b/sprucepost/scale/present.py
@@ -7,8 +7,8 @@
   process by its own file; all other keys need a restart of every placer. ``fleet roll`` restarts the placers of one machine.
 - Gangs: a request is one task. Neither front has a word for tasks that start together, nor does the module hold room for
   some until the others have theirs.
-- Quotas: a placer multiplies its own traffic by the number of placers (``scheduler._worth``) and lowers the worth of a team
-  that is surely above its quota; nothing refuses or holds such a task, so every start beyond a quota happens.
+- Quotas: a placer multiplies its own traffic by the number of placers (``scheduler._effective_worth``) and lowers the worth
+  of a team that is surely above its quota; nothing refuses or holds such a task, so every start beyond a quota happens.
 - Regions: a member of the view names its host and its room; nothing names a region.
 - Starts, memory and bytes at this size: to be measured. Nothing is said about them here.
 """
@@ -137,7 +137,7 @@
 
 def unseen_excess(quota: int, held: float, placers: int) -> float:
     """Probability that a placer does not take a team for above its quota, of which all placers together hold ``held`` tasks
-    of one core. A placer holds a Poisson number of them, and its rule is ``scheduler._worth``'s."""
+    of one core. A placer holds a Poisson number of them, and its rule is ``scheduler._effective_worth``'s."""
     mean = held / placers
     unseen, chance, number = 0.0, math.exp(-mean), 0
     while (number - 2 * math.sqrt(number)) * placers <= quota:
--- a/tests/node/test_clients_that_left.py
+++ b/tests/node/test_clients_that_left.py
@@ -556,7 +556,7 @@
                 fd = gone.taken(day).transport._sock.fd  # type: ignore[attr-defined]
                 gone.close()
                 lies_unread(fd)
-            elif any(isinstance(event, i.Gone) for event in events) and client.left_at is None:
+            elif any(isinstance(event, i.RequestAbandoned) for event in events) and client.left_at is None:
                 client.leave()
 
         deciding(day, act)
--- a/tests/node/test_tasks.py
+++ b/tests/node/test_tasks.py
@@ -145,7 +145,7 @@
     assert out.entry.ask.setup.text == "", "a standing task keeps no description"
     around.tasks.heard(out.machine, Line(Word.EVENT, SID, {"note": "cores", "value": "0.5"}))
     around.loop.pass_ms(1)
-    assert around.last(i.Note) == i.Note(out.entry.request, 0, i.NoteKind.CORES_USED, 0.5)
+    assert around.last(i.StatusNote) == i.StatusNote(out.entry.request, 0, i.StatusKind.CORES_USED, 0.5)
     around.tasks.heard(out.machine, Line(Word.CLOSE, SID, {"load": "x0:3;x1:4;other:x"}, 16))
     around.loop.pass_ms(1)
     assert around.events[-1] == ("release", SID, 16) and around.last(i.Outcome).report == i.LoadReport(3.0, 4.0)
@@ -251,7 +251,7 @@
     out.tasks.owner_gone([SID])
     for around in (held, out):
         around.loop.pass_ms(4000)
-        assert around.last(i.Gone) and "refuse" not in around.kinds() and around.tasks.ledger.open == 0
+        assert around.last(i.RequestAbandoned) and "refuse" not in around.kinds() and around.tasks.ledger.open == 0
     assert out.kinds() == ["open", "give up"] and out.last(i.Outcome).ending is i.Ending.CANCELLED
     placed = standing()
     placed.tasks.owner_released(SID)
@@ -323,9 +323,9 @@
     around.loop.pass_ms(13_000)
     around.tasks.forget()
     assert len(around.tasks.ledger) == 0 and not around.tasks.standing
-    assert not scheduler.tasks and not scheduler.attempts and not scheduler.due
-    assert len(scheduler.services) == 0 and len(scheduler.orders) == 0
-    assert all(not m.attempts and len(m.answered) <= 600 for m in scheduler.machines.values())
+    assert not scheduler.tasks and not scheduler.attempts and not scheduler.to_place
+    assert len(scheduler.services) == 0 and len(scheduler.machine_orders) == 0
+    assert all(not m.attempts and len(m.answer_times) <= 600 for m in scheduler.machines.values())
 
 
 @pytest.mark.parametrize(
--- a/tests/rules/test_broken_placers.py
+++ b/tests/rules/test_broken_placers.py
@@ -96,8 +96,8 @@
         real(key, out, i.Ending.CONNECT_FAILED if ending is i.Ending.TIMEOUT else ending, *more)
 
     placer.engine.attempts.end = end  # type: ignore
-    real_module = placer.engine.desk.scheduler._timeout
-    placer.engine.desk.scheduler._timeout = lambda task, machine: min(150.0, real_module(task, machine))  # type: ignore
+    real_module = placer.engine.desk.scheduler._offer_timeout
+    placer.engine.desk.scheduler._offer_timeout = lambda task, machine: min(150.0, real_module(task, machine))  # type: ignore
 
 
 def sends_two_at_once(world: World, placer: Placer) -> None:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -7,7 +7,16 @@
 import pytest
 
 from sprucepost import interface as i
-from sprucepost.scheduler import CANDIDATES, INTERVAL, LEAN, LIST_CALL, NEAR, SUSPECT, TURNS, Scheduler
+from sprucepost.scheduler import (
+    CANDIDATE_PENALTY,
+    CANDIDATES,
+    COST_JITTER,
+    INTERVAL_MS,
+    LIST_CALL_MS,
+    MAX_TURNS_PER_ROUND,
+    SUSPICION_MS,
+    Scheduler,
+)
 from tests.support import (
     DRAINING,
     GONE,
@@ -29,14 +38,14 @@
     assert len(seen) == 1
 
 
-@pytest.mark.parametrize(("n", "turns"), [(1, 1), (3, 3), (300, TURNS)])
+@pytest.mark.parametrize(("n", "turns"), [(1, 1), (3, 3), (300, MAX_TURNS_PER_ROUND)])
 def test_turns_come_in_the_interval_with_the_own_number(n: int, turns: int) -> None:
     for number in range(0, n, max(1, n // 7)):
         cluster = Cluster(settings(number=number, n_instances=n), entry("m"))
         turn = cluster.now + timers(cluster.first)["turn"]
         assert turn > cluster.now
-        assert (turn / INTERVAL) % turns == number % turns
-        assert timers(cluster.at(turn - cluster.now, i.TimerFired("turn")))["turn"] == turns * INTERVAL
+        assert (turn / INTERVAL_MS) % turns == number % turns
+        assert timers(cluster.at(turn - cluster.now, i.TimerFired("turn")))["turn"] == turns * INTERVAL_MS
 
 
 def test_a_turn_leaves_a_target_that_filled_up() -> None:
@@ -65,8 +74,8 @@
 def test_near_best_candidates_are_drawn_at_random() -> None:
     cluster = Cluster(settings(), *(entry(f"m{n}") for n in range(CANDIDATES)))
     assert cluster.place("s", cores=0.001, memory=0.001) is not None
-    order = [machine.entry.machine for machine in cluster.scheduler.order("s")]
-    machines = [entry(name, free_cores=8.0 + 32.0 * LEAN * n) for n, name in enumerate(order)]
+    order = [machine.entry.machine for machine in cluster.scheduler.machine_order("s")]
+    machines = [entry(name, free_cores=8.0 + 32.0 * CANDIDATE_PENALTY * n) for n, name in enumerate(order)]
     picks = {Cluster(settings(), *machines, seed=seed).place("s").machine for seed in range(60)}  # type: ignore[union-attr]
     assert picks == set(order)
 
@@ -93,8 +102,11 @@
 def test_a_later_candidate_is_taken_only_where_it_is_clearly_emptier() -> None:
     cluster = Cluster(settings(), *(entry(f"m{n}") for n in range(CANDIDATES)))
     assert cluster.place("s", cores=0.001, memory=0.001) is not None
-    first = cluster.scheduler.order("s")[0].entry.machine
-    for room, same in ((32.0 * (1 - LEAN / 2 + NEAR), True), (32.0 * (1 - 3 * LEAN - 2 * NEAR), False)):
+    first = cluster.scheduler.machine_order("s")[0].entry.machine
+    for room, same in (
+        (32.0 * (1 - CANDIDATE_PENALTY / 2 + COST_JITTER), True),
+        (32.0 * (1 - 3 * CANDIDATE_PENALTY - 2 * COST_JITTER), False),
+    ):
         machines = [entry(f"m{n}", free_cores=room if f"m{n}" == first else 32.0) for n in range(CANDIDATES)]
         picks = {Cluster(settings(), *machines, seed=seed).place("s").machine for seed in range(9)}  # type: ignore[union-attr]
         assert (first in picks) is same
@@ -105,7 +117,7 @@
     rooms = (16.0, 32.0), (64.0, 128.0)
     machines = [entry(f"m{n}", kind=n % 2, free_cores=rooms[n % 2][0], free_memory=rooms[n % 2][1]) for n in range(20)]
     cluster = Cluster(settings(kinds=kinds), *machines)
-    orders = [cluster.scheduler.order(f"s{n}") for n in range(200)]
+    orders = [cluster.scheduler.machine_order(f"s{n}") for n in range(200)]
     assert 130 < sum(order[0].entry.kind for order in orders) < 190  # four fifths in the mean
 
 
@@ -151,7 +163,7 @@
     retry = silence(cluster, offer)
     assert len(retry) == 1 and retry[0].machine != "m"
     assert all(cluster.place(f"b{n}").machine != "m" for n in range(4))  # type: ignore[union-attr]
-    cluster.at(2 * SUSPECT)
+    cluster.at(2 * SUSPICION_MS)
     tried = [cluster.place(f"c{n}") for n in range(4)]
     assert sum(offer is not None and offer.machine == "m" for offer in tried) == 1
 
@@ -201,7 +213,7 @@
         assert offer is not None
         cluster.at(1.0, i.Outcome(offer.request, 0, i.Ending.CONNECT_FAILED, True))
     assert cluster.place("held") is None
-    assert len(offers(cluster.at(4 * SUSPECT, i.TimerFired("look")))) == 1
+    assert len(offers(cluster.at(4 * SUSPICION_MS, i.TimerFired("look")))) == 1
 
 
 def test_the_list_is_asked_in_time_however_many_schedulers_there_are() -> None:
@@ -219,9 +231,9 @@
         waits.append(timers(cluster.first)["list"])
         assert i.Subscribe() in cluster.at(waits[-1], i.TimerFired("list"))
         assert timers(cluster.at(5.0, i.MachineList(i.ListKind.FAILED)))["list"] > 100.0
-    assert max(waits) <= n * LIST_CALL
+    assert max(waits) <= n * LIST_CALL_MS
     busiest = max(sum(wait <= other < wait + 200.0 for other in waits) for wait in waits)
-    assert busiest <= max(3, 4 * 200.0 / LIST_CALL)
+    assert busiest <= max(3, 4 * 200.0 / LIST_CALL_MS)
 
 
 def test_a_machine_that_lost_its_tasks_is_cold_when_it_is_back() -> None:
@@ -243,31 +255,31 @@
     cluster.at(0.0, *(i.TaskFound(cluster.ask("s", cores=0.1, memory=0.1), machine) for machine in machines))
 
 
-def strained(note: i.NoteKind, value: float) -> Cluster:
+def strained(note: i.StatusKind, value: float) -> Cluster:
     """A cluster whose emptier machine, m, was just noted as strained: the next task goes to n."""
     cluster = Cluster(settings(), entry("m"), entry("n", free_cores=30.0))
     at_hand(cluster, "m", "n")
-    cluster.at(0.0, i.Note(1, 0, note, value))
+    cluster.at(0.0, i.StatusNote(1, 0, note, value))
     offer = cluster.place("s")
     assert offer is not None and offer.machine == "n"
     return cluster
 
 
 def test_strain_steers_away_and_passes() -> None:
-    cluster = strained(i.NoteKind.SERVED_SHARE, 0.4)
+    cluster = strained(i.StatusKind.SERVED_SHARE, 0.4)
     cluster.at(5000.0, full_list(entry("m"), entry("n", free_cores=20.0)), i.TimerFired("turn"))
     later = cluster.place("s")
     assert later is not None and later.machine == "m"
 
 
 def test_memory_in_use_strains_but_never_counts_as_asked() -> None:
-    cluster = strained(i.NoteKind.MACHINE_MEMORY, 1.0)
+    cluster = strained(i.StatusKind.MACHINE_MEMORY, 1.0)
     cluster.at(0.0, full_list(entry("m")))
     assert cluster.place("s") is not None
 
 
 def test_room_is_read_from_reports_of_what_was_asked_and_from_no_others() -> None:
-    for counts, placed in ((i.Counts.ASKED, False), (i.Counts.USED, True)):
+    for counts, placed in ((i.LoadBasis.ASKED, False), (i.LoadBasis.USED, True)):
         cluster = Cluster(settings(report_counts=counts), entry("m"))
         at_hand(cluster, "m")
         report = i.LoadReport(free_cores=0.0, free_memory=0.0)
@@ -292,7 +304,11 @@
         cluster = Cluster(settings(cls, accepts_cores=2.5, accepts_memory=2.0), entry("m"))
         cluster.at(0.0, i.TaskFound(cluster.ask("old"), "m"))
         for _ in range(1500):
-            cluster.at(0.0, i.Note(1, 0, i.NoteKind.CORES_USED, use), i.Note(1, 0, i.NoteKind.MEMORY_USED, 2 * use))
+            cluster.at(
+                0.0,
+                i.StatusNote(1, 0, i.StatusKind.CORES_USED, use),
+                i.StatusNote(1, 0, i.StatusKind.MEMORY_USED, 2 * use),
+            )
         return sum(cluster.place(f"s{n}", memory=0.1) is not None for n in range(100))
 
     assert placed(0.3) == 80
@@ -324,8 +340,8 @@
     offer = cluster.place("a")
     assert offer is not None
     cluster.end(offer, i.Ending.CONNECT_FAILED)
-    assert not offers(cluster.at(SUSPECT + 10.0, i.TimerFired("look")))
-    assert offers(cluster.at(3 * SUSPECT, i.TimerFired("look")))
+    assert not offers(cluster.at(SUSPICION_MS + 10.0, i.TimerFired("look")))
+    assert offers(cluster.at(3 * SUSPICION_MS, i.TimerFired("look")))
 
 
 def test_a_held_task_is_placed_as_soon_as_there_is_room() -> None:
@@ -362,7 +378,7 @@
     cluster = Cluster(settings(), entry("m"))
     patience = [offer.timeout for offer in (cluster.place(f"s{n}", cores=0.1, memory=0.1) for n in range(9)) if offer]
     assert len(patience) == 9 and patience == sorted(patience)
-    assert patience[1] - patience[0] == pytest.approx(cluster.scheduler.turns * cluster.scheduler.accept_mean)
+    assert patience[1] - patience[0] == pytest.approx(cluster.scheduler.turns_per_round * cluster.scheduler.accept_mean)
     assert patience[-1] == 2 * settings().classes[0].aim
 
 
@@ -396,8 +412,8 @@
     assert not cluster.accept(offer)
     assert not cluster.at(
         0.0,
-        i.Note(99, 0, i.NoteKind.SERVED_SHARE, 0.5),
-        i.Gone(99),
+        i.StatusNote(99, 0, i.StatusKind.SERVED_SHARE, 0.5),
+        i.RequestAbandoned(99),
         i.TimerFired("answer:99"),
         i.TimerFired("other"),
     )
@@ -433,7 +449,7 @@
     for offer in placed:
         cluster.accept(offer)
         cluster.end(offer, i.Ending.OK, closed=True)
-    assert not cluster.scheduler.machines["m"].ledger
+    assert not cluster.scheduler.machines["m"].pending_changes
     assert cluster.place("again") is not None
 
 
@@ -449,8 +465,8 @@
         cluster.accept(offer, 5.0)
         if n % 10:
             cluster.end(offer, i.Ending.OK, 5.0, closed=True)
-        longest = max(longest, len(machine.ledger))
-    cores, memory = cluster.scheduler._asked(machine)
+        longest = max(longest, len(machine.pending_changes))
+    cores, memory = cluster.scheduler._requested_resources(machine)
     assert (round(cores, 6), round(memory, 6)) == (60.0, 60.0)  # one in ten still runs
     assert longest < 2 * (300 + 2 * 2500 / 30) + 2 * 64 + 2
 
@@ -472,10 +488,10 @@
         if rng.random() < 0.1:
             cluster.at(1.0, full_list(entry("m", free_cores=20.0)))
         sums = [
-            sum(sign * attempt.task.ask.cores for _, sign, attempt in machine.ledger),
-            sum(sign * attempt.task.ask.memory for _, sign, attempt in machine.ledger),
+            sum(sign * attempt.task.ask.cores for _, sign, attempt in machine.pending_changes),
+            sum(sign * attempt.task.ask.memory for _, sign, attempt in machine.pending_changes),
         ]
-        assert machine.own == pytest.approx(sums, abs=1e-9)
+        assert machine.pending_totals == pytest.approx(sums, abs=1e-9)
 
 
 def test_a_machine_that_is_gone_is_forgotten_with_its_last_task() -> None:
@@ -488,7 +504,7 @@
     assert "m" in cluster.scheduler.machines
     cluster.end(offer, i.Ending.RESET, closed=True)
     assert "m" not in cluster.scheduler.machines
-    assert all(machine.entry.machine != "m" for machine in cluster.scheduler.order("s"))
+    assert all(machine.entry.machine != "m" for machine in cluster.scheduler.machine_order("s"))
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -509,14 +525,14 @@
             if offer is not None and rng.random() < 0.7:
                 cluster.at(1.0, i.Outcome(offer.request, 0, i.Ending.RESET, True))
         for service in [f"s{n}" for n in range(4) if rng.random() < 0.2 or step == 299]:
-            kept = [machine.entry.machine for machine in scheduler.order(service)]
+            kept = [machine.entry.machine for machine in scheduler.machine_order(service)]
             anew = sorted(
                 scheduler.machines.values(),
-                key=lambda m, s=service: scheduler.place(s, m.entry.machine, m.entry.kind),  # type: ignore[misc]
+                key=lambda m, s=service: scheduler.order_key(s, m.entry.machine, m.entry.kind),  # type: ignore[misc]
             )
             assert kept == [machine.entry.machine for machine in anew]
-            assert all(scheduler.machines[m.entry.machine] is m for m in scheduler.order(service))
-    assert len(scheduler.moved) < 64 + 2 * 60 + 2
+            assert all(scheduler.machines[m.entry.machine] is m for m in scheduler.machine_order(service))
+    assert len(scheduler.order_changes) < 64 + 2 * 60 + 2
 
 
 def test_a_machine_that_comes_does_not_have_all_services_order_all_machines(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -525,13 +541,13 @@
     cluster = Cluster(settings(), *(entry(f"m{n}") for n in range(machines)))
     for n in range(services):
         cluster.place(f"s{n}", cores=0.01, memory=0.01)
-    placed, place = [0], Scheduler.place
+    placed, place = [0], Scheduler.order_key
 
     def counted(self: Scheduler, service: str, machine: str, kind: int) -> float:
         placed[0] += 1
         return place(self, service, machine, kind)
 
-    monkeypatch.setattr(Scheduler, "place", counted)
+    monkeypatch.setattr(Scheduler, "order_key", counted)
     came = [entry(f"n{n}", started=cluster.now) for n in range(5)]
     cluster.at(2000.0, i.MachineList(i.ListKind.DELTA, (*came, entry("m0", state=DRAINING), entry("m1", state=GONE))))
     for n in range(services):
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -12,12 +12,12 @@
 from tests.support import Cluster, entry, settings, task_class
 
 CLASSES = (
-    task_class(spread=i.Place.MACHINE, most=2),
-    task_class(effect=i.Effect.KEYED, group=i.Place.CELL, window=900.0, spread=i.Place.ZONE, most=3),
-    task_class(effect=i.Effect.KEYED, group=i.Place.ALL, window=900.0, spread=i.Place.CELL, most=2),
+    task_class(spread=i.Scope.MACHINE, most=2),
+    task_class(effect=i.Effect.KEYED, group=i.Scope.CELL, window=900.0, spread=i.Scope.ZONE, most=3),
+    task_class(effect=i.Effect.KEYED, group=i.Scope.ALL, window=900.0, spread=i.Scope.CELL, most=2),
     task_class(effect=i.Effect.UNSAFE),
 )
-NEVER_RAN = (i.Ending.FULL, i.Ending.CONNECT_FAILED, i.Ending.MOOT)
+NEVER_RAN = (i.Ending.FULL, i.Ending.CONNECT_FAILED, i.Ending.VOID)
 FALL = 600.0
 MACHINES = 6
 
@@ -80,20 +80,20 @@
         doubtful = [sent for sent in tries if sent.ending not in NEVER_RAN]
         if doubtful and cls.effect is not i.Effect.SAFE:
             assert cls.effect is i.Effect.KEYED and now < doubtful[0].at + cls.window
-            assert cls.group is i.Place.ALL or self.places[name][0] == self.places[doubtful[0].machine][0]
+            assert cls.group is i.Scope.ALL or self.places[name][0] == self.places[doubtful[0].machine][0]
         if self.started[name] > 0 and now < self.started[name] + 3000.0:
             recent = [at for at in self.cold_sends[name] if at > now - FALL]
             assert len(recent) < 6 // 3
         self.cold_sends[name].append(now)
         tries.append(Sent(name, now))
-        if cls.spread is not i.Place.NONE:
+        if cls.spread is not i.Scope.NONE:
             assert self.held(ask.service, cls.spread, name) <= cls.most
 
-    def held(self, service: str, place: i.Place, name: str) -> int:
+    def held(self, service: str, place: i.Scope, name: str) -> int:
         def same(other: str) -> bool:
-            if place is i.Place.MACHINE:
+            if place is i.Scope.MACHINE:
                 return other == name
-            index = 0 if place is i.Place.CELL else 1
+            index = 0 if place is i.Scope.CELL else 1
             return self.places[other][index] == self.places[name][index]
 
         return sum(
@@ -161,7 +161,7 @@
         elif word == "gone" and judge.asks:
             request = sorted(judge.asks)[pick % len(judge.asks)]
             judge.answered.add(request)
-            judge.feed(i.Gone(request))
+            judge.feed(i.RequestAbandoned(request))
         elif word == "accept" and live:
             request, number, sent = live[pick % len(live)]
             if not sent.accepted and request not in judge.answered:
@@ -170,7 +170,7 @@
                 judge.feed(i.Accepted(request, number, float(pick % 500)))
         elif word == "note" and live:
             request, number, _ = live[pick % len(live)]
-            judge.feed(i.Note(request, number, i.NoteKind(1 + other % 5), (pick % 100) / 100))
+            judge.feed(i.StatusNote(request, number, i.StatusKind(1 + other % 5), (pick % 100) / 100))
         elif word == "end" and live:
             request, number, sent = live[pick % len(live)]
             endings = [i.Ending.OK, i.Ending.RESET] if sent.accepted else [e for e in i.Ending if e is not i.Ending.OK]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,7 +20,7 @@
     timers,
 )
 
-KEYED_CELL = {"effect": i.Effect.KEYED, "group": i.Place.CELL, "window": 5000.0}
+KEYED_CELL = {"effect": i.Effect.KEYED, "group": i.Scope.CELL, "window": 5000.0}
 
 
 def test_a_task_that_finds_no_machine_is_refused_before_its_time_is_up() -> None:
@@ -184,7 +184,7 @@
     else:
         cluster.end(first, ending, later=1000.0, reason=i.Reason.QUEUE_FULL)
     answered = cluster.now
-    cluster.scheduler.machines["cold"].doubts.clear()
+    cluster.scheduler.machines["cold"].suspicions.clear()
     cluster.place("b", later=5.0)
     sent: list[float] = []
     while not sent and cluster.now < answered + 6000.0:
@@ -251,24 +251,24 @@
     assert len(offers(cluster.at(2000.0, i.TimerFired("look")))) == 1
 
 
-@pytest.mark.parametrize(("place", "most"), [(i.Place.MACHINE, 2), (i.Place.CELL, 3), (i.Place.ZONE, 4)])
-def test_spread_counts_offers_running_and_found_tasks(place: i.Place, most: int) -> None:
+@pytest.mark.parametrize(("place", "most"), [(i.Scope.MACHINE, 2), (i.Scope.CELL, 3), (i.Scope.ZONE, 4)])
+def test_spread_counts_offers_running_and_found_tasks(place: i.Scope, most: int) -> None:
     machines = [entry(f"m{n}", cell=n // 2, zone=n // 4) for n in range(8)]
     cluster = Cluster(settings(task_class(spread=place, most=most)), *machines)
     cluster.at(0.0, i.TaskFound(cluster.ask(), "m0"))
-    count: dict[object, int] = {"m0" if place is i.Place.MACHINE else 0: 1}
+    count: dict[object, int] = {"m0" if place is i.Scope.MACHINE else 0: 1}
     for _ in range(60):
         offer = cluster.place()
         if offer is None:
             continue
         number = int(offer.machine[1:])
-        where = {i.Place.MACHINE: offer.machine, i.Place.CELL: number // 2, i.Place.ZONE: number // 4}[place]
+        where = {i.Scope.MACHINE: offer.machine, i.Scope.CELL: number // 2, i.Scope.ZONE: number // 4}[place]
         count[where] = count.get(where, 0) + 1
     assert set(count.values()) == {most}
 
 
 def test_a_found_task_on_an_unlisted_machine_counts_everywhere() -> None:
-    cluster = Cluster(settings(task_class(spread=i.Place.ZONE, most=1)), entry("m"))
+    cluster = Cluster(settings(task_class(spread=i.Scope.ZONE, most=1)), entry("m"))
     cluster.at(0.0, i.TaskFound(cluster.ask(), "unlisted"))
     assert cluster.place() is None
 
