--- a/sprucepost/node/attempt.py
+++ b/sprucepost/node/attempt.py
@@ -7,17 +7,17 @@
 from typing import Any, Protocol
 
 from sprucepost.loop import Timer
-from sprucepost.node.words import SetUp
+from sprucepost.node.parsing import SetUp
 from sprucepost.placing.ledger import Entry
 
 
 class SetUpResult(Enum):
     """What became of a set-up."""
 
-    TAKEN = "taken"
-    UNLISTED = "unlisted"  # taken, though its ``at`` names a host that no list has told of
-    UNWANTED = "unwanted"  # its owner gave it up before it was read
-    REPEATED = "repeated"  # its id is that of another task
+    ADMITTED = "taken"
+    HOST_UNKNOWN = "unlisted"  # taken, though its ``at`` names a host that no list has told of
+    CANCELLED = "unwanted"  # its owner gave it up before it was read
+    DUPLICATE_ID = "repeated"  # its id is that of another task
 
 
 class OwnerPort(Protocol):
@@ -25,19 +25,19 @@
 
     @property
     def closed(self) -> bool: ...
-    def hold(self) -> None:
+    def add_placed_task(self) -> None:
         """A task that came on it stands: it, or another of its owner's, is needed until the release."""
         ...
 
-    def unhold(self) -> None:
+    def remove_placed_task(self) -> None:
         """Such a task is over."""
         ...
 
-    def caught_up(self) -> bool:
+    def input_read(self) -> bool:
         """Whether all that had come from that owner by the latest look has been read, on each of its connections."""
         ...
 
-    def forget(self, sid: str) -> None:
+    def discard_set_up(self, sid: str) -> None:
         """No answer is owed to that set-up any more."""
         ...
 
@@ -56,27 +56,27 @@
 class HostsPort(Protocol):
     """All hosts' connections."""
 
-    def place(self, attempt: Attempt) -> None:
+    def send_offer(self, attempt: Attempt) -> None:
         """Write the offer when :meth:`Tasks.write` gives it; end the attempt where it cannot be written."""
         ...
 
-    def went_out(self, attempt: Attempt) -> bool:
+    def was_sent(self, attempt: Attempt) -> bool:
         """Whether the offer was written and has left whole: else the host cannot have read it."""
         ...
 
-    def kept_from_dialling(self, attempt: Attempt) -> bool:
+    def connection_failed_locally(self, attempt: Attempt) -> bool:
         """Whether it was not written since our own system had no descriptor, port or route for a connection."""
         ...
 
-    def give_up(self, attempt: Attempt) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         """Take the set-up back where it was written; forget it where it was not."""
         ...
 
-    def recall(self, services: set[str]) -> None:
+    def withdraw_unsent(self, services: set[str]) -> None:
         """Offers of those services that still wait to be written are moot."""
         ...
 
-    def let_go(self, machine: str, sid: str) -> None:
+    def end_task(self, machine: str, sid: str) -> None:
         """Have the host end a standing task."""
         ...
 
@@ -97,29 +97,35 @@
 class TaskState:
     """What the node keeps with a task's entry in the ledger (``Entry.ask``)."""
 
-    __slots__ = ("attempt", "held", "in_line", "may_run", "owner", "setup", "since", "withdrawn")
+    __slots__ = ("attempt", "keeps_connection", "may_run_since", "owner", "placed_at", "queued", "setup", "withdrawals")
 
     def __init__(self, setup: SetUp, owner: OwnerPort) -> None:
         self.setup, self.owner = setup, owner
         self.attempt: Attempt | None = None
-        self.since = 0.0  # from when it stands, in ms of the loop's clock
-        self.held = False  # whether its owner's connection is kept for its release
-        self.in_line = False  # whether the module has not been told of it yet
+        self.placed_at = 0.0  # from when it stands, in ms of the loop's clock
+        self.keeps_connection = False  # whether its owner's connection is kept for its release
+        self.queued = False  # whether the module has not been told of it yet
         # What was taken back when its time was up, by host: the latest one there.
-        self.withdrawn: dict[str, Withdrawal] = {}
-        self.may_run: float | None = None  # when the first attempt began that may have run
+        self.withdrawals: dict[str, Withdrawal] = {}
+        self.may_run_since: float | None = None  # when the first attempt began that may have run
 
 
 class Attempt:
     """One attempt, from the module's decision until its end."""
 
-    __slots__ = ("entry", "link", "machine", "mark", "noted", "number", "sent", "timer", "until")
+    __slots__ = ("deadline", "end_offset", "entry", "link", "machine", "noted", "number", "offered_at", "timer")
 
-    def __init__(self, entry: Entry, number: int, machine: str, sent: float, until: float) -> None:
-        self.entry, self.number, self.machine, self.sent, self.until = entry, number, machine, sent, until
+    def __init__(self, entry: Entry, number: int, machine: str, offered_at: float, deadline: float) -> None:
+        self.entry, self.number, self.machine, self.offered_at, self.deadline = (
+            entry,
+            number,
+            machine,
+            offered_at,
+            deadline,
+        )
         self.timer: Timer | None = None
         self.link: Any = None  # the host's connection that carries it, or is to
-        self.mark = 0  # so many bytes of that connection have been sent once it is out whole
+        self.end_offset = 0  # so many bytes of that connection have been sent once it is out whole
         self.noted = False  # whether the host has sent a note on the task, which it does only after its answer
 
     @property
--- a/sprucepost/node/binary.py
+++ b/sprucepost/node/binary.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from sprucepost.node.bounds import MOST, Framing, Malformed
+from sprucepost.node.framing import MAX_MESSAGE_BYTES, Framing, Malformed
 
 _HEAD = struct.Struct(">HBQ")
 _PARAMETER = struct.Struct(">BH")
@@ -60,16 +60,16 @@
 class Decoder(Framing[Message]):
     """An owner's bytes."""
 
-    def _end(self, data: bytearray, at: int) -> int | None:
+    def _message_end(self, data: bytearray, at: int) -> int | None:
         if len(data) - at < _LENGTH:
             return None
         length = int.from_bytes(data[at : at + _LENGTH], "big")
-        if not _HEAD.size - _LENGTH <= length <= MOST - _LENGTH:
+        if not _HEAD.size - _LENGTH <= length <= MAX_MESSAGE_BYTES - _LENGTH:
             raise Malformed(f"a message of {length} bytes")
         end = at + _LENGTH + length
         return end if end <= len(data) else None
 
-    def _read(self, data: bytes) -> Message:
+    def _parse(self, data: bytes) -> Message:
         return _message(data)
 
 
@@ -95,6 +95,6 @@
     """One message; ValueError where it is longer than a message may be."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in parameters)
     size = _HEAD.size + len(body)
-    if size > MOST:
+    if size > MAX_MESSAGE_BYTES:
         raise ValueError(f"a message of {size} bytes")
     return _HEAD.pack(size - _LENGTH, kind, int(task, 16)) + body
--- a/sprucepost/node/bulletin.py
+++ b/sprucepost/node/bulletin.py
@@ -16,7 +16,7 @@
 from typing import Any, TypeGuard
 
 from sprucepost import interface as i
-from sprucepost.node.bounds import Malformed
+from sprucepost.node.framing import Malformed
 
 Address = tuple[str, int]
 
--- a/sprucepost/node/feed.py
+++ b/sprucepost/node/feed.py
@@ -13,8 +13,8 @@
 import h11
 
 from sprucepost.loop import Closed, Co, Loop, Queue, Scope, Task, TimedOut, Transport, connect, current, sleep, within
-from sprucepost.node.bounds import Malformed
 from sprucepost.node.bulletin import Address, Bulletin, Told
+from sprucepost.node.framing import Malformed
 
 PATIENCE_MS = 1000.0  # the wait that is asked for: a bulletin that fell silent is noticed not much later
 GRACE_MS = 400.0  # for the answer after that
--- a/sprucepost/node/bounds.py
+++ b/sprucepost/node/framing.py
@@ -5,7 +5,7 @@
 from typing import Generic, TypeVar
 
 LINGER_MS = 250.0  # a close waits so long for the peer's end: what crosses it does so within 50 ms, and resets nothing
-MOST = 16 * 1024  # bytes of one message, its length or line feed included
+MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, its length or line feed included
 
 M = TypeVar("M")
 
@@ -22,7 +22,7 @@
         self.error: Malformed | None = None
 
     @property
-    def waiting(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes of a message that has not come whole."""
         return len(self._data)
 
@@ -34,8 +34,8 @@
         found: list[M] = []
         at = 0
         try:
-            while (end := self._end(self._data, at)) is not None:
-                found.append(self._read(bytes(self._data[at:end])))
+            while (end := self._message_end(self._data, at)) is not None:
+                found.append(self._parse(bytes(self._data[at:end])))
                 at = end
         except Malformed as error:
             self.error = error
@@ -44,10 +44,10 @@
         del self._data[:at]
         return found
 
-    def _end(self, data: bytearray, at: int) -> int | None:
+    def _message_end(self, data: bytearray, at: int) -> int | None:
         """Where the message that begins there ends; None while it is not whole, Malformed where it is too long."""
         raise NotImplementedError
 
-    def _read(self, data: bytes) -> M:
+    def _parse(self, data: bytes) -> M:
         """One whole message."""
         raise NotImplementedError
--- a/sprucepost/node/health.py
+++ b/sprucepost/node/health.py
@@ -27,15 +27,15 @@
 from collections.abc import Callable
 
 from sprucepost.loop import Loop
-from sprucepost.node.bounds import MOST
+from sprucepost.node.framing import MAX_MESSAGE_BYTES
 from sprucepost.node.host import Host, HostLink
 from sprucepost.node.jsonl import Word, encode
 from sprucepost.node.log import Log
-from sprucepost.node.tasks import LATE_MS, Tasks
+from sprucepost.node.tasks import RELEASE_RETENTION_MS, Tasks
 
 CHECK_TIMEOUT_MS = 1000.0  # a connection on which a health check is not answered within this is of no use
-# What is over must be released within LATE_MS, and silence may begin with the end; the rest is slack.
-SILENT_AFTER_MS = LATE_MS - 200.0
+# What is over must be released within RELEASE_RETENTION_MS, and silence may begin with the end; the rest is slack.
+SILENT_AFTER_MS = RELEASE_RETENTION_MS - 200.0
 # A host with tasks is checked after that silence: three checks in a row may get lost.
 SUSPECT_AFTER_MS = SILENT_AFTER_MS - 3 * CHECK_TIMEOUT_MS
 SILENCE_SLACK_MS = 1.0  # a timer may come so much early
@@ -72,7 +72,7 @@
 
     def suspected(self, host: Host) -> bool:
         """Whether a task of ours stands there and nothing was heard of the host for ``SUSPECT_AFTER_MS``."""
-        holds_tasks = host.uid in self._tasks.standing
+        holds_tasks = host.uid in self._tasks.placed
         return holds_tasks and host.last_heard > 0 and self._loop.now() - host.last_heard >= SUSPECT_AFTER_MS
 
     def answering(self, host: Host) -> list[HostLink]:
@@ -90,7 +90,7 @@
 
     def check_all(self, host: Host) -> None:
         """Where a task of ours stands there, check each connection on which no check is out."""
-        if host.uid not in self._tasks.standing:
+        if host.uid not in self._tasks.placed:
             return
         for link in host.links:
             if not link.retired and link.check_sent is None and not link.transport.buffered:
@@ -98,7 +98,7 @@
 
     def review(self, host: Host) -> None:
         """Now and then: end what answers no check, and check a host that has become suspected."""
-        if host.uid not in self._tasks.standing:
+        if host.uid not in self._tasks.placed:
             host.last_heard = 0.0
             return
         now = self._loop.now()
@@ -113,7 +113,7 @@
             due = max(host.last_heard + SILENT_AFTER_MS - now, CHECK_TIMEOUT_MS)
             host.silence_timer = self._loop.call_later(due, lambda: self._silence_due(host))
         links = self.answering(host)
-        if links and all(link.check_sent is None for link in links) and links[0].transport.buffered < MOST:
+        if links and all(link.check_sent is None for link in links) and links[0].transport.buffered < MAX_MESSAGE_BYTES:
             self.check(host, links[0])
 
     def _silence_due(self, host: Host) -> None:
--- a/sprucepost/node/host.py
+++ b/sprucepost/node/host.py
@@ -35,7 +35,7 @@
     @property
     def usable(self) -> bool:
         """Whether a set-up may be written now, whole."""
-        return not (self.retired or self.transport.closed or self.transport.blocked or self.decoder.waiting)
+        return not (self.retired or self.transport.closed or self.transport.blocked or self.decoder.buffered_bytes)
 
 
 class Host:
--- a/sprucepost/node/hosts.py
+++ b/sprucepost/node/hosts.py
@@ -17,16 +17,16 @@
 from sprucepost.loop import Co, Loop, Scope, TimedOut, connect, current, is_shortage
 from sprucepost.node import health
 from sprucepost.node.attempt import Attempt
-from sprucepost.node.bounds import LINGER_MS
 from sprucepost.node.bulletin import Address, Told
 from sprucepost.node.descriptors import Descriptors
 from sprucepost.node.dispatch import Dispatcher
+from sprucepost.node.framing import LINGER_MS
 from sprucepost.node.health import HealthChecks
 from sprucepost.node.host import Host, HostLink
 from sprucepost.node.jsonl import Line, Word, encode
 from sprucepost.node.log import Log
 from sprucepost.node.start_times import StartTimes
-from sprucepost.node.tasks import GIVEN_UP, Tasks
+from sprucepost.node.tasks import CAUSE_WITHDRAWN, Tasks
 
 REDIAL_MS = 200.0  # until a connection that failed is tried again, doubled for each before unless the host is suspected
 REDIAL_MOST_MS = 1600.0  # five in the time until it is silent: a host that is back is found while that helps
@@ -65,13 +65,13 @@
                 self._leave(self.hosts[uid])
         for entry in told.list.entries:
             ready = entry.state is i.MachineState.READY
-            self._tasks.close(entry.machine, not ready)
+            self._tasks.set_closed(entry.machine, not ready)
             host, address = self.hosts.get(entry.machine), told.addresses.get(entry.machine)
             if entry.state is i.MachineState.GONE:
                 if host is not None:
                     self._leave(host)
                 else:
-                    self._tasks.close(entry.machine, False)
+                    self._tasks.set_closed(entry.machine, False)
                 continue
             if address is None:
                 continue
@@ -99,7 +99,7 @@
         if host.gone:
             return
         host.gone = True
-        self._tasks.close(host.uid, True)
+        self._tasks.set_closed(host.uid, True)
         self._unwritten(host)
         self._tidy(host)
         self._check_all(host)
@@ -108,11 +108,11 @@
     def _unwritten(self, host: Host) -> None:
         waiting, host.waiting = host.waiting, []
         for attempt in waiting:
-            self._tasks.end(attempt, i.Ending.MOOT)
+            self._tasks.end_attempt(attempt, i.Ending.MOOT)
 
     def _tidy(self, host: Host) -> None:
         """A host that has gone is forgotten once nothing of ours is left there."""
-        if host.gone and host.uid not in self._tasks.standing and not any(link.open for link in host.links):
+        if host.gone and host.uid not in self._tasks.placed and not any(link.open for link in host.links):
             self._remove(host)
 
     def _remove(self, host: Host) -> None:
@@ -120,20 +120,20 @@
             del self.hosts[host.uid]
             if self._at.get(host.address) is host:
                 del self._at[host.address]
-            self._tasks.close(host.uid, False)
+            self._tasks.set_closed(host.uid, False)
         for link in list(host.links):
             self._end(host, link, "gone")
 
     # Set-ups
 
-    def place(self, attempt: Attempt) -> None:
+    def send_offer(self, attempt: Attempt) -> None:
         """Write the offer on a connection of its own, or as soon as there is one."""
         host = self.hosts.get(attempt.machine)
         if host is None:  # the module knows a host that is not listed any more
-            self._tasks.end(attempt, i.Ending.CONNECT_FAILED)
+            self._tasks.end_attempt(attempt, i.Ending.CONNECT_FAILED)
             return
-        if attempt.machine in self._tasks.closed:
-            self._tasks.end(attempt, i.Ending.MOOT)
+        if attempt.machine in self._tasks.closed_hosts:
+            self._tasks.end_attempt(attempt, i.Ending.MOOT)
             return
         host.waiting.append(attempt)
         self._serve(host)
@@ -160,7 +160,7 @@
                 self._dispatcher.add(host)
                 return
             host.waiting.remove(attempt)
-            if not self._tasks.caught_up(attempt):
+            if not self._tasks.owner_input_read(attempt):
                 held += 1
                 host.waiting.append(attempt)
                 self._dispatcher.postpone(host)
@@ -168,31 +168,31 @@
             self._write(host, link, attempt)
 
     def _write(self, host: Host, link: HostLink, attempt: Attempt) -> None:
-        data = self._tasks.write(attempt)
+        data = self._tasks.encode_offer(attempt)
         if data is None:
-            self._tasks.end(
-                attempt, i.Ending.MOOT if attempt.machine in self._tasks.closed else i.Ending.CONNECT_FAILED
+            self._tasks.end_attempt(
+                attempt, i.Ending.MOOT if attempt.machine in self._tasks.closed_hosts else i.Ending.CONNECT_FAILED
             )
             return
         attempt.link = link
         link.open[attempt.sid] = attempt
         link.used = self.loop.now()
         link.transport.write(data)
-        attempt.mark = link.transport.written
+        attempt.end_offset = link.transport.written
         self._tasks.trace(attempt.sid, "sent", host=host.uid, link=link.number)
         link.transport.flush()
 
-    def went_out(self, attempt: Attempt) -> bool:
+    def was_sent(self, attempt: Attempt) -> bool:
         """Whether it was written and the system has taken all of it. A part of it is a line without an end, which no host
         obeys."""
-        return attempt.link is not None and attempt.link.transport.sent >= attempt.mark
+        return attempt.link is not None and attempt.link.transport.sent >= attempt.end_offset
 
-    def kept_from_dialling(self, attempt: Attempt) -> bool:
+    def connection_failed_locally(self, attempt: Attempt) -> bool:
         """Whether it has no connection since the last dial never left this machine."""
         host = self.hosts.get(attempt.machine)
         return attempt.link is None and host is not None and host.not_dialled
 
-    def give_up(self, attempt: Attempt) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         """Take it back: where it was written the host is told, and the connection is used for nothing else. Where the host
         cannot have read it whole, the connection ends at once: nothing of it needs to arrive."""
         host = self.hosts.get(attempt.machine)
@@ -203,10 +203,10 @@
             return
         del link.open[attempt.sid]
         link.withdrawn.add(attempt.sid)
-        if not self.went_out(attempt) and not link.open:
+        if not self.was_sent(attempt) and not link.open:
             self._end(host, link, "unsent")
             return
-        link.transport.write(encode(Word.CLOSE, attempt.sid, code=GIVEN_UP))
+        link.transport.write(encode(Word.CLOSE, attempt.sid, code=CAUSE_WITHDRAWN))
         link.retired = True
         self._retire(host, link)
 
@@ -214,14 +214,14 @@
         if link.retired and not link.open:
             self._end(host, link, "retired")
 
-    def let_go(self, machine: str, sid: str) -> None:
+    def end_task(self, machine: str, sid: str) -> None:
         """Have the host end a standing task, now or when it can be reached."""
         host = self.hosts.get(machine)
         if host is None:
             return
         link = next((link for link in host.links if not link.transport.closed and not link.retired), None)
         if link is not None:
-            link.transport.write(encode(Word.CLOSE, sid, code=GIVEN_UP))
+            link.transport.write(encode(Word.CLOSE, sid, code=CAUSE_WITHDRAWN))
             self._tasks.trace(sid, "let_go", host=machine)
         else:
             self._tasks.trace(sid, "let_go", host=machine, why="when it can be reached")
@@ -234,14 +234,14 @@
             host.letting.pop(sid, None)
         return host is not None
 
-    def recall(self, services: set[str]) -> None:
+    def withdraw_unsent(self, services: set[str]) -> None:
         """Offers that still wait for a connection, decided before such tasks were known to stand, are decided anew."""
         for host in self.hosts.values():
             if host.waiting:
                 for attempt in [attempt for attempt in host.waiting if attempt.entry.service in services]:
                     host.waiting.remove(attempt)
                     self.counters["recalled"] += 1
-                    self._tasks.end(attempt, i.Ending.MOOT)
+                    self._tasks.end_attempt(attempt, i.Ending.MOOT)
 
     # Connections
 
@@ -254,7 +254,7 @@
         """Close the connection that has been idle for longest, those last that are kept for words of standing tasks: a host
         sends these on the next connection as well. False where none is idle."""
         idle = [
-            (host.uid in self._tasks.standing, link.used, host, link)
+            (host.uid in self._tasks.placed, link.used, host, link)
             for host in self.hosts.values()
             for link in host.links
             if not link.open and not host.waiting
@@ -298,7 +298,7 @@
         transport.on_lost = lambda error: self._end(host, link, "reset")
         transport.start()
         for sid in host.letting:
-            transport.write(encode(Word.CLOSE, sid, code=GIVEN_UP))
+            transport.write(encode(Word.CLOSE, sid, code=CAUSE_WITHDRAWN))
         host.letting.clear()
         self._serve(host)
         if self._health.suspected(host):
@@ -316,7 +316,7 @@
         if not host.dialing and host not in self._dispatcher:
             waiting, host.waiting = host.waiting, []
             for attempt in waiting:
-                self._tasks.end(attempt, i.Ending.CONNECT_FAILED)
+                self._tasks.end_attempt(attempt, i.Ending.CONNECT_FAILED)
         if refused:
             self._lost(host, "refused", before=began)  # what stands since came from its next life
             self._tidy(host)
@@ -341,7 +341,7 @@
         """Dial a host on which something of ours stands, or is to end, where no connection may still bring word, or one has
         broken on which a release may have lain: the host says it again on the next connection alone."""
         now = self.loop.now()
-        wanted = self._listed(host) and (host.uid in self._tasks.standing or bool(host.letting))
+        wanted = self._listed(host) and (host.uid in self._tasks.placed or bool(host.letting))
         hopeful = bool(self._health.answering(host))
         due = wanted and (host.unheard or not hopeful) and not host.dialing and now >= host.dial_at
         if due and (self._descriptors.spare() > 0 or (self._health.suspected(host) and self.make_room())):
@@ -359,10 +359,10 @@
             self._descriptors.end(link.transport)
         else:
             link.transport.abort()
-        host.unheard |= why in ("reset", "malformed", "untested") and host.uid in self._tasks.standing
+        host.unheard |= why in ("reset", "malformed", "untested") and host.uid in self._tasks.placed
         attempts, link.open = list(link.open.values()), {}
         for attempt in attempts:
-            self._tasks.end(attempt, i.Ending.RESET if self.went_out(attempt) else i.Ending.MOOT)
+            self._tasks.end_attempt(attempt, i.Ending.RESET if self.was_sent(attempt) else i.Ending.MOOT)
         if why != "room":
             self._serve(host)
             self._find(host)
@@ -395,7 +395,7 @@
             del link.open[line.sid]
             if line.word is Word.CLOSE:
                 link.ended.append(line.sid)
-            self._tasks.answered(attempt, line)
+            self._tasks.handle_answer(attempt, line)
             self._retire(host, link)
             self._serve(host)
         elif attempt is not None and line.word is Word.EVENT:
@@ -405,19 +405,19 @@
 
     def _heard(self, host: Host, link: HostLink, line: Line) -> None:
         if line.sid in link.withdrawn:
-            self._tasks.heard_of_withdrawn(host.uid, line)
+            self._tasks.handle_withdrawn_message(host.uid, line)
         else:
-            self._tasks.heard(host.uid, line)
+            self._tasks.handle_message(host.uid, line)
 
     # Standing tasks
 
     def tick(self) -> None:
         """Look after the hosts on which something of ours stands."""
         now = self.loop.now()
-        for uid in self._tasks.standing.keys() - self.hosts.keys():  # handed to us; no list has told of their host
-            self._tasks.lost(uid, "unlisted", before=self.loop.now() - health.SILENT_AFTER_MS)
+        for uid in self._tasks.placed.keys() - self.hosts.keys():  # handed to us; no list has told of their host
+            self._tasks.host_lost(uid, "unlisted", before=self.loop.now() - health.SILENT_AFTER_MS)
         for host in list(self.hosts.values()):
-            standing = host.uid in self._tasks.standing
+            standing = host.uid in self._tasks.placed
             for link in list(host.links):
                 idle = not link.open and now - link.used > self._idle / 2 and (len(host.links) > 1 or not standing)
                 if idle and not link.transport.look():
@@ -443,7 +443,7 @@
     def _release_silent(self, host: Host) -> None:
         """Its tasks count as over; it is to end them should it come back. Nothing more will pass on its connections."""
         now = self.loop.now()
-        sids = list(self._tasks.standing[host.uid])
+        sids = list(self._tasks.placed[host.uid])
         self._log.host(host.uid, "silent", heard=round(now - host.last_heard), late=round(self.loop.late_ms, 1))
         self._lost(host, "silent")
         host.letting.update((sid, now + self._idle) for sid in sids)
@@ -451,6 +451,6 @@
             self._end(host, link, "silent")
 
     def _lost(self, host: Host, why: str, before: float | None = None) -> None:
-        number = self._tasks.lost(host.uid, why, before)
+        number = self._tasks.host_lost(host.uid, why, before)
         if number:
             self._log("host_lost", host=host.uid, why=why, tasks=number)
--- a/sprucepost/node/jsonl.py
+++ b/sprucepost/node/jsonl.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import Any
 
-from sprucepost.node.bounds import MOST, Framing, Malformed
+from sprucepost.node.framing import MAX_MESSAGE_BYTES, Framing, Malformed
 
 _ID = re.compile("[0-9a-fA-F]{16}")
 
@@ -41,13 +41,13 @@
 class Decoder(Framing[Line]):
     """A host's bytes."""
 
-    def _end(self, data: bytearray, at: int) -> int | None:
+    def _message_end(self, data: bytearray, at: int) -> int | None:
         end = data.find(b"\n", at) + 1
-        if (end or len(data) + 1) - at > MOST:
+        if (end or len(data) + 1) - at > MAX_MESSAGE_BYTES:
             raise Malformed("a line without an end")
         return end or None
 
-    def _read(self, data: bytes) -> Line:
+    def _parse(self, data: bytes) -> Line:
         return _line(data[:-1])
 
 
@@ -105,6 +105,6 @@
     if text is not None:
         parts += f',"text":{text}'
     line = (parts + "}\n").encode("utf-8")
-    if len(line) > MOST:
+    if len(line) > MAX_MESSAGE_BYTES:
         raise ValueError(f"a line of {len(line)} bytes")
     return line
--- a/sprucepost/node/owners.py
+++ b/sprucepost/node/owners.py
@@ -14,7 +14,7 @@
 with an open set-up           stays                              stays
 needed                        stays                              stays; the newcomer is turned away
 proven                        closed after the idle time         goes after the unproven ones, longest idle first
-unproven                      closed after ``UNPROVEN_MS``       goes first
+unproven                      closed after ``UNPROVEN_TIMEOUT_MS``       goes first
 ============================= ================================== ==============================================
 
 None is closed before it has been looked at once more: what lies there unread has been taken, by the platform's word. What
@@ -30,15 +30,15 @@
 from sprucepost.loop import Acceptor, Co, Listener, Loop, Sock, Transport, sleep
 from sprucepost.node.attempt import OwnerPort, SetUpResult
 from sprucepost.node.binary import Code, Decoder, Kind, Message, encode
-from sprucepost.node.bounds import LINGER_MS, MOST
 from sprucepost.node.descriptors import Descriptors
+from sprucepost.node.framing import LINGER_MS, MAX_MESSAGE_BYTES
 from sprucepost.node.log import Log
-from sprucepost.node.tasks import LATE_MS, REFUSED, Tasks
-from sprucepost.node.words import Refused, Words
+from sprucepost.node.parsing import InvalidSetUp, SetUpParser
+from sprucepost.node.tasks import CAUSE_REFUSED, RELEASE_RETENTION_MS, Tasks
 
-UNPROVEN_MS = 1500.0  # for a connection that says nothing useful: half of the 3 s in which it is owed a close
-ARRIVAL_MS = 50.0  # what was on its way when a connection was taken, or crosses its close, comes within that
-UNREAD_MOST = 16 * MOST  # bytes that an owner may leave unread
+UNPROVEN_TIMEOUT_MS = 1500.0  # for a connection that says nothing useful: half of the 3 s in which it is owed a close
+ARRIVAL_GRACE_MS = 50.0  # what was on its way when a connection was taken, or crosses its close, comes within that
+MAX_UNREAD_BYTES = 16 * MAX_MESSAGE_BYTES  # bytes that an owner may leave unread
 FINISH_LOOK_MS = 5.0  # between looks whether all connections have ended
 
 
@@ -48,10 +48,10 @@
     def __init__(self, owners: Owners, transport: Transport, now: float) -> None:
         self._owners, self.transport = owners, transport
         self.decoder = Decoder()
-        self.whose = transport.peer.rpartition(":")[0]  # an owner is known by the host that it calls from
+        self.owner_address = transport.peer.rpartition(":")[0]  # an owner is known by the host that it calls from
         self.open: set[str] = set()  # set-ups without an answer
-        self.standing = 0  # tasks that it brought and that still stand
-        self.spoken = False  # whether a whole message has come
+        self.placed_tasks = 0  # tasks that it brought and that still stand
+        self.has_sent_message = False  # whether a whole message has come
         self.proven = False
         self.used = now  # when something useful last passed
         self.partial_since: float | None = None
@@ -62,23 +62,23 @@
     def closed(self) -> bool:
         return self.transport.closed
 
-    def hold(self) -> None:
+    def add_placed_task(self) -> None:
         """A task that it brought stands from now on."""
-        self.standing += 1
-        self._owners.held[self.whose] += 1
+        self.placed_tasks += 1
+        self._owners.placed_by_owner[self.owner_address] += 1
 
-    def unhold(self) -> None:
+    def remove_placed_task(self) -> None:
         """Such a task is over."""
-        self.standing -= 1
-        self._owners.held[self.whose] -= 1
-        if not self._owners.held[self.whose]:
-            del self._owners.held[self.whose]
+        self.placed_tasks -= 1
+        self._owners.placed_by_owner[self.owner_address] -= 1
+        if not self._owners.placed_by_owner[self.owner_address]:
+            del self._owners.placed_by_owner[self.owner_address]
 
-    def caught_up(self) -> bool:
+    def input_read(self) -> bool:
         """Whether nothing of its owner was left unread by the latest look: a give-up may come on any connection."""
-        return self._owners.caught_up(self.whose)
+        return self._owners.input_read(self.owner_address)
 
-    def forget(self, sid: str) -> None:
+    def discard_set_up(self, sid: str) -> None:
         """That set-up is owed no answer any more."""
         self.open.discard(sid)
 
@@ -107,7 +107,7 @@
         """Those that its owner cannot have read, since not all of their bytes went out."""
         return [(sid, cause) for mark, sid, cause in self._releases if mark > self.transport.sent]
 
-    def tested(self, sid: str, passed: bool) -> None:
+    def answer_health_check(self, sid: str, passed: bool) -> None:
         self._send(encode(Kind.TESTED, sid, [(Code.CAUSE, bytes([passed]))]))
 
     def _send(self, data: bytes) -> None:
@@ -115,8 +115,10 @@
             return
         self.used = self._owners.loop.now()
         self.transport.write(data)
-        if self.transport.buffered > UNREAD_MOST:  # not now: the module's other answers of this batch are still to come
-            self._owners.loop.call_soon(lambda: self._owners.drop(self, "unread"))
+        if (
+            self.transport.buffered > MAX_UNREAD_BYTES
+        ):  # not now: the module's other answers of this batch are still to come
+            self._owners.loop.call_soon(lambda: self._owners.disconnect(self, "unread"))
 
 
 def _least_useful(link: OwnerLink) -> tuple[bool, float]:
@@ -132,7 +134,7 @@
         loop: Loop,
         listener: Listener,
         tasks: Tasks,
-        words: Words,
+        words: SetUpParser,
         descriptors: Descriptors,
         most: int,
         most_open: int,
@@ -142,12 +144,12 @@
     ) -> None:
         self.loop, self._tasks, self._words, self.log, self.counters = loop, tasks, words, log, counters
         self._descriptors, self._most, self._most_open, self._idle = descriptors, most, most_open, idle_ms
-        self.others_yield: Callable[[], bool] = lambda: False  # have somebody else give up one that is idle
+        self.free_other_connection: Callable[[], bool] = lambda: False  # have somebody else give up one that is idle
         self.links: dict[OwnerLink, None] = {}
-        self.held: Counter[str] = Counter()  # tasks that stand, by whose they are
+        self.placed_by_owner: Counter[str] = Counter()  # tasks that stand, by whose they are
         self._behind: dict[OwnerLink, None] = {}  # of which a read may have left something behind
-        self.leaving_soon = False  # tests fail, so that nothing more is sent
-        self.leaving = False  # what comes now is refused
+        self.fails_health_checks = False  # tests fail, so that nothing more is sent
+        self.refuses_set_ups = False  # what comes now is refused
         # Releases that found no connection: until, whose, id, cause.
         self._unsent: list[tuple[float, str, str, int]] = []
         self._acceptor = Acceptor(loop, listener, self._take)
@@ -169,7 +171,7 @@
         link.transport.linger_ms = LINGER_MS
         self.links[link] = None
         link.transport.on_data = lambda data: self._data(link, data)
-        link.transport.on_end = lambda: self.drop(link, "ended")
+        link.transport.on_end = lambda: self.disconnect(link, "ended")
         link.transport.on_lost = lambda error: self._forget(link)
         link.transport.on_late = lambda data: self._late(link, data)
         link.transport.start()
@@ -185,13 +187,13 @@
         return (
             self._descriptors.spare() > 0
             or self._make_room(lambda link: not (link.proven or self._arriving(link)))
-            or self.others_yield()
+            or self.free_other_connection()
             or self._make_room()
         )
 
     def _arriving(self, link: OwnerLink) -> bool:
         """Whether what it was opened for may still be on its way."""
-        return self.loop.now() - link.used < ARRIVAL_MS
+        return self.loop.now() - link.used < ARRIVAL_GRACE_MS
 
     def _await_room(self) -> None:
         """Where the next newcomer could only have the place of one that has just come, it waits in the backlog: who comes
@@ -200,10 +202,10 @@
         within_share = len(self.links) < self._descriptors.share
         if len(self.links) < self._most and (within_share or self._descriptors.spare() > 0):
             return
-        idle = [link for link in self.links if not (link.open or link.standing)]
+        idle = [link for link in self.links if not (link.open or link.placed_tasks)]
         if not idle:
             return
-        wait = min(idle, key=_least_useful).used + ARRIVAL_MS - self.loop.now()
+        wait = min(idle, key=_least_useful).used + ARRIVAL_GRACE_MS - self.loop.now()
         if wait > 0:
             self.counters["owners_awaited"] += 1
             self._acceptor.rest(wait)
@@ -215,21 +217,24 @@
             idle = [link for link in self.links if not (link.open or link in needed) and may_go(link)]
             for link in sorted(idle, key=_least_useful):
                 if not link.transport.look():
-                    self.drop(link, "room")
+                    self.disconnect(link, "room")
                 if link not in self.links:
                     return True
         return False
 
     def _needed(self) -> set[OwnerLink]:
         """The connections on which releases are to go that are still to come."""
-        spoken = Counter(link.whose for link in self.links if link.spoken)
+        spoken = Counter(link.owner_address for link in self.links if link.has_sent_message)
         return {
             link
             for link in self.links
-            if link.standing or (link.spoken and spoken[link.whose] == 1 and link.whose in self.held)
+            if link.placed_tasks
+            or (
+                link.has_sent_message and spoken[link.owner_address] == 1 and link.owner_address in self.placed_by_owner
+            )
         }
 
-    def drop(self, link: OwnerLink, why: str) -> None:
+    def disconnect(self, link: OwnerLink, why: str) -> None:
         """End the connection; what was open on it is given up."""
         if link not in self.links:
             return
@@ -250,7 +255,7 @@
         self._behind.pop(link, None)
         if link.open:
             sids, link.open = sorted(link.open), set()
-            self._tasks.owner_gone(sids)
+            self._tasks.owner_disconnected(sids)
         if link.closed:
             for sid, cause in link.unsent_releases():
                 self.release(link, sid, cause)
@@ -259,41 +264,41 @@
         """Close what is of no use."""
         now, needed = self.loop.now(), self._needed()
         for link in list(self.links):
-            if link.partial_since is not None and now - link.partial_since > UNPROVEN_MS:
-                self.drop(link, "cut")
-            elif link.open or link in needed or now - link.used <= (self._idle if link.proven else UNPROVEN_MS):
+            if link.partial_since is not None and now - link.partial_since > UNPROVEN_TIMEOUT_MS:
+                self.disconnect(link, "cut")
+            elif link.open or link in needed or now - link.used <= (self._idle if link.proven else UNPROVEN_TIMEOUT_MS):
                 continue
             elif not link.transport.look():
-                self.drop(link, "idle" if link.proven else "silent")
+                self.disconnect(link, "idle" if link.proven else "silent")
         self._unsent = [item for item in self._unsent if item[0] > now]
 
-    def close(self) -> None:
+    def stop_listening(self) -> None:
         """Take no more connections; those that wait to be taken are."""
         self._acceptor.drain(self._acceptor.close)
 
-    def finish(self) -> Co[None]:
+    def close_connections(self) -> Co[None]:
         """End all connections: what lies there is refused, what was written goes out, within ``LINGER_MS``."""
         links = list(self.links)
         for link in links:
             link.transport.look()
-            self.drop(link, "stopped")
+            self.disconnect(link, "stopped")
         while any(not link.transport.gone for link in links):
             yield from sleep(FINISH_LOOK_MS)
 
     # Messages
 
-    def caught_up(self, whose: str) -> bool:
+    def input_read(self, whose: str) -> bool:
         """Whether the latest look has left nothing unread on that owner's connections."""
         for link in [link for link in self._behind if not link.transport.behind]:
             del self._behind[link]
-        return all(link.whose != whose for link in self._behind)
+        return all(link.owner_address != whose for link in self._behind)
 
     def _late(self, link: OwnerLink, data: bytes) -> None:
         """What was on its way when we ended the connection. A set-up is sent again by its owner, but what is given up or
         ended there counts."""
         for message in link.decoder.feed(data):
             if message.kind == Kind.RELEASE:
-                self._tasks.owner_released(message.task)
+                self._tasks.owner_cancelled(message.task)
 
     def _data(self, link: OwnerLink, data: bytes) -> None:
         if link.transport.behind:
@@ -301,8 +306,8 @@
         messages = link.decoder.feed(data)
         if messages:
             link.partial_since = None  # a busy owner's reads may all end within a message, each another one
-            if not link.spoken:
-                link.spoken = True
+            if not link.has_sent_message:
+                link.has_sent_message = True
                 self._send_unsent(link)
         for message in messages:
             if link.closed:
@@ -312,8 +317,8 @@
             return
         if link.decoder.error is not None:
             self.log("owner_malformed", peer=link.transport.peer, why=str(link.decoder.error))
-            self.drop(link, "malformed")
-        elif not link.decoder.waiting:
+            self.disconnect(link, "malformed")
+        elif not link.decoder.buffered_bytes:
             link.partial_since = None
         elif link.partial_since is None:
             link.partial_since = self.loop.now()
@@ -322,31 +327,31 @@
         if message.kind == Kind.SETUP:
             self._set_up(link, message)
         elif message.kind == Kind.RELEASE:
-            self._tasks.owner_released(message.task)
+            self._tasks.owner_cancelled(message.task)
         elif message.kind == Kind.TEST:
-            link.tested(message.task, not self.leaving_soon)
+            link.answer_health_check(message.task, not self.fails_health_checks)
 
     def _set_up(self, link: OwnerLink, message: Message) -> None:
         try:
-            setup = self._words.set_up(message)
-        except Refused as refused:
+            setup = self._words.parse(message)
+        except InvalidSetUp as refused:
             self.counters["invalid"] += 1
             self.log("owner_invalid", peer=link.transport.peer, task=message.task, why=str(refused))
             link.refuse(message.task, refused.cause, 0.0)
             return
-        if not setup.at and (self.leaving or self._tasks.ledger.open >= self._most_open):
+        if not setup.current_host and (self.refuses_set_ups or self._tasks.ledger.open >= self._most_open):
             self.counters["turned_away"] += 1
-            link.refuse(message.task, REFUSED, 0.0)
+            link.refuse(message.task, CAUSE_REFUSED, 0.0)
             return
-        taken = self._tasks.take(setup, link, link.transport.waited_ms)
-        if taken is SetUpResult.REPEATED:
+        taken = self._tasks.admit(setup, link, link.transport.waited_ms)
+        if taken is SetUpResult.DUPLICATE_ID:
             self.log("owner_repeats_id", peer=link.transport.peer, task=message.task)
-            self.drop(link, "malformed")
+            self.disconnect(link, "malformed")
             return
         link.used = self.loop.now()
-        if not setup.at and taken is not SetUpResult.UNWANTED:
+        if not setup.current_host and taken is not SetUpResult.CANCELLED:
             link.open.add(setup.sid)
-        if not link.proven and taken is not SetUpResult.UNLISTED:
+        if not link.proven and taken is not SetUpResult.HOST_UNKNOWN:
             link.proven = True
 
     # Releases
@@ -355,17 +360,21 @@
         """On its own connection, else on another of that owner, else on the next on which it says something."""
         assert isinstance(link, OwnerLink)
         if link.closed:
-            others = [other for other in self.links if other.spoken and not other.closed and other.whose == link.whose]
+            others = [
+                other
+                for other in self.links
+                if other.has_sent_message and not other.closed and other.owner_address == link.owner_address
+            ]
             if not others:
                 self.counters["releases_waiting"] += 1
-                self.log.task(sid, "release_waits", owner=link.whose, why="no connection of its owner")
-                self._unsent.append((self.loop.now() + LATE_MS, link.whose, sid, cause))
+                self.log.task(sid, "release_waits", owner=link.owner_address, why="no connection of its owner")
+                self._unsent.append((self.loop.now() + RELEASE_RETENTION_MS, link.owner_address, sid, cause))
                 return
             link = max(others, key=lambda other: (other.proven, other.used))
         link.release(sid, cause)
 
     def _send_unsent(self, link: OwnerLink) -> None:
-        mine = [item for item in self._unsent if item[1] == link.whose]
-        self._unsent = [item for item in self._unsent if item[1] != link.whose]
+        mine = [item for item in self._unsent if item[1] == link.owner_address]
+        self._unsent = [item for item in self._unsent if item[1] != link.owner_address]
         for _, _, sid, cause in mine:
             link.release(sid, cause)
--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -9,7 +9,7 @@
 state     until                set-ups                      then
 ========= ==================== ============================ =====================================================
 serving   SIGTERM              placed
-leaving   ``LEAVE_MS`` later   placed; tests fail           the backlog is taken, and no connection after it
+leaving   ``SHUTDOWN_ADMIT_MS`` later   placed; tests fail           the backlog is taken, and no connection after it
 refusing  all is answered and  refused                      what is still open has failed
           ``TICK_MS``, or time
           is up
@@ -32,12 +32,12 @@
 from sprucepost import interface as i
 from sprucepost.loop import Closed, Co, Loop, Queue, Scope, in_scope
 from sprucepost.loop.epoll import EpollLoop, insist
-from sprucepost.node import words
-from sprucepost.node.bounds import Malformed
+from sprucepost.node import parsing
 from sprucepost.node.bulletin import Bulletin, Told
 from sprucepost.node.config import Config, ConfigError, ConfigUnavailable, read
 from sprucepost.node.descriptors import Descriptors, usable
 from sprucepost.node.feed import BODY_PART, Feed
+from sprucepost.node.framing import Malformed
 from sprucepost.node.hosts import Hosts
 from sprucepost.node.log import Log, Output
 from sprucepost.node.owners import Owners
@@ -48,9 +48,10 @@
 SIGNALS = (signal.SIGHUP, signal.SIGTERM)
 TICK_MS = 250.0  # between looks at connections and hosts
 COUNTS_MS = 10_000.0  # between lines with the counters
-LEAVE_MS = 700.0  # after SIGTERM set-ups are still sent for so long, 0.6 s by the platform's word; the rest is slack
+# After SIGTERM the platform still sends set-ups for 0.6 s; the rest is slack.
+SHUTDOWN_ADMIT_MS = 700.0
 LONGEST_MS = 3000.0  # a process that ends may be killed the longest deadline after that, which counts as this at most
-SPARE_MS = 60.0  # before it may be killed: what came at the end of LEAVE_MS has had its time by then
+SPARE_MS = 60.0  # before it may be killed: what came at the end of SHUTDOWN_ADMIT_MS has had its time by then
 SLEW = 0.05  # share of its own time by which the aligned clock follows a step of the system's
 
 
@@ -66,7 +67,7 @@
             loop,
             self.desk,
             settings,
-            lambda text: words.load(text, config.report_names, config.report_fields),
+            lambda text: parsing.parse_load_report(text, config.report_names, config.report_fields),
             self.counters,
         )
         sockets = usable(config.limits.sockets)
@@ -92,7 +93,7 @@
             loop,
             insist(lambda: loop.listen(config.listen)),
             self.tasks,
-            words.Words(settings),
+            parsing.SetUpParser(settings),
             self.descriptors,
             sockets // 2,
             max(64, int(config.limits.memory_mb * 8)),
@@ -101,10 +102,10 @@
             self.counters,
         )
         self.tasks.owners, self.tasks.hosts, self.tasks.trace = self.owners, self.hosts, log.task
-        self.owners.others_yield = self.hosts.make_room
-        self.ended = False  # all is answered, or time is up
+        self.owners.free_other_connection = self.hosts.make_room
+        self.finished = False  # all is answered, or time is up
         self._began = loop.now()
-        self._over: Queue[None] = Queue(1)
+        self._finish_event: Queue[None] = Queue(1)
         self._due = 0.0  # when the counters are written next
 
     def start(self) -> None:
@@ -139,10 +140,10 @@
         self._due = self.loop.now() + COUNTS_MS
         self.loop.call_later(TICK_MS, self._tick)
         with contextlib.suppress(Closed):
-            yield from self._over.get()
-        self.tasks.abandon()
-        yield from self.owners.finish()
-        self.count()
+            yield from self._finish_event.get()
+        self.tasks.fail_open_tasks()
+        yield from self.owners.close_connections()
+        self.log_counters()
         self.log("end")
         return 0
 
@@ -150,19 +151,19 @@
         self.loop.call_later(TICK_MS, self._tick)
         self.hosts.tick()
         self.owners.tick()
-        self.tasks.forget()
+        self.tasks.expire_records()
         if self.loop.now() >= self._due:
             self._due = self.loop.now() + COUNTS_MS
-            self.count()
+            self.log_counters()
 
-    def count(self) -> None:
+    def log_counters(self) -> None:
         """What there is now, and what has happened so far."""
         scheduler = self.desk.scheduler
         self.log(
             "counts",
             open=self.tasks.ledger.open,
             known=len(self.tasks.ledger),
-            standing=sum(map(len, self.tasks.standing.values())),
+            standing=sum(map(len, self.tasks.placed.values())),
             owner_links=len(self.owners.links),
             owner_links_waiting=sum(bool(link.open) for link in self.owners.links),
             host_links=sum(len(host.links) for host in self.hosts.hosts.values()),
@@ -193,36 +194,36 @@
         self.log("reloaded", bulletin=config.bulletin)
         self.feed.move(config.bulletin)
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """SIGTERM."""
-        if self.owners.leaving_soon:
+        if self.owners.fails_health_checks:
             return
-        self.owners.leaving_soon = True
+        self.owners.fails_health_checks = True
         longest = min(LONGEST_MS, max(cls.deadline for cls in self.config.settings.classes))
         self.log("leaving", open=self.tasks.ledger.open)
-        self.loop.call_later(LEAVE_MS, self._refuse)
-        self.loop.call_later(longest + LEAVE_MS - SPARE_MS, self._end)
+        self.loop.call_later(SHUTDOWN_ADMIT_MS, self._refuse_set_ups)
+        self.loop.call_later(longest + SHUTDOWN_ADMIT_MS - SPARE_MS, self._finish)
 
-    def _refuse(self) -> None:
-        self.owners.leaving = True
-        self.owners.close()
+    def _refuse_set_ups(self) -> None:
+        self.owners.refuses_set_ups = True
+        self.owners.stop_listening()
         self.tasks.on_settled = self._look
         self._look()
 
     def _look(self) -> None:
         if not self.tasks.ledger.open:
-            self.loop.call_later(TICK_MS, self._end)
+            self.loop.call_later(TICK_MS, self._finish)
 
-    def _end(self) -> None:
-        self.ended = True
-        self._over.close()
+    def _finish(self) -> None:
+        self.finished = True
+        self._finish_event.close()
 
 
 def serve(loop: Loop, scope: Scope, environment: Mapping[str, str], config: Config, log: Log) -> Co[int]:
     """A placer's whole life."""
     service = Service(loop, scope, environment, config, log)
     insist(lambda: loop.on_signal(signal.SIGHUP, service.reload))
-    insist(lambda: loop.on_signal(signal.SIGTERM, service.leave))
+    insist(lambda: loop.on_signal(signal.SIGTERM, service.begin_shutdown))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     status = yield from service.run()
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # Python gives its handlers up before the process has ended
--- a/tests/node/drawn_words.py
+++ b/tests/node/drawn_words.py
@@ -11,7 +11,7 @@
 
 from sprucepost.node.attempt import Attempt
 from sprucepost.node.jsonl import Line, Word
-from sprucepost.node.tasks import TAKEN_BACK_MS
+from sprucepost.node.tasks import WITHDRAWAL_REPLY_MS
 from sprucepost.placing.ledger import Outcome
 from tests.node.test_tasks import Around
 
@@ -53,7 +53,7 @@
         self.owed: list[tuple[float, str]] = []
         self.taken_back: dict[tuple[str, str], float] = {}  # when an attempt was last taken back, by task and host
         self.left: set[str] = set()  # tasks that their owner gave up or ended
-        self.around.give_up = self._give_up  # type: ignore[method-assign, assignment]
+        self.around.withdraw = self._give_up  # type: ignore[method-assign, assignment]
 
     def play(self) -> list[str]:
         """Play it and return what the oracle objects to."""
@@ -73,7 +73,7 @@
 
     def _leave(self, sid: str) -> None:
         self.left.add(sid)
-        self.around.tasks.owner_released(sid)
+        self.around.tasks.owner_cancelled(sid)
 
     def _watch(self) -> None:
         """Hosts read what the placer has written."""
@@ -101,7 +101,7 @@
         copy.cut = True
 
     def _answer_taking_back(self, copy: Copy, line: Line) -> None:
-        self.around.tasks.heard_of_withdrawn(copy.attempt.machine, line)
+        self.around.tasks.handle_withdrawn_message(copy.attempt.machine, line)
 
     def _delay(self) -> float:
         return self.rng.uniform(0.3, 8.0)
@@ -115,7 +115,7 @@
         held = rng.random() < 0.5
         life = rng.uniform(1.0, 2000.0)
         if rng.random() < 0.4:  # it ends about when the placer takes it back
-            life = max(1.0, attempt.until - self.loop.time + rng.uniform(-10.0, 5.0))
+            life = max(1.0, attempt.deadline - self.loop.time + rng.uniform(-10.0, 5.0))
         answer_after = rng.uniform(50.0, 2500.0) if held else self._delay()
         own = not held or rng.random() < 0.4  # else that connection is of no use for other words
         self._say(attempt, Word.READY, answer_after, own=True, text="made")
@@ -148,13 +148,13 @@
             self._owe(copy, line, own)
         if carried and line.word is not Word.EVENT:
             copy.answered = True
-            tasks.answered(attempt, line)
+            tasks.handle_answer(attempt, line)
         elif carried:
             attempt.noted = True
         elif own and copy.withdrawn_at is not None:
-            tasks.heard_of_withdrawn(attempt.machine, line)
+            tasks.handle_withdrawn_message(attempt.machine, line)
         else:
-            tasks.heard(attempt.machine, line)
+            tasks.handle_message(attempt.machine, line)
         if line.word is Word.EVENT and copy.noted_at is None:
             copy.noted_at = self.loop.time
 
@@ -165,7 +165,10 @@
         seen = copy.withdrawn_at is None and (copy.answered or not own)
         if copy.withdrawn_at is not None and (line.code == 16 or self._stands(line.sid)):
             return  # that may answer our taking it back; or the client has its answer by a later attempt
-        lately = self.loop.time - self.taken_back.get((line.sid, copy.attempt.machine), -TAKEN_BACK_MS) < TAKEN_BACK_MS
+        lately = (
+            self.loop.time - self.taken_back.get((line.sid, copy.attempt.machine), -WITHDRAWAL_REPLY_MS)
+            < WITHDRAWAL_REPLY_MS
+        )
         if line.code == 16 and not own and lately:
             return  # that may answer our taking an earlier attempt back
         if seen or noted or line.attrs.get("note") in REASONS:
--- a/tests/node/planted.py
+++ b/tests/node/planted.py
@@ -42,15 +42,15 @@
 
 
 def _end_at_once(self: Service) -> None:
-    self.owners.close()
+    self.owners.stop_listening()
     for link in list(self.owners.links):
-        self.owners.drop(link, "stopped")
-    self._end()
+        self.owners.disconnect(link, "stopped")
+    self._finish()
 
 
 def _close_idle_or_not(self: Owners) -> None:
     for link in list(self.links)[:1]:
-        self.drop(link, "idle")
+        self.disconnect(link, "idle")
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
@@ -58,13 +58,13 @@
     "an answer twice": lambda: _now_and_then(OwnerLink, "answer", _twice),
     "an answer forgotten": lambda: _now_and_then(OwnerLink, "answer", _nothing),
     "a refusal forgotten": lambda: _now_and_then(OwnerLink, "refuse", _nothing),
-    "a cancelled task goes on": lambda: _always(Tasks, "owner_released", _nothing),
-    "an owner that left is not seen": lambda: _always(Tasks, "owner_gone", _nothing),
+    "a cancelled task goes on": lambda: _always(Tasks, "owner_cancelled", _nothing),
+    "an owner that left is not seen": lambda: _always(Tasks, "owner_disconnected", _nothing),
     "a drain is not kept": lambda: STATES.update(DRAINING=MachineState.READY),
-    "a host's new life ends nothing": lambda: _always(Tasks, "lost", _none),
-    "a host's word is not heard": lambda: _now_and_then(Tasks, "heard", _nothing),
-    "the end does not wait": lambda: _always(Service, "leave", _end_at_once),
-    "the end does not come": lambda: _always(Service, "leave", _nothing),
+    "a host's new life ends nothing": lambda: _always(Tasks, "host_lost", _none),
+    "a host's word is not heard": lambda: _now_and_then(Tasks, "handle_message", _nothing),
+    "the end does not wait": lambda: _always(Service, "begin_shutdown", _end_at_once),
+    "the end does not come": lambda: _always(Service, "begin_shutdown", _nothing),
     "a connection closed in use": lambda: _always(Owners, "tick", _close_idle_or_not),
 }
 """By name; each is to be called once, before the placer starts."""
--- a/tests/node/platform.py
+++ b/tests/node/platform.py
@@ -236,7 +236,7 @@
         return Link(transport, binary.Decoder(), lambda link, message: None)
 
     def standing(self) -> int:
-        return sum(map(len, self.service.tasks.standing.values()))
+        return sum(map(len, self.service.tasks.placed.values()))
 
 
 def answers(owner: Link, sid: str) -> list[Message]:
--- a/tests/node/test_bulletin.py
+++ b/tests/node/test_bulletin.py
@@ -10,9 +10,9 @@
 import pytest
 
 from sprucepost import interface as i
-from sprucepost.node.bounds import Malformed
 from sprucepost.node.bulletin import Bulletin, Told, parse
 from sprucepost.node.config import ConfigError, read
+from sprucepost.node.framing import Malformed
 from tests.node.platform import settings
 
 
--- a/tests/node/test_clients_that_left.py
+++ b/tests/node/test_clients_that_left.py
@@ -136,7 +136,7 @@
 
 def in_the_queue(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """Behind others, one a batch, each of which costs as much."""
-    monkeypatch.setattr(tasks, "BATCH_MOST", 1)
+    monkeypatch.setattr(tasks, "MAX_NEW_TASKS_PER_BATCH", 1)
     at_its_offer(day, LEAVING, 1, client.leave)
     client.other.send(b"".join(setup(sid, FIGURES=OTHER) for sid in SIDS[300:304]))
     client.ask()
@@ -170,14 +170,14 @@
 
 def at_an_answer(day: Day, sid: str, call: Callable[[], None]) -> None:
     """Call it once a host has answered that task, before what waits for its connection is looked at."""
-    real = day.service.tasks.answered
+    real = day.service.tasks.handle_answer
 
     def answered(attempt: Attempt, line: jsonl.Line) -> None:
         real(attempt, line)
         if attempt.sid == sid:
             call()
 
-    day.service.tasks.answered = answered  # type: ignore[method-assign]
+    day.service.tasks.handle_answer = answered  # type: ignore[method-assign]
 
 
 def for_a_connection(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
@@ -194,7 +194,7 @@
     for sid in busy:
         client.other.send(setup(sid, FIGURES=OTHER))
     ours = day.service.hosts.hosts["s-1"]
-    yield from wait_for(lambda: len(halves) == 2 and all(link.decoder.waiting for link in ours.links))
+    yield from wait_for(lambda: len(halves) == 2 and all(link.decoder.buffered_bytes for link in ours.links))
     host.on_open = lambda link, line: None
     client.ask()
     yield from wait_for(lambda: len(ours.waiting) == 1)
@@ -299,10 +299,10 @@
         yield from warm(day, SIDS[0])
         client = Client(day, loop, way)
         yield from client.known()
-        day.service.leave()
+        day.service.begin_shutdown()
         yield from waits(day, host, client, monkeypatch)
         assert client.left_at is not None
-        yield from wait_for(lambda: day.service.ended, 10_000)
+        yield from wait_for(lambda: day.service.finished, 10_000)
         assert not attempts.late(LEAVING, client.left_at) and day.service.counters["given_up"] == 1
         client.close()
 
@@ -429,7 +429,7 @@
         client = Client(day, loop, "give-up")
         yield from client.known()
         loud = client.other.taken(day)
-        loud.whose = "127.0.0.2"  # as if it called from another host
+        loud.owner_address = "127.0.0.2"  # as if it called from another host
         rest, reads, take = bytearray(), [0], loud.transport.on_data
 
         def flood(data: bytes = b"") -> None:
@@ -456,7 +456,7 @@
     def busy(day: Day, client: Client) -> None:
         link = client.other.taken(day)
         fd = link.transport._sock.fd  # type: ignore[attr-defined]
-        day.service.owners.drop(link, "idle")
+        day.service.owners.disconnect(link, "idle")
         client.other.send(release(LEAVING))
         lies_unread(fd)
         client.left_at = day.loop.now()
--- a/tests/node/test_codecs.py
+++ b/tests/node/test_codecs.py
@@ -11,7 +11,7 @@
 
 from sprucepost.node import binary, jsonl
 from sprucepost.node.binary import Code, Kind
-from sprucepost.node.bounds import MOST
+from sprucepost.node.framing import MAX_MESSAGE_BYTES
 from sprucepost.node.jsonl import Word
 
 SID = "9b1f03aa5c7e2d41"
@@ -43,7 +43,7 @@
     at = 0
     for cut in sorted({min(cut, len(data)) for cut in cuts} | {len(data)}):
         found += decoder.feed(data[at:cut])
-        assert decoder.waiting <= MOST
+        assert decoder.buffered_bytes <= MAX_MESSAGE_BYTES
         at = cut
     return found, decoder.error is not None
 
@@ -87,7 +87,7 @@
 def test_a_binary_message_that_cannot_be_read(data: bytes) -> None:
     decoder = binary.Decoder()
     assert decoder.feed(data) == [] and decoder.error is not None
-    assert decoder.feed(binary.encode(Kind.TEST, SID)) == [] and decoder.waiting == 0
+    assert decoder.feed(binary.encode(Kind.TEST, SID)) == [] and decoder.buffered_bytes == 0
 
 
 @pytest.mark.parametrize(
@@ -110,12 +110,12 @@
 
 def test_a_line_that_keeps_coming_ends_at_the_bound() -> None:
     decoder = jsonl.Decoder()
-    for _ in range(MOST // 64 - 1):
+    for _ in range(MAX_MESSAGE_BYTES // 64 - 1):
         decoder.feed(b"x" * 64)
     assert decoder.error is None
     decoder.feed(b"x" * 64)
-    assert decoder.error is not None and decoder.waiting == 0
+    assert decoder.error is not None and decoder.buffered_bytes == 0
     with pytest.raises(ValueError):
-        jsonl.encode(Word.READY, SID, text=jsonl.quoted("x" * MOST))
+        jsonl.encode(Word.READY, SID, text=jsonl.quoted("x" * MAX_MESSAGE_BYTES))
     with pytest.raises(ValueError):
-        binary.encode(Kind.ANSWER, SID, [(Code.DESCRIPTION, b"x" * MOST)])
+        binary.encode(Kind.ANSWER, SID, [(Code.DESCRIPTION, b"x" * MAX_MESSAGE_BYTES)])
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -207,14 +207,14 @@
             deciding(day, lambda events, actions: once(actions, left, done))
             owner.send(setup(SIDS[1]))
         elif state == "queued":
-            monkeypatch.setattr(tasks, "BATCH_MOST", 1)
+            monkeypatch.setattr(tasks, "MAX_NEW_TASKS_PER_BATCH", 1)
             mine = [n for n in range(4, 10)]
             deciding(day, lambda events, actions: once(actions, left, done))
             other.send(b"".join(setup(SIDS[n], FIGURES=OTHER) for n in mine))
             owner.send(setup(SIDS[1], FIGURES=OTHER))
         elif state == "held":
             day.paper.tell(first.entry(state="DRAINING"))
-            yield from wait_for(lambda: "s-1" in day.service.tasks.closed)
+            yield from wait_for(lambda: "s-1" in day.service.tasks.closed_hosts)
             owner.send(setup(SIDS[1]))
             yield from wait_for(lambda: day.service.tasks.ledger.open == 1)
             deciding(day, lambda events, actions: once(actions, left, done))
@@ -297,7 +297,7 @@
         host, owner = yield from begin(day)
         other = Raw(day)
         other.send(release(SIDS[1]) + release(SIDS[2]))
-        yield from wait_for(lambda: len(day.service.tasks.early) == 2)
+        yield from wait_for(lambda: len(day.service.tasks.early_messages) == 2)
         owner.transport.write(setup(SIDS[1]))
         owner.transport.write(setup(SIDS[2], FIGURES="cores:1;memory:2;service:aa;at:s-1"))
         yield from wait_for(lambda: day.service.counters["unwanted"] == 2)
@@ -444,7 +444,7 @@
         yield from wait_for(lambda: all(answers(loud, sid) for sid in SIDS[1:61]))
         assert (yield from quiet.message()).kind == Kind.ANSWER and len(opened(host)) == 62
         asked = [batch for batch in batches if batch]
-        assert max(map(len, asked)) <= tasks.BATCH_MOST and sum(map(len, asked)) == 61
+        assert max(map(len, asked)) <= tasks.MAX_NEW_TASKS_PER_BATCH and sum(map(len, asked)) == 61
         assert "quiet" in asked[0] + asked[1]
         quiet.sock.close()
 
@@ -456,7 +456,7 @@
         first, second = day.host("s-1"), day.host("s-2")
         day.start(settings=spread())
         owner, done = Raw(day), list[bool]()
-        place = day.service.hosts.place
+        place = day.service.hosts.send_offer
 
         def placing(attempt: Attempt) -> None:
             place(attempt)
@@ -464,11 +464,11 @@
                 done.append(True)
                 owner.send(setup(SIDS[1], FIGURES=SPREAD + f";at:{attempt.machine}"))
 
-        day.service.hosts.place = placing  # type: ignore[method-assign]
+        day.service.hosts.send_offer = placing  # type: ignore[method-assign]
         owner.send(setup(SIDS[0]))
         yield from wait_for(lambda: done and opened(first, second))
         yield from sleep(50)
-        [held] = day.service.tasks.standing.keys() - {m for m in ("s-1", "s-2") if SIDS[0] in opened(day.hosts[m])}
+        [held] = day.service.tasks.placed.keys() - {m for m in ("s-1", "s-2") if SIDS[0] in opened(day.hosts[m])}
         assert day.service.counters["recalled"] == 1 and SIDS[0] not in opened(day.hosts[held])
         owner.sock.close()
 
@@ -520,7 +520,7 @@
 
         def wrong(sid: str, kind: str) -> Any:
             mine = [message.kind for message in got if message.task == sid]
-            stands = sid in day.service.tasks.standing.get("s-1", {})
+            stands = sid in day.service.tasks.placed.get("s-1", {})
             let_go = sum(line.sid == sid for line in host.lines(Word.CLOSE))
             expected = {
                 "at": stands and not mine,
@@ -595,7 +595,7 @@
         yield from wait_for(lambda: SIDS[1] in opened(host) and day.standing() == 2)
         yield from sleep(20)
         link = owner.taken(day)
-        day.service.owners.drop(link, "idle")
+        day.service.owners.disconnect(link, "idle")
         owner.send(setup(SIDS[2]))  # crosses it
         yield from sleep(30)
         owner.send(setup(SIDS[3]))  # would find a reset connection, if the first had found a closed one
@@ -928,7 +928,7 @@
             yield from wait_for(lambda: day.service.counters["given_up"] == 1)
         else:
             day.paper.tell(host.entry(state="DRAINING"))
-            yield from wait_for(lambda: "s-1" in day.service.tasks.closed)
+            yield from wait_for(lambda: "s-1" in day.service.tasks.closed_hosts)
         link.say(Word.READY, SIDS[1], text="late")
         yield from sleep(50)
         if crosses == "its host's drain":
@@ -1174,7 +1174,7 @@
         asked = len(day.paper.asked)
         day.paper.tell(first.entry(state="DRAINING"))
         day.service.feed.move(now)
-        yield from wait_for(lambda: len(day.paper.asked) > asked and "s-1" in day.service.tasks.closed)
+        yield from wait_for(lambda: len(day.paper.asked) > asked and "s-1" in day.service.tasks.closed_hosts)
         owner = yield from day.owner()
         owner.transport.write(setup(SIDS[0]))
         yield from heard(owner, SIDS[0], Kind.ANSWER)
--- a/tests/node/test_drawn_words.py
+++ b/tests/node/test_drawn_words.py
@@ -29,7 +29,7 @@
 
 
 def _fail_silently(self: Tasks, attempt: Any, reason: Any, report: Any) -> None:
-    self.end(attempt, i.Ending.RESET)
+    self.end_attempt(attempt, i.Ending.RESET)
 
 
 def _drop(self: Tasks, machine: str, line: Any) -> None:
@@ -44,7 +44,7 @@
     "what crosses our taking back is dropped": lambda patch: patch.setattr(
         Tasks, "_stood_when_withdrawn", lambda self, entry, machine, line: False
     ),
-    "reasons of accepted tasks are not known": lambda patch: patch.setattr(tasks, "STOOD_REASONS", frozenset()),
+    "reasons of accepted tasks are not known": lambda patch: patch.setattr(tasks, "ACCEPTED_TASK_REASONS", frozenset()),
     "a failure before the answer is not told": lambda patch: patch.setattr(Tasks, "_fail_unanswered", _fail_silently),
 }
 
--- a/tests/node/test_given_up_in_the_batch_of_its_refusal.py
+++ b/tests/node/test_given_up_in_the_batch_of_its_refusal.py
@@ -42,6 +42,6 @@
 
 def _leave(tasks: Tasks, by: str) -> None:
     if by == "its owner":
-        tasks.owner_released(TASK)
+        tasks.owner_cancelled(TASK)
     else:
-        tasks.owner_gone([TASK])
+        tasks.owner_disconnected([TASK])
--- a/tests/node/test_newcomers.py
+++ b/tests/node/test_newcomers.py
@@ -10,11 +10,11 @@
 
 from sprucepost.adapter import settings_from
 from sprucepost.loop import Co, sleep
-from sprucepost.node import binary, words
+from sprucepost.node import binary, parsing
 from sprucepost.node.binary import Code, Kind
 from sprucepost.node.descriptors import Descriptors
 from sprucepost.node.log import Log
-from sprucepost.node.owners import ARRIVAL_MS, Owners
+from sprucepost.node.owners import ARRIVAL_GRACE_MS, Owners
 from sprucepost.node.tasks import Tasks
 from sprucepost.placing.desk import Desk
 from tests.node.platform import settings, setup
@@ -32,13 +32,13 @@
         self.loop, self.counters = SocketLoop(), Counter[str]()
         found = settings_from(settings())
         desk = Desk(self.loop, found, 1, 0.05, lambda: None, lambda *a, **k: None, self.counters)
-        tasks = Tasks(self.loop, desk, found, lambda text: words.load(text, (), ()), self.counters)
+        tasks = Tasks(self.loop, desk, found, lambda text: parsing.parse_load_report(text, (), ()), self.counters)
         descriptors = Descriptors(64, lambda: len(self.owners.links))
         self.owners = Owners(
             self.loop,
             self.loop.listen(ADDRESS),
             tasks,
-            words.Words(found),
+            parsing.SetUpParser(found),
             descriptors,
             32,
             64,
@@ -70,13 +70,13 @@
             front.come_back()
             front.loop.pass_ms(1.0)
             waited += 1
-        for _ in range(int(ARRIVAL_MS) - 10):
+        for _ in range(int(ARRIVAL_GRACE_MS) - 10):
             front.come_back()
             front.loop.pass_ms(1.0)
         usual.inbox.append(TEST)
         front.loop.pass_ms(1.0)
         assert usual.sent and not usual.closed
-        assert waited <= 7 * ARRIVAL_MS, "200 before it, 32 of them at a time"
+        assert waited <= 7 * ARRIVAL_GRACE_MS, "200 before it, 32 of them at a time"
     assert front.counters["owners_turned_away"] == 0
 
 
@@ -86,7 +86,7 @@
     for _ in range(1000):
         front.come_back()
         front.loop.pass_ms(1.0)
-    assert front.counters["owner_room"] <= 32 * 1000.0 / ARRIVAL_MS
+    assert front.counters["owner_room"] <= 32 * 1000.0 / ARRIVAL_GRACE_MS
 
 
 def test_a_newcomer_waits_for_nobody_where_there_is_room_or_one_that_has_been_idle() -> None:
@@ -96,7 +96,7 @@
     usual = front.loop.arrive(ADDRESS, "127.0.2.1:1", TEST)
     front.loop.pass_ms(1.0)
     assert usual.sent
-    front.loop.pass_ms(ARRIVAL_MS + 1.0)
+    front.loop.pass_ms(ARRIVAL_GRACE_MS + 1.0)
     usual = front.loop.arrive(ADDRESS, "127.0.2.1:1", TEST)
     front.loop.pass_ms(1.0)
     assert usual.sent and front.counters["owner_room"] == 1
@@ -177,7 +177,7 @@
         assert all(sock.sent and not sock.closed for sock in first[:12]), "each is there when its message comes"
         for sock in placer.loop.listeners[ADDRESS].backlog:
             assert sock in first[20:], "21 are their share"
-        yield from sleep(4 * ARRIVAL_MS)
+        yield from sleep(4 * ARRIVAL_GRACE_MS)
         assert not placer.loop.listeners[ADDRESS].backlog
         assert counters["host_link_room"] - closed <= 21 and not counters["owners_turned_away"]
 
--- a/tests/node/test_overtaken_answers.py
+++ b/tests/node/test_overtaken_answers.py
@@ -106,7 +106,7 @@
         owner.transport.write(setup("c0155aa5c7e00002"))
         yield from heard(owner, "c0155aa5c7e00002", Kind.ANSWER)
         yield from wait_for(lambda: day.standing() == 1)
-        assert TASK not in day.service.tasks.standing.get(uid, {})
+        assert TASK not in day.service.tasks.placed.get(uid, {})
 
     play(tmp_path, body)
 
@@ -130,7 +130,7 @@
     def decide(now: float, events: list[i.Event]) -> list[i.Action]:
         if len(around.events) > 1:
             return []
-        around.tasks.answered(out, line)
+        around.tasks.handle_answer(out, line)
         return [i.Fail(out.entry.request) if action is i.Fail else i.Refuse(out.entry.request, 0.0)]
 
     around.desk.scheduler.handle = decide  # type: ignore[method-assign]
--- a/tests/node/test_service.py
+++ b/tests/node/test_service.py
@@ -420,7 +420,7 @@
 ) -> None:
     """Tasks at a host that no list names stayed for ever; an owner whose reads all end within a message was cut."""
     monkeypatch.setattr(health, "SILENT_AFTER_MS", 900.0)
-    monkeypatch.setattr(owners, "UNPROVEN_MS", 400.0)
+    monkeypatch.setattr(owners, "UNPROVEN_TIMEOUT_MS", 400.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
 
     def body(day: Day) -> Co[None]:
@@ -436,7 +436,7 @@
             busy.transport.write(data[max(0, at - 5) : at + step - 5])
             yield from sleep(100)
         assert not busy.ended and len(busy.got) >= 10
-        yield from wait_for(lambda: "s-none" not in day.service.tasks.standing, 1500)
+        yield from wait_for(lambda: "s-none" not in day.service.tasks.placed, 1500)
         assert day.service.counters["lost_unlisted"] == 1
 
     play(tmp_path, body)
@@ -455,7 +455,7 @@
         newer = yield from day.owner()
         yield from placed(day, newer, SIDS[1])
         assert len(day.service.owners.links) <= 32 and not usual.ended
-        yield from wait_for(lambda: len(day.service.owners.links) == 2, owners.UNPROVEN_MS + 1000)
+        yield from wait_for(lambda: len(day.service.owners.links) == 2, owners.UNPROVEN_TIMEOUT_MS + 1000)
         for transport in idle:
             transport.abort()
 
@@ -466,7 +466,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Soak, seed 4711: a connection was closed as idle though its task stood, and the release found none."""
-    monkeypatch.setattr(owners, "UNPROVEN_MS", 200.0)
+    monkeypatch.setattr(owners, "UNPROVEN_TIMEOUT_MS", 200.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
     idle = settings(policy_limits={**settings()["policy_limits"], "keepalive": 400.0})
 
@@ -508,7 +508,7 @@
         ends(SIDS[2])
         yield from heard(again, SIDS[2], Kind.RELEASE)
         yield from wait_for(lambda: again.ended, 1500)
-        assert not day.service.owners.held
+        assert not day.service.owners.placed_by_owner
 
     play(tmp_path, body)
 
@@ -534,17 +534,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Dropped within the batch, its other set-ups were over when the module's answers to them came."""
-    monkeypatch.setattr(owners, "UNREAD_MOST", 0)
+    monkeypatch.setattr(owners, "MAX_UNREAD_BYTES", 0)
 
     def body(day: Day) -> Co[None]:
         day.paper.tell(everything=True)
         day.start()
         owner = yield from day.owner()
         # With so little time left each is refused in the batch in which the module hears of it.
-        owner.transport.write(b"".join(setup(sid, LEFT="3") for sid in SIDS[: tasks.BATCH_MOST]))
+        owner.transport.write(b"".join(setup(sid, LEFT="3") for sid in SIDS[: tasks.MAX_NEW_TASKS_PER_BATCH]))
         yield from wait_for(lambda: owner.ended)
         assert day.service.counters["owner_unread"] == 1 and day.service.tasks.ledger.open == 0
-        assert day.service.counters["refused"] == tasks.BATCH_MOST
+        assert day.service.counters["refused"] == tasks.MAX_NEW_TASKS_PER_BATCH
 
     play(tmp_path, body)
 
@@ -556,7 +556,7 @@
     def body(day: Day) -> Co[None]:
         first, second = day.host("s-1"), day.host("s-2")
         day.start()
-        seen = day.service.tasks.closed
+        seen = day.service.tasks.closed_hosts
         yield from wait_for(lambda: day.paper.asked)
         day.paper.mode = "breaks"
         day.paper.tell(first.entry(state="DRAINING"))
@@ -609,14 +609,14 @@
 def test_a_stop_answers_all_that_was_taken_and_refuses_what_comes_late(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(service, "LEAVE_MS", 300.0)
+    monkeypatch.setattr(service, "SHUTDOWN_ADMIT_MS", 300.0)
 
     def body(day: Day) -> Co[None]:
         host = day.host("s-1")
         day.start()
         owner = yield from day.owner()
         yield from placed(day, owner, SIDS[0])
-        day.service.leave()
+        day.service.begin_shutdown()
         owner.transport.write(binary.encode(Kind.TEST, SIDS[9], [(Code.CAUSE, b"\0")]))
         assert (yield from heard(owner, SIDS[9], Kind.TESTED)).cause == 0
         yield from placed(day, owner, SIDS[1])
@@ -626,12 +626,12 @@
         host.on_open = lambda link, line: slow.append(link)
         owner.transport.write(setup(SIDS[3]))
         yield from sleep(400)
-        assert not day.service.ended
+        assert not day.service.finished
         owner.transport.write(setup(SIDS[4]))
         assert (yield from heard(owner, SIDS[4], Kind.RELEASE)).cause == 34
         slow[-1].say(Word.READY, SIDS[3], text="late")
         yield from heard(owner, SIDS[3], Kind.ANSWER)
-        yield from wait_for(lambda: day.service.ended, 1000)
+        yield from wait_for(lambda: day.service.finished, 1000)
         assert not [line for line in host.lines(Word.CLOSE) if line.sid != SIDS[3]], "standing tasks run on"
 
     play(tmp_path, body)
--- a/tests/node/test_silent_hosts.py
+++ b/tests/node/test_silent_hosts.py
@@ -10,7 +10,7 @@
 from sprucepost.node import binary, health, jsonl, service
 from sprucepost.node.binary import Kind
 from sprucepost.node.jsonl import Word
-from sprucepost.node.tasks import LATE_MS
+from sprucepost.node.tasks import RELEASE_RETENTION_MS
 from tests.node.platform import Day, heard, play, setup
 from tests.node.virtual import LISTEN, Placer, host_address, play_virtual
 from tests.wire.support import wait_for
@@ -52,7 +52,7 @@
         carrying.inbox.append(jsonl.encode(Word.EVENT, TASK, {"note": "cores", "value": "0.5"}))
         died = placer.loop.time  # right after that word, and without a sign
         placer.loop.time += stood_still_ms  # a turn that takes so long: the word lies unread
-        yield from sleep(died + LATE_MS - placer.loop.time)
+        yield from sleep(died + RELEASE_RETENTION_MS - placer.loop.time)
         assert [message.kind for message in binary.Decoder().feed(bytes(client.sent))] == [Kind.ANSWER, Kind.RELEASE]
 
     play_virtual(tmp_path, body)
--- a/tests/node/test_stop.py
+++ b/tests/node/test_stop.py
@@ -18,7 +18,7 @@
 from sprucepost.loop import Co, sleep
 from sprucepost.node import binary
 from sprucepost.node.binary import Code, Kind
-from sprucepost.node.bounds import LINGER_MS
+from sprucepost.node.framing import LINGER_MS
 from sprucepost.node.jsonl import Word
 from tests.node.platform import Day, answers, heard, play, settings, setup
 from tests.node.test_crossings import BEGUN, OTHER, Raw, begin, opened, release, warm
@@ -41,11 +41,11 @@
 def test_connections_not_yet_accepted_when_the_listener_closes_are_answered(tmp_path: Path) -> None:
     def body(day: Day) -> Co[None]:
         host, _ = yield from begin(day)
-        day.service.leave()
+        day.service.begin_shutdown()
         owners = [Raw(day) for _ in range(100)]  # more than are taken in one turn
         for n, owner in enumerate(owners):
             owner.send(setup(SIDS[1 + n], FIGURES=OTHER))
-        day.service._refuse()
+        day.service._refuse_set_ups()
         assert not day.service.counters["owners_turned_away"], "though only 32 can be open at a time"
         for owner in owners:
             message = yield from owner.message()
@@ -64,22 +64,22 @@
         owner = Raw(day)
         owner.send(setup(SIDS[1]))
         yield from owner.message()
-        day.service.leave()
-        day.service._refuse()
+        day.service.begin_shutdown()
+        day.service._refuse_set_ups()
         data = {
             "a set-up": setup(SIDS[2]),
             "half a set-up": setup(SIDS[2])[:40],
             "a set-up and half of another": setup(SIDS[2]) + setup(SIDS[3])[:40],
             "a release": release(SIDS[1]),
         }[unread]
-        abandon = day.service.tasks.abandon
+        abandon = day.service.tasks.fail_open_tasks
 
         def at_the_last_moment() -> None:  # after the sockets were looked at for the last time in a turn
             owner.send(data)
             abandon()
 
-        day.service.tasks.abandon = at_the_last_moment  # type: ignore[method-assign]
-        day.service._end()
+        day.service.tasks.fail_open_tasks = at_the_last_moment  # type: ignore[method-assign]
+        day.service._finish()
         found: list[binary.Message] = []
         yield from wait_for(lambda: everything(owner, found), 2000)
         assert [m.cause for m in found if m.task == SIDS[2]] == ([34] if unread.startswith("a set-up") else [])
@@ -104,7 +104,7 @@
             [link] = [link for link in host.links if any(line.sid == SIDS[1] for line in link.got)]
             link.say(Word.READY, SIDS[1], text="at the last moment")
             link.transport._flush()
-        day.service._end()
+        day.service._finish()
         yield from wait_for(lambda: owner.ended, 2000)
         [message] = answers(owner, SIDS[1])
         if message.kind == Kind.RELEASE:
@@ -129,7 +129,7 @@
             yield from sleep(0)
         began = day.loop.now()
         reader.transport.write(setup(SIDS[2]))
-        day.service._end()
+        day.service._finish()
         yield from wait_for(lambda: any('"end"' in line for line in day.lines), 5000)
         assert day.loop.now() - began < LINGER_MS + 1000 and link.transport.gone
         yield from wait_for(lambda: reader.ended)
@@ -300,11 +300,11 @@
     def body(placer: Placer) -> Co[None]:
         yield from sleep(1)
         if sent == "after":
-            placer.service.leave()
+            placer.service.begin_shutdown()
         client = placer.loop.arrive(LISTEN, "127.0.2.1:1", setup(SIDS[0], LEFT=str(deadline)))
         yield from sleep(50)
         if sent == "before":
-            placer.service.leave()
+            placer.service.begin_shutdown()
         yield from sleep(min(deadline, 3000) + 700 - 50)
         [message] = binary.Decoder().feed(bytes(client.sent))
         assert message.kind == Kind.RELEASE
--- a/tests/node/test_tasks.py
+++ b/tests/node/test_tasks.py
@@ -9,22 +9,22 @@
 
 from sprucepost import interface as i
 from sprucepost.adapter import settings_from
-from sprucepost.node import binary, jsonl, words
+from sprucepost.node import binary, jsonl, parsing
 from sprucepost.node.attempt import Attempt, SetUpResult
 from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.parsing import InvalidSetUp, SetUp, SetUpParser
 from sprucepost.node.tasks import Tasks
-from sprucepost.node.words import Refused, SetUp, Words
 from sprucepost.placing.desk import Desk
 from tests.node.platform import settings, setup
 from tests.placing.support import VirtualLoop
 
 SID = "9b1f03aa5c7e2d41"
-WORDS = Words(settings_from(settings()))
+WORDS = SetUpParser(settings_from(settings()))
 
 
 def read(sid: str = SID, **changes: Any) -> SetUp:
     [message] = binary.Decoder().feed(setup(sid, **changes))
-    return WORDS.set_up(message)
+    return WORDS.parse(message)
 
 
 class Around:
@@ -39,7 +39,7 @@
             self.loop,
             desk,
             found,
-            lambda text: words.load(text, ("x0", "x1"), ("free_cores", "free_memory")),
+            lambda text: parsing.parse_load_report(text, ("x0", "x1"), ("free_cores", "free_memory")),
             self.counters,
         )
         self.tasks.owners = self.tasks.hosts = self
@@ -61,26 +61,26 @@
     def answer(self, sid: str, text: str) -> None:
         self.events.append(("answer", sid, text))
 
-    def caught_up(self) -> bool:
+    def input_read(self) -> bool:
         return True
 
-    def forget(self, sid: str) -> None: ...
-    def recall(self, services: set[str]) -> None: ...
-    def went_out(self, out: Attempt) -> bool:
+    def discard_set_up(self, sid: str) -> None: ...
+    def withdraw_unsent(self, services: set[str]) -> None: ...
+    def was_sent(self, out: Attempt) -> bool:
         return out in self.written
 
-    def kept_from_dialling(self, attempt: Attempt) -> bool:
+    def connection_failed_locally(self, attempt: Attempt) -> bool:
         return False
 
-    def hold(self) -> None:
+    def add_placed_task(self) -> None:
         self.holds += 1
 
-    def unhold(self) -> None:
+    def remove_placed_task(self) -> None:
         self.holds -= 1
         assert self.holds == self.tasks_standing() >= 0
 
     def tasks_standing(self) -> int:
-        return sum(map(len, self.tasks.standing.values()))
+        return sum(map(len, self.tasks.placed.values()))
 
     def refuse(self, sid: str, cause: int, stay_away_ms: float) -> None:
         self.events.append(("refuse", sid, cause, stay_away_ms))
@@ -88,17 +88,17 @@
     def release(self, link: Any, sid: str, cause: int) -> None:
         self.events.append(("release", sid, cause))
 
-    def place(self, out: Attempt) -> None:
-        data = None if self.down else self.tasks.write(out)
+    def send_offer(self, out: Attempt) -> None:
+        data = None if self.down else self.tasks.encode_offer(out)
         if data is not None:
             self.written.add(out)
             [line] = jsonl.Decoder().feed(data)
             self.events.append(("open", out, line))
 
-    def give_up(self, out: Attempt) -> None:
+    def withdraw(self, out: Attempt) -> None:
         self.events.append(("give up", out))
 
-    def let_go(self, machine: str, sid: str) -> None:
+    def end_task(self, machine: str, sid: str) -> None:
         self.events.append(("let go", machine, sid))
 
     def adopt(self, machine: str, sid: str) -> bool:
@@ -106,7 +106,7 @@
 
     # what comes
     def ask(self, sid: str = SID, **changes: Any) -> None:
-        assert self.tasks.take(read(sid, **changes), self, 0.0) is SetUpResult.TAKEN
+        assert self.tasks.admit(read(sid, **changes), self, 0.0) is SetUpResult.ADMITTED
         self.loop.pass_ms(1)
 
     def say(
@@ -114,7 +114,7 @@
     ) -> None:
         """The host that has the latest offer says something on its connection."""
         out = self.outs()[-1]
-        self.tasks.answered(out, Line(word, out.sid, attrs or {}, code, text))
+        self.tasks.handle_answer(out, Line(word, out.sid, attrs or {}, code, text))
         self.loop.pass_ms(1)
 
     def outs(self) -> list[Attempt]:
@@ -139,17 +139,17 @@
     around.ask(KEY="k" * 32, CLASS="bill")
     [(_, out, line)] = around.events
     assert line.attrs["class"] == "bill" and line.attrs["idem"] == "k" * 32 and line.attrs["key"] == f"task-{SID[-4:]}"
-    assert float(line.attrs["left"]) <= out.until - out.sent and line.text.startswith(SID)
+    assert float(line.attrs["left"]) <= out.deadline - out.offered_at and line.text.startswith(SID)
     around.say(Word.READY, text="made")
     assert around.events[-1] == ("answer", SID, "made") and around.last(i.Accepted).request == out.entry.request
-    assert out.entry.ask.setup.text == "", "a standing task keeps no description"
-    around.tasks.heard(out.machine, Line(Word.EVENT, SID, {"note": "cores", "value": "0.5"}))
+    assert out.entry.ask.setup.description == "", "a standing task keeps no description"
+    around.tasks.handle_message(out.machine, Line(Word.EVENT, SID, {"note": "cores", "value": "0.5"}))
     around.loop.pass_ms(1)
     assert around.last(i.Note) == i.Note(out.entry.request, 0, i.NoteKind.CORES_USED, 0.5)
-    around.tasks.heard(out.machine, Line(Word.CLOSE, SID, {"load": "x0:3;x1:4;other:x"}, 16))
+    around.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {"load": "x0:3;x1:4;other:x"}, 16))
     around.loop.pass_ms(1)
     assert around.events[-1] == ("release", SID, 16) and around.last(i.Outcome).report == i.LoadReport(3.0, 4.0)
-    assert not around.tasks.standing and len(around.tasks.ledger) == 0
+    assert not around.tasks.placed and len(around.tasks.ledger) == 0
 
 
 @pytest.mark.parametrize(
@@ -169,23 +169,23 @@
     around = Around()
     around.ask()
     [out] = around.outs()
-    around.tasks.answered(out, Line(Word.CLOSE, SID, {}, 16, "made by m0"))
+    around.tasks.handle_answer(out, Line(Word.CLOSE, SID, {}, 16, "made by m0"))
     around.loop.pass_ms(50)
     assert [event[0] for event in around.events] == ["open", "answer", "release"]
     assert around.events[1][1:] == (SID, "made by m0") and around.events[2][1:] == (SID, 16)
     assert around.last(i.Outcome).ending is i.Ending.OK and around.last(i.Outcome).closed
     assert around.last(i.Accepted).request == around.last(i.Outcome).request
-    assert not around.tasks.standing and not around.holds
+    assert not around.tasks.placed and not around.holds
 
 
 @pytest.mark.parametrize("code, released", [(16, 16), (41, 41), (99, 41), (31, None)])
 def test_what_a_cause_after_the_answer_means(code: int, released: int | None) -> None:
     around = standing()
-    around.tasks.heard(around.outs()[0].machine, Line(Word.CLOSE, SID, {}, code))
+    around.tasks.handle_message(around.outs()[0].machine, Line(Word.CLOSE, SID, {}, code))
     around.loop.pass_ms(1)
     found = [event for event in around.events if event[0] == "release"]
     assert found == ([("release", SID, released)] if released else [])
-    assert around.last(i.Outcome).closed and not around.tasks.standing
+    assert around.last(i.Outcome).closed and not around.tasks.placed
 
 
 def test_what_the_module_gives_up_on_is_answered_at_once() -> None:
@@ -231,13 +231,13 @@
     around.ask()
     [out] = [entry.ask.attempt for entry in around.tasks.ledger.open_entries()]
     around.loop.pass_ms(40)
-    data = around.tasks.write(out)
-    assert data is not None and float(jsonl.Decoder().feed(data)[0].attrs["left"]) <= out.until - out.sent - 39
-    around.tasks.close(out.machine, True)
-    assert around.tasks.write(out) is None
-    around.tasks.close(out.machine, False)
-    around.loop.pass_ms(out.until - around.loop.now() - 1.5)
-    assert around.tasks.write(out) is None
+    data = around.tasks.encode_offer(out)
+    assert data is not None and float(jsonl.Decoder().feed(data)[0].attrs["left"]) <= out.deadline - out.offered_at - 39
+    around.tasks.set_closed(out.machine, True)
+    assert around.tasks.encode_offer(out) is None
+    around.tasks.set_closed(out.machine, False)
+    around.loop.pass_ms(out.deadline - around.loop.now() - 1.5)
+    assert around.tasks.encode_offer(out) is None
 
 
 def test_an_owner_gives_up_at_every_stage() -> None:
@@ -245,18 +245,18 @@
     held.desk.push(i.MachineList(i.ListKind.FULL, ()))
     held.loop.pass_ms(1)
     held.ask()
-    held.tasks.owner_released(SID)
+    held.tasks.owner_cancelled(SID)
     out = Around()
     out.ask()
-    out.tasks.owner_gone([SID])
+    out.tasks.owner_disconnected([SID])
     for around in (held, out):
         around.loop.pass_ms(4000)
         assert around.last(i.Gone) and "refuse" not in around.kinds() and around.tasks.ledger.open == 0
     assert out.kinds() == ["open", "give up"] and out.last(i.Outcome).ending is i.Ending.CANCELLED
     placed = standing()
-    placed.tasks.owner_released(SID)
-    placed.tasks.owner_released(SID)
-    assert placed.kinds()[-1] == "let go" and placed.kinds().count("let go") == 1 and not placed.tasks.standing
+    placed.tasks.owner_cancelled(SID)
+    placed.tasks.owner_cancelled(SID)
+    assert placed.kinds()[-1] == "let go" and placed.kinds().count("let go") == 1 and not placed.tasks.placed
 
 
 def test_what_a_host_holds_already_is_not_placed_and_not_answered() -> None:
@@ -264,18 +264,18 @@
     around.ask(FIGURES="cores:1;memory:2;service:s;at:m1", LEFT="4294967")
     around.ask(FIGURES="cores:1;memory:2;service:s;at:m1")  # named again, though it is held
     assert around.events == [] and around.last(i.TaskFound).machine == "m1" and around.counters["found"] == 1
-    around.tasks.heard("m0", Line(Word.CLOSE, SID, {}, 16))  # another host's word on it
+    around.tasks.handle_message("m0", Line(Word.CLOSE, SID, {}, 16))  # another host's word on it
     assert around.events == [] and around.counters["late_words"] == 1
-    around.tasks.heard("m1", Line(Word.CLOSE, SID, {}, 16))
+    around.tasks.handle_message("m1", Line(Word.CLOSE, SID, {}, 16))
     assert around.events == [("release", SID, 16)]
 
 
 def test_an_id_in_use_is_not_taken_twice() -> None:
     around = Around()
     around.ask()
-    assert around.tasks.take(read(DESCRIPTION="another"), around, 0.0) is SetUpResult.REPEATED
+    assert around.tasks.admit(read(DESCRIPTION="another"), around, 0.0) is SetUpResult.DUPLICATE_ID
     around.say(Word.READY, text="made")
-    assert around.tasks.take(read(), around, 0.0) is SetUpResult.REPEATED
+    assert around.tasks.admit(read(), around, 0.0) is SetUpResult.DUPLICATE_ID
     assert len(around.outs()) == 1
 
 
@@ -287,20 +287,20 @@
         Line(Word.READY, "0" * 15 + "1", text="whose"),
         Line(Word.CLOSE, "f" * 16, {}, 16),
     ):
-        around.tasks.heard(out.machine, line)
-    around.tasks.end(out, i.Ending.RESET)
+        around.tasks.handle_message(out.machine, line)
+    around.tasks.end_attempt(out, i.Ending.RESET)
     assert around.kinds() == ["open", "answer"] and around.counters["late_words"] == 3
-    around.tasks.heard(out.machine, Line(Word.CLOSE, SID, {}, 16))
-    around.tasks.heard(out.machine, Line(Word.CLOSE, SID, {}, 16))
+    around.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {}, 16))
+    around.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {}, 16))
     assert around.kinds().count("release") == 1
 
 
 def test_a_lost_host_releases_its_tasks_those_of_its_next_life_stay() -> None:
     around = standing()
     machine = around.outs()[0].machine
-    assert around.tasks.lost(machine, "restarted", before=around.loop.now() - 1000.0) == 0
-    assert around.tasks.lost(machine, "silent") == 1 and around.events[-1] == ("release", SID, 41)
-    assert around.tasks.lost(machine, "silent") == 0
+    assert around.tasks.host_lost(machine, "restarted", before=around.loop.now() - 1000.0) == 0
+    assert around.tasks.host_lost(machine, "silent") == 1 and around.events[-1] == ("release", SID, 41)
+    assert around.tasks.host_lost(machine, "silent") == 0
 
 
 def test_nothing_is_kept_of_what_is_over() -> None:
@@ -311,18 +311,18 @@
         around.ask(sid, FIGURES=f"cores:1;memory:2;service:{n:x}")
         if n % 3:
             around.say(Word.READY, text="made")
-            around.tasks.heard(around.outs()[-1].machine, Line(Word.CLOSE, sid, {}, 16))
+            around.tasks.handle_message(around.outs()[-1].machine, Line(Word.CLOSE, sid, {}, 16))
         else:
-            around.tasks.owner_released(sid)
+            around.tasks.owner_cancelled(sid)
         around.loop.pass_ms(20)
-        around.tasks.forget()
+        around.tasks.expire_records()
         around.events.clear()
         around.told.clear()
     scheduler = around.desk.scheduler
     assert len(around.tasks.ledger) <= 1
     around.loop.pass_ms(13_000)
-    around.tasks.forget()
-    assert len(around.tasks.ledger) == 0 and not around.tasks.standing
+    around.tasks.expire_records()
+    assert len(around.tasks.ledger) == 0 and not around.tasks.placed
     assert not scheduler.tasks and not scheduler.attempts and not scheduler.due
     assert len(scheduler.services) == 0 and len(scheduler.orders) == 0
     assert all(not m.attempts and len(m.answered) <= 600 for m in scheduler.machines.values())
@@ -341,7 +341,7 @@
     ],
 )  # fmt: skip
 def test_a_set_up_that_cannot_be_taken(changes: dict[str, Any]) -> None:
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(InvalidSetUp) as refused:
         read(**changes)
     assert refused.value.cause not in (34, 42, 102)
 
@@ -351,19 +351,19 @@
     """All counted for the first, and its share alone was used up."""
     tenants = [{"name": "ana", "share": 0.6}, {"name": "barbu", "share": 0.4}]
     family = {**settings()["family_info"], "quota_cores": [20.0, 10.0]}
-    found = Words(settings_from(settings(tenants=tenants, family_info=family)))
+    found = SetUpParser(settings_from(settings(tenants=tenants, family_info=family)))
     [message] = binary.Decoder().feed(setup(SID, TENANT=name))
     if cause is None:
-        assert found.set_up(message).request(1, 100.0).tenant == ["ana", "barbu"].index(str(name))
+        assert found.parse(message).request(1, 100.0).tenant == ["ana", "barbu"].index(str(name))
     else:
-        with pytest.raises(Refused) as refused:
-            found.set_up(message)
+        with pytest.raises(InvalidSetUp) as refused:
+            found.parse(message)
         assert refused.value.cause == cause
     assert read(TENANT=name).request(1, 100.0).tenant == 0, "where there are none it means nothing"
 
 
 def test_a_set_up_without_an_id_is_refused() -> None:
     """Hosts end the connection on such a line, with all that is open on it."""
-    with pytest.raises(Refused):
+    with pytest.raises(InvalidSetUp):
         read("0" * 16)
-    assert read(LEFT="1500.5").left == 1500.5
+    assert read(LEFT="1500.5").time_left_ms == 1500.5
--- a/tests/node/test_words_on_another_connection.py
+++ b/tests/node/test_words_on_another_connection.py
@@ -75,8 +75,8 @@
     around.ask()
     [first] = around.outs()
     if noted:
-        around.tasks.heard(first.machine, Line(Word.EVENT, SID, NOTE))
-    around.loop.pass_ms(first.until - around.loop.now() + 1.0)
+        around.tasks.handle_message(first.machine, Line(Word.EVENT, SID, NOTE))
+    around.loop.pass_ms(first.deadline - around.loop.now() + 1.0)
     assert len(around.outs()) == 2 and ("give up", first) in around.events
     return around, first
 
@@ -85,10 +85,10 @@
 def test_a_release_of_a_task_that_stood_crosses_our_taking_it_back() -> None:
     around, first = withdrawn_at_its_host(noted=True)
     latest = around.outs()[-1]
-    around.tasks.heard(first.machine, Line(Word.CLOSE, SID, {}, 41))
+    around.tasks.handle_message(first.machine, Line(Word.CLOSE, SID, {}, 41))
     around.loop.pass_ms(1)
     assert around.events[-2:] == [("give up", latest), ("refuse", SID, 41, 0.0)]
-    assert not around.tasks.ledger.open and not around.tasks.standing
+    assert not around.tasks.ledger.open and not around.tasks.placed
 
 
 # Guards against a client that is told of an end by the mere echo of an attempt that was taken back.
@@ -97,7 +97,7 @@
 )
 def test_what_says_of_no_task_that_stood_ends_no_later_attempt(noted: bool, cause: int) -> None:
     around, first = withdrawn_at_its_host(noted)
-    around.tasks.heard(first.machine, Line(Word.CLOSE, SID, {}, cause))
+    around.tasks.handle_message(first.machine, Line(Word.CLOSE, SID, {}, cause))
     around.say(Word.READY, text="made")
     assert around.events[-1] == ("answer", SID, "made")
 
@@ -139,8 +139,8 @@
             i.ListKind.DELTA, (i.MachineEntry(first.machine, i.MachineState.DRAINING, 0, 0, 0, 0.0, 32.0, 64.0),)
         )
     )
-    around.loop.pass_ms(first.until - around.loop.now() + 1.0)
+    around.loop.pass_ms(first.deadline - around.loop.now() + 1.0)
     assert around.outs()[-1].machine != first.machine
-    around.tasks.heard(first.machine, Line(Word.CLOSE, SID, {}, 41))
+    around.tasks.handle_message(first.machine, Line(Word.CLOSE, SID, {}, 41))
     around.say(Word.READY, text="made")
     assert around.events[-1] == ("answer", SID, "made")
