--- a/tests/node/faulty_system.py
+++ b/tests/node/faulty_system.py
@@ -17,7 +17,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from tests.node.planted import DEFECTS
+from tests.node.planted_defects import DEFECTS
 
 PASSING: dict[str, tuple[str, ...]] = {
     "socket": ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"),
@@ -53,7 +53,7 @@
     """``errnos``: which errors a call fails with, by call; ``share`` of all calls fail. ``first``: so many of a call's first
     ones fail, whatever the share. ``apart_s``: the least time between two failures. ``short``: the share of reads and writes
     that move only a part, down to one byte. ``steps``: by how many seconds the wall clock is off, from so many seconds after
-    the start on. ``defect``: one of :data:`tests.node.planted.DEFECTS`."""
+    the start on. ``defect``: one of :data:`tests.node.planted_defects.DEFECTS`."""
 
     seed: int
     errnos: dict[str, list[str]] = field(default_factory=dict)
--- a/tests/node/drawn_words.py
+++ b/tests/node/message_schedules.py
@@ -13,7 +13,7 @@
 from sprucepost.node.jsonl import Line, Word
 from sprucepost.node.tasks import WITHDRAWAL_REPLY_MS
 from sprucepost.placing.ledger import Outcome
-from tests.node.test_tasks import Around
+from tests.node.test_tasks import TaskHarness
 
 TASKS, SPAN_MS = 8, 6000.0
 OWED_MS = 1000.0  # by the protocol, from the host's release
@@ -45,15 +45,15 @@
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        self.around = Around()
-        self.loop = self.around.loop
+        self.harness = TaskHarness()
+        self.loop = self.harness.loop
         self.copies: dict[Attempt, Copy] = {}
         self.seen = 0
         self.told: list[tuple[float, str, str]] = []  # when, what and of which task clients have heard
         self.owed: list[tuple[float, str]] = []
         self.taken_back: dict[tuple[str, str], float] = {}  # when an attempt was last taken back, by task and host
         self.left: set[str] = set()  # tasks that their owner gave up or ended
-        self.around.withdraw = self._give_up  # type: ignore[method-assign, assignment]
+        self.harness.withdraw = self._give_up  # type: ignore[method-assign, assignment]
 
     def play(self) -> list[str]:
         """Play it and return what the oracle objects to."""
@@ -67,17 +67,17 @@
         return self.faults
 
     def _ask(self, sid: str) -> None:
-        self.around.ask(sid)
+        self.harness.ask(sid)
         if self.rng.random() < 0.1:
             self.loop.call_later(self.rng.uniform(0.0, 2000.0), lambda: self._leave(sid))
 
     def _leave(self, sid: str) -> None:
         self.left.add(sid)
-        self.around.tasks.owner_cancelled(sid)
+        self.harness.tasks.owner_cancelled(sid)
 
     def _watch(self) -> None:
         """Hosts read what the placer has written."""
-        events, self.seen = self.around.events[self.seen :], len(self.around.events)
+        events, self.seen = self.harness.events[self.seen :], len(self.harness.events)
         for event in events:
             if event[0] in ("answer", "refuse", "release"):
                 self.told.append((self.loop.time, event[0], event[1]))
@@ -101,7 +101,7 @@
         copy.cut = True
 
     def _answer_taking_back(self, copy: Copy, line: Line) -> None:
-        self.around.tasks.handle_withdrawn_message(copy.attempt.machine, line)
+        self.harness.tasks.handle_withdrawn_message(copy.attempt.machine, line)
 
     def _delay(self) -> float:
         return self.rng.uniform(0.3, 8.0)
@@ -142,7 +142,7 @@
 
     def _deliver(self, attempt: Attempt, line: Line, own: bool) -> None:
         """As ``Hosts`` does: by the connection that brings it."""
-        copy, tasks = self._copy(attempt), self.around.tasks
+        copy, tasks = self._copy(attempt), self.harness.tasks
         carried = own and copy.withdrawn_at is None and not copy.answered
         if line.word is Word.CLOSE and line.code not in (34, 47, 102):
             self._owe(copy, line, own)
@@ -175,7 +175,7 @@
             self.owed.append((self.loop.time, copy.attempt.sid))
 
     def _stands(self, sid: str) -> bool:
-        entry = self.around.tasks.ledger.current(sid)
+        entry = self.harness.tasks.ledger.current(sid)
         return entry is not None and entry.outcome is Outcome.PLACED
 
     def _judge(self) -> None:
--- a/tests/node/stepped.py
+++ b/tests/node/stepped_loop.py
@@ -38,12 +38,12 @@
 
 
 class SteppedLoop(EpollLoop):
-    """``time`` is its clock, in ms; ``reading`` is called after each read of a socket."""
+    """``time`` is its clock, in ms; ``on_read`` is called after each read of a socket."""
 
     def __init__(self) -> None:
         super().__init__(seed=1)
         self.time = 1_000_000.0
-        self.reading: Callable[[], None] = lambda: None
+        self.on_read: Callable[[], None] = lambda: None
         self._epoll = _Waits(self, self._epoll)  # type: ignore[assignment]
 
     def now(self) -> float:
@@ -55,17 +55,17 @@
     def guard(self, call: Callable[[], None]) -> None:
         super().guard(call)
         if getattr(call, "__name__", "") == "_readable":
-            self.reading()
+            self.on_read()
 
 
-def lies_unread(fd: int) -> None:
+def wait_until_readable(fd: int) -> None:
     """Return once something lies there in the kernel: bytes, an end, a reset or a connection."""
     waiting = select.poll()
     waiting.register(fd, select.POLLIN)
     assert waiting.poll(LIES_MS), "nothing came over loopback"
 
 
-def all_lies_unread(sock: socket.socket, size: int) -> None:
+def wait_for_buffered_bytes(sock: socket.socket, size: int) -> None:
     """Return once so many bytes lie in that socket."""
     found = array.array("i", [0])
     for _ in range(LIES_MS):
--- a/tests/node/test_clients_that_left.py
+++ b/tests/node/test_clients_that_left.py
@@ -1,6 +1,6 @@
 """Clients that left: no attempt is sent more than 50 ms after the client's bytes lay in our kernel, half of the 100 allowed.
 
-Time is stepped (:mod:`tests.node.stepped`): a decision or a read takes as long as a test says, on any machine.
+Time is stepped (:mod:`tests.node.stepped_loop`): a decision or a read takes as long as a test says, on any machine.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from sprucepost.node.host import HostLink
 from sprucepost.node.jsonl import Word
 from tests.node.platform import Day, Host, Link, heard, play, setup
-from tests.node.stepped import SteppedLoop, all_lies_unread, lies_unread
+from tests.node.stepped_loop import SteppedLoop, wait_for_buffered_bytes, wait_until_readable
 from tests.node.test_crossings import OTHER, SIDS, Raw, deciding, opened, patient, release, warm
 from tests.wire.support import wait_for
 
@@ -96,7 +96,7 @@
             fd = owners._acceptor._listener.fd  # type: ignore[attr-defined]
             self.new = socket.create_connection(self.day.service.config.listen)
             self.new.send(release(LEAVING))
-        lies_unread(fd)
+        wait_until_readable(fd)
         self.left_at = self.loop.time
         self.loop.time += BUSY_MS
 
@@ -160,7 +160,7 @@
         link.say(Word.CLOSE, line.sid, code=102)
         link.transport.flush()
         [ours] = [mine for mine in day.service.hosts.hosts["s-1"].links if LEAVING in mine.open]
-        lies_unread(ours.transport._sock.fd)  # type: ignore[attr-defined]
+        wait_until_readable(ours.transport._sock.fd)  # type: ignore[attr-defined]
         client.leave()
 
     host.on_open = refuse
@@ -409,7 +409,7 @@
         raw.sock.setblocking(True)
         raw.sock.sendall(data)
         raw.sock.setblocking(False)
-        all_lies_unread(sock, len(data))
+        wait_for_buffered_bytes(sock, len(data))
         client.left_at = day.loop.now()
         assert isinstance(day.loop, SteppedLoop)
         day.loop.time += BUSY_MS
@@ -458,7 +458,7 @@
         fd = link.transport._sock.fd  # type: ignore[attr-defined]
         day.service.owners.disconnect(link, "idle")
         client.other.send(release(LEAVING))
-        lies_unread(fd)
+        wait_until_readable(fd)
         client.left_at = day.loop.now()
         assert isinstance(day.loop, SteppedLoop)
         day.loop.time += BUSY_MS
@@ -497,12 +497,12 @@
         assert isinstance(day.loop, SteppedLoop)
 
         def reading() -> None:
-            day.loop.reading = lambda: None  # type: ignore[attr-defined]
+            day.loop.on_read = lambda: None  # type: ignore[attr-defined]
             client.leave()
 
-        day.loop.reading = reading
+        day.loop.on_read = reading
         noise[0].send(binary.encode(Kind.TEST, "0" * 16, [(Code.CAUSE, b"\0")]))
-        lies_unread(noise[0].taken(day).transport._sock.fd)  # type: ignore[attr-defined]
+        wait_until_readable(noise[0].taken(day).transport._sock.fd)  # type: ignore[attr-defined]
 
     placed_while(tmp_path, monkeypatch, busy, prepare)
     noise[0].close()
@@ -555,7 +555,7 @@
                 closed.append(True)
                 fd = gone.taken(day).transport._sock.fd  # type: ignore[attr-defined]
                 gone.close()
-                lies_unread(fd)
+                wait_until_readable(fd)
             elif any(isinstance(event, i.Gone) for event in events) and client.left_at is None:
                 client.leave()
 
@@ -590,10 +590,10 @@
 
         client.ask()
         noise.send(test)
-        loop.reading = reading
+        loop.on_read = reading
         yield from wait_for(lambda: day.service.counters["dispatch_held"] >= 3)
         assert not attempts.times(LEAVING)
-        loop.reading = lambda: None
+        loop.on_read = lambda: None
         yield from wait_for(lambda: attempts.times(LEAVING))
         noise.close()
         client.close()
--- a/tests/node/test_drawn_words.py
+++ b/tests/node/test_message_schedules.py
@@ -1,6 +1,6 @@
 """Drawn schedules of hosts' words, and planted defects that they must find.
 
-By hand: ``python -m tests.node.test_drawn_words FROM TO``.
+By hand: ``python -m tests.node.test_message_schedules FROM TO``.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from sprucepost import interface as i
 from sprucepost.node import tasks
 from sprucepost.node.tasks import Tasks
-from tests.node.drawn_words import Schedule
+from tests.node.message_schedules import Schedule
 
 SCHEDULES = 100
 
--- a/tests/node/test_words_on_another_connection.py
+++ b/tests/node/test_messages_on_another_connection.py
@@ -15,7 +15,7 @@
 from sprucepost.node.jsonl import Line, Word
 from tests.node.platform import Day, Host, Link, answers, heard, play, setup
 from tests.node.test_crossings import SIDS, two_connections, warm
-from tests.node.test_tasks import SID, Around
+from tests.node.test_tasks import SID, TaskHarness
 from tests.wire.support import wait_for
 
 TASK = "c0355aa5c7e00001"
@@ -69,26 +69,26 @@
     play(tmp_path, body)
 
 
-def withdrawn_at_its_host(noted: bool) -> tuple[Around, Attempt]:
+def withdrawn_at_its_host(noted: bool) -> tuple[TaskHarness, Attempt]:
     """A task whose first attempt's time was up at its host; the next attempt is out."""
-    around = Around()
-    around.ask()
-    [first] = around.outs()
+    harness = TaskHarness()
+    harness.ask()
+    [first] = harness.outs()
     if noted:
-        around.tasks.handle_message(first.machine, Line(Word.EVENT, SID, NOTE))
-    around.loop.pass_ms(first.deadline - around.loop.now() + 1.0)
-    assert len(around.outs()) == 2 and ("give up", first) in around.events
-    return around, first
+        harness.tasks.handle_message(first.machine, Line(Word.EVENT, SID, NOTE))
+    harness.loop.pass_ms(first.deadline - harness.loop.now() + 1.0)
+    assert len(harness.outs()) == 2 and ("give up", first) in harness.events
+    return harness, first
 
 
 # Guards against a release that is dropped because the time of its attempt was up right before it was read.
 def test_a_release_of_a_task_that_stood_crosses_our_taking_it_back() -> None:
-    around, first = withdrawn_at_its_host(noted=True)
-    latest = around.outs()[-1]
-    around.tasks.handle_message(first.machine, Line(Word.CLOSE, SID, {}, 41))
-    around.loop.pass_ms(1)
-    assert around.events[-2:] == [("give up", latest), ("refuse", SID, 41, 0.0)]
-    assert not around.tasks.ledger.open and not around.tasks.placed
+    harness, first = withdrawn_at_its_host(noted=True)
+    latest = harness.outs()[-1]
+    harness.tasks.handle_message(first.machine, Line(Word.CLOSE, SID, {}, 41))
+    harness.loop.pass_ms(1)
+    assert harness.events[-2:] == [("give up", latest), ("refuse", SID, 41, 0.0)]
+    assert not harness.tasks.ledger.open and not harness.tasks.placed
 
 
 # Guards against a client that is told of an end by the mere echo of an attempt that was taken back.
@@ -96,10 +96,10 @@
     ("noted", "cause"), [(True, 31), (False, 31), (True, 16), (False, 16), (True, 34), (True, 102)]
 )
 def test_what_says_of_no_task_that_stood_ends_no_later_attempt(noted: bool, cause: int) -> None:
-    around, first = withdrawn_at_its_host(noted)
-    around.tasks.handle_message(first.machine, Line(Word.CLOSE, SID, {}, cause))
-    around.say(Word.READY, text="made")
-    assert around.events[-1] == ("answer", SID, "made")
+    harness, first = withdrawn_at_its_host(noted)
+    harness.tasks.handle_message(first.machine, Line(Word.CLOSE, SID, {}, cause))
+    harness.say(Word.READY, text="made")
+    assert harness.events[-1] == ("answer", SID, "made")
 
 
 # Guards against a caller that is told of an end, or never told of one, by a host's answer to an earlier taking back there.
@@ -131,16 +131,16 @@
 
 # Guards against the end of a set-up that broke on its way being taken for that of the next host's.
 def test_a_break_of_what_was_taken_back_says_nothing_of_another_hosts_attempt() -> None:
-    around = Around()
-    around.ask()
-    [first] = around.outs()
-    around.desk.push(
+    harness = TaskHarness()
+    harness.ask()
+    [first] = harness.outs()
+    harness.desk.push(
         i.MachineList(
             i.ListKind.DELTA, (i.MachineEntry(first.machine, i.MachineState.DRAINING, 0, 0, 0, 0.0, 32.0, 64.0),)
         )
     )
-    around.loop.pass_ms(first.deadline - around.loop.now() + 1.0)
-    assert around.outs()[-1].machine != first.machine
-    around.tasks.handle_message(first.machine, Line(Word.CLOSE, SID, {}, 41))
-    around.say(Word.READY, text="made")
-    assert around.events[-1] == ("answer", SID, "made")
+    harness.loop.pass_ms(first.deadline - harness.loop.now() + 1.0)
+    assert harness.outs()[-1].machine != first.machine
+    harness.tasks.handle_message(first.machine, Line(Word.CLOSE, SID, {}, 41))
+    harness.say(Word.READY, text="made")
+    assert harness.events[-1] == ("answer", SID, "made")
--- a/tests/node/test_overtaken_answers.py
+++ b/tests/node/test_release_before_answer.py
@@ -11,7 +11,7 @@
 from sprucepost.node.binary import Kind
 from sprucepost.node.jsonl import Line, Word
 from tests.node.platform import Day, Host, Link, answers, heard, play, setup
-from tests.node.test_tasks import SID, Around
+from tests.node.test_tasks import SID, TaskHarness
 from tests.wire.support import wait_for
 
 TASK = "c0155aa5c7e00001"
@@ -123,17 +123,17 @@
     line: Line, heard_by_client: tuple[object, ...], action: type[i.Refuse] | type[i.Fail]
 ) -> None:
     """Sockets are read between a decision and its being carried out; the task is not open any more by then."""
-    around = Around()
-    around.ask()
-    [out] = around.outs()
+    harness = TaskHarness()
+    harness.ask()
+    [out] = harness.outs()
 
     def decide(now: float, events: list[i.Event]) -> list[i.Action]:
-        if len(around.events) > 1:
+        if len(harness.events) > 1:
             return []
-        around.tasks.handle_answer(out, line)
+        harness.tasks.handle_answer(out, line)
         return [i.Fail(out.entry.request) if action is i.Fail else i.Refuse(out.entry.request, 0.0)]
 
-    around.desk.scheduler.handle = decide  # type: ignore[method-assign]
-    around.desk.wake()
-    around.loop.pass_ms(0.0)
-    assert around.events[1:] == [heard_by_client]
+    harness.desk.scheduler.handle = decide  # type: ignore[method-assign]
+    harness.desk.wake()
+    harness.loop.pass_ms(0.0)
+    assert harness.events[1:] == [heard_by_client]
--- a/tests/node/test_tasks.py
+++ b/tests/node/test_tasks.py
@@ -27,7 +27,7 @@
     return WORDS.parse(message)
 
 
-class Around:
+class TaskHarness:
     """Owners and hosts that only write down; a host's connection is always there unless ``down``."""
 
     def __init__(self, **changes: Any) -> None:
@@ -127,29 +127,29 @@
         return [event for event in self.told if isinstance(event, kind)][-1]
 
 
-def standing(**changes: Any) -> Around:
-    around = Around()
-    around.ask(**changes)
-    around.say(Word.READY, text="made")
-    return around
+def standing(**changes: Any) -> TaskHarness:
+    harness = TaskHarness()
+    harness.ask(**changes)
+    harness.say(Word.READY, text="made")
+    return harness
 
 
 def test_from_set_up_to_release() -> None:
-    around = Around()
-    around.ask(KEY="k" * 32, CLASS="bill")
-    [(_, out, line)] = around.events
+    harness = TaskHarness()
+    harness.ask(KEY="k" * 32, CLASS="bill")
+    [(_, out, line)] = harness.events
     assert line.attrs["class"] == "bill" and line.attrs["idem"] == "k" * 32 and line.attrs["key"] == f"task-{SID[-4:]}"
     assert float(line.attrs["left"]) <= out.deadline - out.offered_at and line.text.startswith(SID)
-    around.say(Word.READY, text="made")
-    assert around.events[-1] == ("answer", SID, "made") and around.last(i.Accepted).request == out.entry.request
+    harness.say(Word.READY, text="made")
+    assert harness.events[-1] == ("answer", SID, "made") and harness.last(i.Accepted).request == out.entry.request
     assert out.entry.ask.setup.description == "", "a standing task keeps no description"
-    around.tasks.handle_message(out.machine, Line(Word.EVENT, SID, {"note": "cores", "value": "0.5"}))
-    around.loop.pass_ms(1)
-    assert around.last(i.Note) == i.Note(out.entry.request, 0, i.NoteKind.CORES_USED, 0.5)
-    around.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {"load": "x0:3;x1:4;other:x"}, 16))
-    around.loop.pass_ms(1)
-    assert around.events[-1] == ("release", SID, 16) and around.last(i.Outcome).report == i.LoadReport(3.0, 4.0)
-    assert not around.tasks.placed and len(around.tasks.ledger) == 0
+    harness.tasks.handle_message(out.machine, Line(Word.EVENT, SID, {"note": "cores", "value": "0.5"}))
+    harness.loop.pass_ms(1)
+    assert harness.last(i.Note) == i.Note(out.entry.request, 0, i.NoteKind.CORES_USED, 0.5)
+    harness.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {"load": "x0:3;x1:4;other:x"}, 16))
+    harness.loop.pass_ms(1)
+    assert harness.events[-1] == ("release", SID, 16) and harness.last(i.Outcome).report == i.LoadReport(3.0, 4.0)
+    assert not harness.tasks.placed and len(harness.tasks.ledger) == 0
 
 
 @pytest.mark.parametrize(
@@ -157,101 +157,101 @@
     [(34, "full"), (47, "error"), (102, "moot"), (41, "reset"), (16, "reset"), (99, "reset"), (None, "reset")],
 )
 def test_what_a_cause_before_the_answer_means(code: int | None, ending: str) -> None:
-    around = Around()
-    around.ask()
-    around.say(Word.CLOSE, {"note": "no_memory"}, code)
-    outcome = next(event for event in around.told if isinstance(event, i.Outcome))
+    harness = TaskHarness()
+    harness.ask()
+    harness.say(Word.CLOSE, {"note": "no_memory"}, code)
+    outcome = next(event for event in harness.told if isinstance(event, i.Outcome))
     assert (outcome.ending.value, outcome.closed, outcome.reason) == (ending, False, i.Reason.NO_MEMORY)
 
 
 def test_a_task_that_ends_before_it_could_be_called_running_was_done() -> None:
     """Its host says answer and end in one: offered again it ran three times, and was refused in the end."""
-    around = Around()
-    around.ask()
-    [out] = around.outs()
-    around.tasks.handle_answer(out, Line(Word.CLOSE, SID, {}, 16, "made by m0"))
-    around.loop.pass_ms(50)
-    assert [event[0] for event in around.events] == ["open", "answer", "release"]
-    assert around.events[1][1:] == (SID, "made by m0") and around.events[2][1:] == (SID, 16)
-    assert around.last(i.Outcome).ending is i.Ending.OK and around.last(i.Outcome).closed
-    assert around.last(i.Accepted).request == around.last(i.Outcome).request
-    assert not around.tasks.placed and not around.holds
+    harness = TaskHarness()
+    harness.ask()
+    [out] = harness.outs()
+    harness.tasks.handle_answer(out, Line(Word.CLOSE, SID, {}, 16, "made by m0"))
+    harness.loop.pass_ms(50)
+    assert [event[0] for event in harness.events] == ["open", "answer", "release"]
+    assert harness.events[1][1:] == (SID, "made by m0") and harness.events[2][1:] == (SID, 16)
+    assert harness.last(i.Outcome).ending is i.Ending.OK and harness.last(i.Outcome).closed
+    assert harness.last(i.Accepted).request == harness.last(i.Outcome).request
+    assert not harness.tasks.placed and not harness.holds
 
 
 @pytest.mark.parametrize("code, released", [(16, 16), (41, 41), (99, 41), (31, None)])
 def test_what_a_cause_after_the_answer_means(code: int, released: int | None) -> None:
-    around = standing()
-    around.tasks.handle_message(around.outs()[0].machine, Line(Word.CLOSE, SID, {}, code))
-    around.loop.pass_ms(1)
-    found = [event for event in around.events if event[0] == "release"]
+    harness = standing()
+    harness.tasks.handle_message(harness.outs()[0].machine, Line(Word.CLOSE, SID, {}, code))
+    harness.loop.pass_ms(1)
+    found = [event for event in harness.events if event[0] == "release"]
     assert found == ([("release", SID, released)] if released else [])
-    assert around.last(i.Outcome).closed and not around.tasks.placed
+    assert harness.last(i.Outcome).closed and not harness.tasks.placed
 
 
 def test_what_the_module_gives_up_on_is_answered_at_once() -> None:
     """A task that has been tried as often as it may is refused in that turn, not near its owner's end."""
-    around = Around()
-    around.ask()
+    harness = TaskHarness()
+    harness.ask()
     for _ in range(3):
-        around.say(Word.CLOSE, {}, 47)
-    assert around.events[-1][:3] == ("refuse", SID, 34) and around.loop.now() < 1_000_000.0 + 500.0
-    around.loop.pass_ms(4000)
-    assert around.kinds().count("refuse") == 1
+        harness.say(Word.CLOSE, {}, 47)
+    assert harness.events[-1][:3] == ("refuse", SID, 34) and harness.loop.now() < 1_000_000.0 + 500.0
+    harness.loop.pass_ms(4000)
+    assert harness.kinds().count("refuse") == 1
 
 
 def test_a_keyed_task_that_may_run_fails_where_it_is_not_answered_in_time() -> None:
-    around = Around()
-    around.ask(CLASS="bill", KEY="k", LEFT="900")
-    around.loop.pass_ms(1000)
-    assert [event[1:] for event in around.events if event[0] == "refuse"] == [(SID, 41, 0.0)]
-    assert around.counters["timeouts"] >= 1 and around.kinds().count("give up") == len(around.outs())
+    harness = TaskHarness()
+    harness.ask(CLASS="bill", KEY="k", LEFT="900")
+    harness.loop.pass_ms(1000)
+    assert [event[1:] for event in harness.events if event[0] == "refuse"] == [(SID, 41, 0.0)]
+    assert harness.counters["timeouts"] >= 1 and harness.kinds().count("give up") == len(harness.outs())
 
 
 def test_one_attempt_is_given_up_before_the_next_goes_out() -> None:
-    around = Around()
-    around.ask()
-    around.loop.pass_ms(2500)
-    kinds = [kind for kind in around.kinds() if kind in ("open", "give up")]
+    harness = TaskHarness()
+    harness.ask()
+    harness.loop.pass_ms(2500)
+    kinds = [kind for kind in harness.kinds() if kind in ("open", "give up")]
     assert (
         len(kinds) >= 4 and kinds[::2] == ["open"] * len(kinds[::2]) and kinds[1::2] == ["give up"] * len(kinds[1::2])
     )
 
 
 def test_an_offer_that_could_not_be_written_never_ran() -> None:
-    around = Around()
-    around.down = True
-    around.ask(CLASS="bill", KEY="k", LEFT="900")
-    around.loop.pass_ms(1000)
-    assert around.counters["unsent"] >= 1 and around.events[-1][:3] == ("refuse", SID, 34)
+    harness = TaskHarness()
+    harness.down = True
+    harness.ask(CLASS="bill", KEY="k", LEFT="900")
+    harness.loop.pass_ms(1000)
+    assert harness.counters["unsent"] >= 1 and harness.events[-1][:3] == ("refuse", SID, 34)
 
 
 def test_what_waited_goes_out_with_what_is_left_and_not_to_a_host_that_drains() -> None:
-    around = Around()
-    around.down = True
-    around.ask()
-    [out] = [entry.ask.attempt for entry in around.tasks.ledger.open_entries()]
-    around.loop.pass_ms(40)
-    data = around.tasks.encode_offer(out)
+    harness = TaskHarness()
+    harness.down = True
+    harness.ask()
+    [out] = [entry.ask.attempt for entry in harness.tasks.ledger.open_entries()]
+    harness.loop.pass_ms(40)
+    data = harness.tasks.encode_offer(out)
     assert data is not None and float(jsonl.Decoder().feed(data)[0].attrs["left"]) <= out.deadline - out.offered_at - 39
-    around.tasks.set_closed(out.machine, True)
-    assert around.tasks.encode_offer(out) is None
-    around.tasks.set_closed(out.machine, False)
-    around.loop.pass_ms(out.deadline - around.loop.now() - 1.5)
-    assert around.tasks.encode_offer(out) is None
+    harness.tasks.set_closed(out.machine, True)
+    assert harness.tasks.encode_offer(out) is None
+    harness.tasks.set_closed(out.machine, False)
+    harness.loop.pass_ms(out.deadline - harness.loop.now() - 1.5)
+    assert harness.tasks.encode_offer(out) is None
 
 
 def test_an_owner_gives_up_at_every_stage() -> None:
-    held = Around()
+    held = TaskHarness()
     held.desk.push(i.MachineList(i.ListKind.FULL, ()))
     held.loop.pass_ms(1)
     held.ask()
     held.tasks.owner_cancelled(SID)
-    out = Around()
+    out = TaskHarness()
     out.ask()
     out.tasks.owner_disconnected([SID])
-    for around in (held, out):
-        around.loop.pass_ms(4000)
-        assert around.last(i.Gone) and "refuse" not in around.kinds() and around.tasks.ledger.open == 0
+    for harness in (held, out):
+        harness.loop.pass_ms(4000)
+        assert harness.last(i.Gone) and "refuse" not in harness.kinds() and harness.tasks.ledger.open == 0
     assert out.kinds() == ["open", "give up"] and out.last(i.Outcome).ending is i.Ending.CANCELLED
     placed = standing()
     placed.tasks.owner_cancelled(SID)
@@ -260,69 +260,69 @@
 
 
 def test_what_a_host_holds_already_is_not_placed_and_not_answered() -> None:
-    around = Around()
-    around.ask(FIGURES="cores:1;memory:2;service:s;at:m1", LEFT="4294967")
-    around.ask(FIGURES="cores:1;memory:2;service:s;at:m1")  # named again, though it is held
-    assert around.events == [] and around.last(i.TaskFound).machine == "m1" and around.counters["found"] == 1
-    around.tasks.handle_message("m0", Line(Word.CLOSE, SID, {}, 16))  # another host's word on it
-    assert around.events == [] and around.counters["late_words"] == 1
-    around.tasks.handle_message("m1", Line(Word.CLOSE, SID, {}, 16))
-    assert around.events == [("release", SID, 16)]
+    harness = TaskHarness()
+    harness.ask(FIGURES="cores:1;memory:2;service:s;at:m1", LEFT="4294967")
+    harness.ask(FIGURES="cores:1;memory:2;service:s;at:m1")  # named again, though it is held
+    assert harness.events == [] and harness.last(i.TaskFound).machine == "m1" and harness.counters["found"] == 1
+    harness.tasks.handle_message("m0", Line(Word.CLOSE, SID, {}, 16))  # another host's word on it
+    assert harness.events == [] and harness.counters["late_words"] == 1
+    harness.tasks.handle_message("m1", Line(Word.CLOSE, SID, {}, 16))
+    assert harness.events == [("release", SID, 16)]
 
 
 def test_an_id_in_use_is_not_taken_twice() -> None:
-    around = Around()
-    around.ask()
-    assert around.tasks.admit(read(DESCRIPTION="another"), around, 0.0) is SetUpResult.DUPLICATE_ID
-    around.say(Word.READY, text="made")
-    assert around.tasks.admit(read(), around, 0.0) is SetUpResult.DUPLICATE_ID
-    assert len(around.outs()) == 1
+    harness = TaskHarness()
+    harness.ask()
+    assert harness.tasks.admit(read(DESCRIPTION="another"), harness, 0.0) is SetUpResult.DUPLICATE_ID
+    harness.say(Word.READY, text="made")
+    assert harness.tasks.admit(read(), harness, 0.0) is SetUpResult.DUPLICATE_ID
+    assert len(harness.outs()) == 1
 
 
 def test_words_that_nobody_waits_for_change_nothing() -> None:
-    around = standing()
-    out = around.outs()[0]
+    harness = standing()
+    out = harness.outs()[0]
     for line in (
         Line(Word.READY, SID, text="again"),
         Line(Word.READY, "0" * 15 + "1", text="whose"),
         Line(Word.CLOSE, "f" * 16, {}, 16),
     ):
-        around.tasks.handle_message(out.machine, line)
-    around.tasks.end_attempt(out, i.Ending.RESET)
-    assert around.kinds() == ["open", "answer"] and around.counters["late_words"] == 3
-    around.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {}, 16))
-    around.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {}, 16))
-    assert around.kinds().count("release") == 1
+        harness.tasks.handle_message(out.machine, line)
+    harness.tasks.end_attempt(out, i.Ending.RESET)
+    assert harness.kinds() == ["open", "answer"] and harness.counters["late_words"] == 3
+    harness.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {}, 16))
+    harness.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {}, 16))
+    assert harness.kinds().count("release") == 1
 
 
 def test_a_lost_host_releases_its_tasks_those_of_its_next_life_stay() -> None:
-    around = standing()
-    machine = around.outs()[0].machine
-    assert around.tasks.host_lost(machine, "restarted", before=around.loop.now() - 1000.0) == 0
-    assert around.tasks.host_lost(machine, "silent") == 1 and around.events[-1] == ("release", SID, 41)
-    assert around.tasks.host_lost(machine, "silent") == 0
+    harness = standing()
+    machine = harness.outs()[0].machine
+    assert harness.tasks.host_lost(machine, "restarted", before=harness.loop.now() - 1000.0) == 0
+    assert harness.tasks.host_lost(machine, "silent") == 1 and harness.events[-1] == ("release", SID, 41)
+    assert harness.tasks.host_lost(machine, "silent") == 0
 
 
 def test_nothing_is_kept_of_what_is_over() -> None:
     """Thousands of tasks, each of a service of its own, leave nothing behind: ids, services, attempts, orders."""
-    around = Around()
+    harness = TaskHarness()
     for n in range(600):
         sid = f"{n + 1:016x}"
-        around.ask(sid, FIGURES=f"cores:1;memory:2;service:{n:x}")
+        harness.ask(sid, FIGURES=f"cores:1;memory:2;service:{n:x}")
         if n % 3:
-            around.say(Word.READY, text="made")
-            around.tasks.handle_message(around.outs()[-1].machine, Line(Word.CLOSE, sid, {}, 16))
+            harness.say(Word.READY, text="made")
+            harness.tasks.handle_message(harness.outs()[-1].machine, Line(Word.CLOSE, sid, {}, 16))
         else:
-            around.tasks.owner_cancelled(sid)
-        around.loop.pass_ms(20)
-        around.tasks.expire_records()
-        around.events.clear()
-        around.told.clear()
-    scheduler = around.desk.scheduler
-    assert len(around.tasks.ledger) <= 1
-    around.loop.pass_ms(13_000)
-    around.tasks.expire_records()
-    assert len(around.tasks.ledger) == 0 and not around.tasks.placed
+            harness.tasks.owner_cancelled(sid)
+        harness.loop.pass_ms(20)
+        harness.tasks.expire_records()
+        harness.events.clear()
+        harness.told.clear()
+    scheduler = harness.desk.scheduler
+    assert len(harness.tasks.ledger) <= 1
+    harness.loop.pass_ms(13_000)
+    harness.tasks.expire_records()
+    assert len(harness.tasks.ledger) == 0 and not harness.tasks.placed
     assert not scheduler.tasks and not scheduler.attempts and not scheduler.due
     assert len(scheduler.services) == 0 and len(scheduler.orders) == 0
     assert all(not m.attempts and len(m.answered) <= 600 for m in scheduler.machines.values())
