--- a/benchmarks/node_setups.py
+++ b/benchmarks/node_setups.py
@@ -17,7 +17,7 @@
 
 from sprucepost.loop import Co, connect, current, sleep
 from sprucepost.node import binary
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from tests.node.platform import Day, Link, play, setup
 from tests.node.program import cpu_s
 
@@ -33,10 +33,10 @@
             host = day.host(f"s-{n}")
 
             def runs(link: Link, line: Line) -> None:
-                link.say(Word.READY, line.sid, text="x")
-                day.loop.call_later(30.0, lambda: link.say(Word.EVENT, line.sid, {"note": "runs", "value": "1"}))
+                link.say(MessageType.READY, line.sid, text="x")
+                day.loop.call_later(30.0, lambda: link.say(MessageType.EVENT, line.sid, {"note": "runs", "value": "1"}))
                 day.loop.call_later(
-                    LIFE_MS, lambda: link.say(Word.CLOSE, line.sid, {"load": "x0:9;x1:9;backlog:0"}, code=16)
+                    LIFE_MS, lambda: link.say(MessageType.CLOSE, line.sid, {"load": "x0:9;x1:9;backlog:0"}, code=16)
                 )
 
             host.on_open = runs
--- a/sprucepost/node/bulletin.py
+++ b/sprucepost/node/bulletin.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ListUpdate:
     """What a document has changed: the list for the module, hosts' addresses, and entries that could not be read."""
 
     list: i.MachineList
@@ -64,17 +64,17 @@
     def __init__(self, zones: tuple[str, ...], kinds: tuple[i.MachineKind, ...]) -> None:
         self._zones = {name: n for n, name in enumerate(zones)}
         self._kinds = {kind.name: n for n, kind in enumerate(kinds)}
-        self.last = 0  # the number of the last event taken whole
+        self.last_number = 0  # the number of the last event taken whole
         self.entries: dict[str, i.MachineEntry] = {}  # those not gone
 
-    def read(self, data: bytes | str) -> Told | None:
+    def apply_json(self, data: bytes | str) -> ListUpdate | None:
         """Take a document; None where it tells nothing new, Malformed where it cannot be read."""
         try:
-            return self.take(parse(data))
+            return self.apply(parse(data))
         except (ValueError, RecursionError):
             raise Malformed("not JSON") from None
 
-    def take(self, document: Any) -> Told | None:
+    def apply(self, document: Any) -> ListUpdate | None:
         """Likewise, of a document that has been parsed."""
         items = document.get("items") if isinstance(document, dict) else None
         if not isinstance(items, list) or not _whole(document.get("no")):
@@ -89,16 +89,16 @@
             if not _whole(number):
                 stopped = "an event without a number"
                 break
-            if number <= self.last:
+            if number <= self.last_number:
                 continue
             listed = roster.get("targets") if isinstance(roster, dict) else []
             if not isinstance(listed, list):
                 stopped = f"event {number} has no list of hosts"
                 break
             everything = isinstance(roster, dict) and roster.get("all") is True
-            if number > self.last + 1 and not everything:
-                stopped = f"event {number} after {self.last}: asking for all of them"
-                self.last = 0  # what lies between was never told: the whole list comes first of all events
+            if number > self.last_number + 1 and not everything:
+                stopped = f"event {number} after {self.last_number}: asking for all of them"
+                self.last_number = 0  # what lies between was never told: the whole list comes first of all events
                 break
             if everything:
                 full, changed, addresses = True, {}, {}
@@ -116,7 +116,7 @@
                     self.entries.pop(entry.machine, None)
                 else:
                     self.entries[entry.machine] = entry
-            self.last = number
+            self.last_number = number
             taken = True
         if stopped and not taken:
             raise Malformed(stopped)
@@ -125,14 +125,14 @@
         if not changed and not full and not faults:
             return None
         kind = i.ListKind.FULL if full else i.ListKind.DELTA
-        return Told(i.MachineList(kind, tuple(changed.values())), addresses, tuple(faults))
+        return ListUpdate(i.MachineList(kind, tuple(changed.values())), addresses, tuple(faults))
 
     def _start(self, items: list[Any]) -> int:
         """Where the last whole list that is new stands in the list of events; 0 where there is none."""
         whole = (
             n
             for n in range(len(items) - 1, -1, -1)
-            if _is_event(items[n]) and _is_whole_list(items[n]) and items[n]["no"] > self.last
+            if _is_event(items[n]) and _is_whole_list(items[n]) and items[n]["no"] > self.last_number
         )
         return next(whole, 0)
 
--- a/sprucepost/node/config.py
+++ b/sprucepost/node/config.py
@@ -13,7 +13,7 @@
 from sprucepost.loop import is_shortage
 from sprucepost.node.bulletin import Address, address_of, parse
 
-FILE_MOST = 16 * 1024 * 1024
+FILE_MAX_BYTES = 16 * 1024 * 1024
 
 
 class ConfigError(Exception):
@@ -56,18 +56,18 @@
     return Path(environment["BALANCER_CONFIG"])
 
 
-def read(environment: Mapping[str, str]) -> Config:
+def read_config(environment: Mapping[str, str]) -> Config:
     """The configuration as the file has it now; ConfigError where it cannot be used."""
     path = path_from(environment)
     try:
         with path.open("rb") as file:
-            data = file.read(FILE_MOST + 1)
+            data = file.read(FILE_MAX_BYTES + 1)
     except OSError as error:
         passing = is_shortage(error) or error.errno in (errno.EIO, errno.EINTR)
         kind = ConfigUnavailable if passing else ConfigError
         raise kind(f"{path}: {error.strerror}") from None
-    if len(data) > FILE_MOST:
-        raise ConfigError(f"{path}: longer than {FILE_MOST} bytes")
+    if len(data) > FILE_MAX_BYTES:
+        raise ConfigError(f"{path}: longer than {FILE_MAX_BYTES} bytes")
     try:
         raw = parse(data)
     except (ValueError, RecursionError) as error:
--- a/sprucepost/node/descriptors.py
+++ b/sprucepost/node/descriptors.py
@@ -29,7 +29,7 @@
 SHARE_PART = 3  # the part that connections to hosts, and clients' connections, may have whatever the others want
 
 
-def usable(configured: int) -> int:
+def descriptor_limit(configured: int) -> int:
     """How many descriptors there may be: as the configuration says, and no more than the system grants."""
     granted, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return configured if granted == resource.RLIM_INFINITY else min(configured, granted)
@@ -40,7 +40,7 @@
 
     def __init__(self, limit: int, connections: Callable[[], int]) -> None:
         self._connections = connections
-        self.share = limit // SHARE_PART
+        self.guaranteed_share = limit // SHARE_PART
         self._shared = limit - min(OWN, limit // OWN_PART)
         self._most = self._shared - limit // CLOSING_PART
         self._closing: dict[Transport, None] = {}  # in the order in which they began to close
@@ -50,11 +50,11 @@
         """How many connections hold a descriptor while they end."""
         return len(self._closing)
 
-    def spare(self) -> int:
+    def available(self) -> int:
         """How many connections there may be more; below zero where there are too many."""
         return self._most - self._connections()
 
-    def end(self, transport: Transport) -> None:
+    def close(self, transport: Transport) -> None:
         """A connection that counts no longer is closed; while its close lingers, its descriptor is accounted for here."""
         transport.close()
         if not transport.gone:
--- a/sprucepost/node/dispatch.py
+++ b/sprucepost/node/dispatch.py
@@ -28,7 +28,7 @@
 
 # A quarter of the 100 ms of the acceptance's term. The margin: a process on a third of a core may be stopped for two thirds
 # of the system's period of 100 ms right before the bytes leave; 25 + 67 ms still keep the term, with 8 ms for the way.
-LOOK_AGE_MS = 25.0
+POLL_AGE_MAX_MS = 25.0
 
 T = TypeVar("T")
 
@@ -51,7 +51,7 @@
     @property
     def may_write(self) -> bool:
         """Whether an attempt may be written, and flushed, now."""
-        return self._serving and self._loop.since_look_ms <= LOOK_AGE_MS
+        return self._serving and self._loop.since_look_ms <= POLL_AGE_MAX_MS
 
     def add(self, destination: T) -> None:
         """Serve it at the turn's end, after a look."""
@@ -77,7 +77,7 @@
         self._due |= self._postponed
         self._postponed = {}
         while self._due:
-            if not self._loop.look_until(LOOK_AGE_MS):
+            if not self._loop.look_until(POLL_AGE_MAX_MS):
                 self._counters["dispatch_held"] += 1
                 break
             due, self._due = self._due, {}
--- a/sprucepost/node/feed.py
+++ b/sprucepost/node/feed.py
@@ -14,13 +14,15 @@
 
 from sprucepost.loop import Closed, Co, Loop, Queue, Scope, Task, TimedOut, Transport, connect, current, sleep, within
 from sprucepost.node.bounds import Malformed
-from sprucepost.node.bulletin import Address, Bulletin, Told
+from sprucepost.node.bulletin import Address, Bulletin, ListUpdate
 
-PATIENCE_MS = 1000.0  # the wait that is asked for: a bulletin that fell silent is noticed not much later
-GRACE_MS = 400.0  # for the answer after that
-PAUSE_MS = 50.0  # before a question that follows one that failed, doubled for each before
-PAUSE_MOST_MS = 800.0  # twice within the 2 s after which what a broken answer would have told counts as told
-BODY_PART = 16  # of the process's memory, that many'th part for one answer: all events since the start may come in one
+LONG_POLL_MS = 1000.0  # the wait that is asked for: a bulletin that fell silent is noticed not much later
+ANSWER_GRACE_MS = 400.0  # for the answer after that
+RETRY_MS = 50.0  # before a question that follows one that failed, doubled for each before
+RETRY_MAX_MS = 800.0  # twice within the 2 s after which what a broken answer would have told counts as told
+BODY_MEMORY_DIVISOR = (
+    16  # of the process's memory, that many'th part for one answer: all events since the start may come in one
+)
 
 
 class Feed:
@@ -34,7 +36,7 @@
         address: Address,
         connect_ms: float,
         body_most: int,
-        told: Callable[[Told], None],
+        told: Callable[[ListUpdate], None],
         log: Callable[..., None],
         counters: Counter[str],
     ) -> None:
@@ -44,14 +46,16 @@
         self._rng = loop.rng()
         self._task: Task[None] | None = None
         self._failures = 0
-        self.heard_at = 0.0  # when the latest answer was read whole, in ms of the loop's clock; 0 before the first
+        self.last_answer_at = (
+            0.0  # when the latest answer was read whole, in ms of the loop's clock; 0 before the first
+        )
 
     def start(self) -> None:
         """Ask from now on."""
         if self._task is None:
             self._task = self._scope.spawn(self._run(), "bulletin")
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """The bulletin is at another address from now on."""
         if address == self.address:
             return
@@ -70,8 +74,8 @@
             except (OSError, TimedOut, Malformed, Closed, h11.RemoteProtocolError) as error:
                 self._failures += 1
                 self.counters["bulletin_failed"] += 1
-                self._log("bulletin_failed", why=str(error) or type(error).__name__, held=self.bulletin.last)
-            pause = min(PAUSE_MS * 2.0 ** (self._failures - 1), PAUSE_MOST_MS) * self._rng.uniform(0.5, 1.0)
+                self._log("bulletin_failed", why=str(error) or type(error).__name__, held=self.bulletin.last_number)
+            pause = min(RETRY_MS * 2.0 ** (self._failures - 1), RETRY_MAX_MS) * self._rng.uniform(0.5, 1.0)
             yield from sleep(pause if self._failures > 1 else 0.0)
 
     def _ask(self, task: Task[Any]) -> Co[None]:
@@ -92,14 +96,16 @@
         transport.start()
         try:
             while True:
-                body = yield from within(task, PATIENCE_MS + GRACE_MS, self._question(transport, machine, chunks))
-                told = self.bulletin.read(body)
+                body = yield from within(
+                    task, LONG_POLL_MS + ANSWER_GRACE_MS, self._question(transport, machine, chunks)
+                )
+                told = self.bulletin.apply_json(body)
                 self._failures = 0
                 if told is not None:
                     self._told(told)
-                self.heard_at = self._loop.now()
+                self.last_answer_at = self._loop.now()
                 if told is None:
-                    yield from sleep(PAUSE_MS)  # one that answers at once with nothing new must not keep us busy
+                    yield from sleep(RETRY_MS)  # one that answers at once with nothing new must not keep us busy
                 if machine.our_state is not h11.DONE or machine.their_state is not h11.DONE:
                     return
                 machine.start_next_cycle()
@@ -107,7 +113,7 @@
             transport.abort()
 
     def _question(self, transport: Transport, machine: h11.Connection, chunks: Queue[bytes]) -> Co[bytes]:
-        target = f"/bulletins?after={self.bulletin.last}&patience={PATIENCE_MS:.0f}"
+        target = f"/bulletins?after={self.bulletin.last_number}&patience={LONG_POLL_MS:.0f}"
         host = f"{self.address[0]}:{self.address[1]}"
         request = h11.Request(method="GET", target=target, headers=[("host", host), ("accept", "application/json")])
         transport.write((machine.send(request) or b"") + (machine.send(h11.EndOfMessage()) or b""))
--- a/sprucepost/node/health.py
+++ b/sprucepost/node/health.py
@@ -29,7 +29,7 @@
 from sprucepost.loop import Loop
 from sprucepost.node.bounds import MOST
 from sprucepost.node.host import Host, HostLink
-from sprucepost.node.jsonl import Word, encode
+from sprucepost.node.jsonl import MessageType, encode
 from sprucepost.node.log import Log
 from sprucepost.node.tasks import LATE_MS, Tasks
 
@@ -86,7 +86,7 @@
         self._log.host(host.uid, "check", link=link.number, silent=round(silent) if silent is not None else None)
         link.check_sent = self._loop.now()
         self._counters["tests"] += 1
-        link.transport.write(encode(Word.PROBE, NO_TASK, code=0))
+        link.transport.write(encode(MessageType.PROBE, NO_TASK, code=0))
 
     def check_all(self, host: Host) -> None:
         """Where a task of ours stands there, check each connection on which no check is out."""
--- a/sprucepost/node/host.py
+++ b/sprucepost/node/host.py
@@ -9,7 +9,7 @@
 from sprucepost.node.bulletin import Address
 from sprucepost.node.jsonl import Decoder
 
-ENDED_MOST = 64  # ended set-ups that a connection remembers: copies of answers come within milliseconds
+ENDED_REMEMBERED_MAX = 64  # ended set-ups that a connection remembers: copies of answers come within milliseconds
 
 
 class HostLink:
@@ -26,9 +26,11 @@
         self.number = number  # of this host's connections, the first is 1
         self.decoder = Decoder()
         self.open: dict[str, Attempt] = {}
-        self.ended: deque[str] = deque(maxlen=ENDED_MOST)  # set-ups that ended here without an answer
+        self.ended_unanswered: deque[str] = deque(
+            maxlen=ENDED_REMEMBERED_MAX
+        )  # set-ups that ended here without an answer
         self.withdrawn: set[str] = set()  # set-ups that were taken back here: what comes of them is of no later attempt
-        self.used = now
+        self.last_used = now
         self.check_sent: float | None = None  # since when a health check has had no answer
         self.retired = False
 
@@ -44,14 +46,14 @@
     def __init__(self, uid: str, address: Address, started: float) -> None:
         self.uid, self.address, self.started = uid, address, started
         self.links: list[HostLink] = []
-        self.opened = 0  # connections to it that came up
+        self.connections_opened = 0  # connections to it that came up
         self.waiting: list[Attempt] = []  # offers for which a connection is being opened
         self.dialing = 0
-        self.failures = 0
-        self.not_dialled = False  # whether the last dial never left, for want of something of ours
-        self.unheard = False  # whether a connection broke, with a task of ours here, and none was opened since
-        self.dial_at = 0.0
+        self.failed_dials = 0
+        self.dial_never_left = False  # whether the last dial never left, for want of something of ours
+        self.needs_reconnect = False  # whether a connection broke, with a task of ours here, and none was opened since
+        self.redial_at = 0.0
         self.last_heard = 0.0  # when it last said something; 0 while no task of ours stands there
         self.silence_timer: Timer | None = None  # when its silence will have lasted too long
-        self.letting: dict[str, float] = {}  # tasks that it is to end, and until when that is worth saying
+        self.pending_releases: dict[str, float] = {}  # tasks that it is to end, and until when that is worth saying
         self.gone = False
--- a/sprucepost/node/hosts.py
+++ b/sprucepost/node/hosts.py
@@ -18,12 +18,12 @@
 from sprucepost.node import health
 from sprucepost.node.attempt import Attempt
 from sprucepost.node.bounds import LINGER_MS
-from sprucepost.node.bulletin import Address, Told
+from sprucepost.node.bulletin import Address, ListUpdate
 from sprucepost.node.descriptors import Descriptors
 from sprucepost.node.dispatch import Dispatcher
 from sprucepost.node.health import HealthChecks
 from sprucepost.node.host import Host, HostLink
-from sprucepost.node.jsonl import Line, Word, encode
+from sprucepost.node.jsonl import Line, MessageType, encode
 from sprucepost.node.log import Log
 from sprucepost.node.start_times import StartTimes
 from sprucepost.node.tasks import GIVEN_UP, Tasks
@@ -57,7 +57,7 @@
 
     # The list
 
-    def see(self, told: Told) -> None:
+    def apply_list(self, told: ListUpdate) -> None:
         """Take what the bulletin has changed, before the module acts on it."""
         if told.list.kind is not i.ListKind.DELTA:
             named = {entry.machine for entry in told.list.entries}
@@ -80,7 +80,7 @@
             host.gone = False
             if entry.started > host.started:
                 host.started = entry.started
-                self._lost(host, "restarted", before=self._start_times.on_loop(entry.started))
+                self._lost(host, "restarted", before=self._start_times.to_loop_time(entry.started))
             if not ready:
                 self._unwritten(host)
 
@@ -144,16 +144,18 @@
         held = 0
         while held < len(host.waiting):
             now, attempt = self.loop.now(), host.waiting[0]
-            usable = [link for link in host.links if link.usable and now - link.used < self._idle / 2]
+            usable = [link for link in host.links if link.usable and now - link.last_used < self._idle / 2]
             free = [link for link in usable if not link.open]
-            full = len(host.links) + host.dialing >= max(2, self._descriptors.share // max(1, len(self.hosts)))
+            full = len(host.links) + host.dialing >= max(
+                2, self._descriptors.guaranteed_share // max(1, len(self.hosts))
+            )
             if free:
-                link = max(free, key=lambda link: (attempt.sid not in link.ended, link.used))
+                link = max(free, key=lambda link: (attempt.sid not in link.ended_unanswered, link.last_used))
             elif usable and full and host.dialing < len(host.waiting):
                 link = min(usable, key=lambda link: len(link.open))
             else:
                 wanted = host.dialing < len(host.waiting) and not full
-                if wanted and (self._descriptors.spare() > 0 or self.make_room()):
+                if wanted and (self._descriptors.available() > 0 or self.close_idle_connection()):
                     self._dial(host)
                 return
             if not self._dispatcher.may_write:
@@ -176,7 +178,7 @@
             return
         attempt.link = link
         link.open[attempt.sid] = attempt
-        link.used = self.loop.now()
+        link.last_used = self.loop.now()
         link.transport.write(data)
         attempt.mark = link.transport.written
         self._tasks.trace(attempt.sid, "sent", host=host.uid, link=link.number)
@@ -190,7 +192,7 @@
     def kept_from_dialling(self, attempt: Attempt) -> bool:
         """Whether it has no connection since the last dial never left this machine."""
         host = self.hosts.get(attempt.machine)
-        return attempt.link is None and host is not None and host.not_dialled
+        return attempt.link is None and host is not None and host.dial_never_left
 
     def give_up(self, attempt: Attempt) -> None:
         """Take it back: where it was written the host is told, and the connection is used for nothing else. Where the host
@@ -206,7 +208,7 @@
         if not self.went_out(attempt) and not link.open:
             self._end(host, link, "unsent")
             return
-        link.transport.write(encode(Word.CLOSE, attempt.sid, code=GIVEN_UP))
+        link.transport.write(encode(MessageType.CLOSE, attempt.sid, code=GIVEN_UP))
         link.retired = True
         self._retire(host, link)
 
@@ -221,17 +223,17 @@
             return
         link = next((link for link in host.links if not link.transport.closed and not link.retired), None)
         if link is not None:
-            link.transport.write(encode(Word.CLOSE, sid, code=GIVEN_UP))
+            link.transport.write(encode(MessageType.CLOSE, sid, code=GIVEN_UP))
             self._tasks.trace(sid, "let_go", host=machine)
         else:
             self._tasks.trace(sid, "let_go", host=machine, why="when it can be reached")
-            host.letting[sid] = self.loop.now() + health.SILENT_AFTER_MS
+            host.pending_releases[sid] = self.loop.now() + health.SILENT_AFTER_MS
 
     def adopt(self, machine: str, sid: str) -> bool:
         """An owner has handed the task back: it is not to be let go any more."""
         host = self.hosts.get(machine)
         if host is not None:
-            host.letting.pop(sid, None)
+            host.pending_releases.pop(sid, None)
         return host is not None
 
     def recall(self, services: set[str]) -> None:
@@ -250,11 +252,11 @@
         """Those that there are, and those that are being opened."""
         return sum(len(host.links) + host.dialing for host in self.hosts.values())
 
-    def make_room(self) -> bool:
+    def close_idle_connection(self) -> bool:
         """Close the connection that has been idle for longest, those last that are kept for words of standing tasks: a host
         sends these on the next connection as well. False where none is idle."""
         idle = [
-            (host.uid in self._tasks.standing, link.used, host, link)
+            (host.uid in self._tasks.standing, link.last_used, host, link)
             for host in self.hosts.values()
             for link in host.links
             if not link.open and not host.waiting
@@ -283,33 +285,33 @@
                 self._not_connected(host, error, began)
             return
         host.dialing -= 1
-        host.failures = 0
-        host.not_dialled = host.unheard = False
+        host.failed_dials = 0
+        host.dial_never_left = host.needs_reconnect = False
         if self.hosts.get(host.uid) is not host:
             transport.abort()
             return
         transport.linger_ms = LINGER_MS
-        host.opened += 1
-        link = HostLink(transport, self.loop.now(), host.opened)
+        host.connections_opened += 1
+        link = HostLink(transport, self.loop.now(), host.connections_opened)
         host.links.append(link)
         self._log.host(host.uid, "connected", link=link.number)
         transport.on_data = lambda data: self._data(host, link, data)
         transport.on_end = lambda: self._end(host, link, "ended")
         transport.on_lost = lambda error: self._end(host, link, "reset")
         transport.start()
-        for sid in host.letting:
-            transport.write(encode(Word.CLOSE, sid, code=GIVEN_UP))
-        host.letting.clear()
+        for sid in host.pending_releases:
+            transport.write(encode(MessageType.CLOSE, sid, code=GIVEN_UP))
+        host.pending_releases.clear()
         self._serve(host)
         if self._health.suspected(host):
             self._health.check(host, link)
 
     def _not_connected(self, host: Host, error: Exception, began: float) -> None:
-        host.failures += 1
-        host.not_dialled = False
+        host.failed_dials += 1
+        host.dial_never_left = False
         suspected = self._health.suspected(host)
-        pause = REDIAL_MS if suspected else min(REDIAL_MS * 2.0 ** (host.failures - 1), REDIAL_MOST_MS)
-        host.dial_at = self.loop.now() + pause
+        pause = REDIAL_MS if suspected else min(REDIAL_MS * 2.0 ** (host.failed_dials - 1), REDIAL_MOST_MS)
+        host.redial_at = self.loop.now() + pause
         refused = isinstance(error, ConnectionRefusedError)
         self.counters["connect_refused" if refused else "connect_failed"] += 1
         self._log("host_not_connected", host=host.uid, why=str(error) or type(error).__name__)
@@ -326,9 +328,9 @@
     def _not_dialled(self, host: Host) -> None:
         """The system had no descriptor for the dial, which says nothing of the host: what waits is dialled for again."""
         self.counters["dials_short"] += 1
-        host.not_dialled = True
-        self.make_room()
-        host.dial_at = self.loop.now() + REDIAL_MS
+        host.dial_never_left = True
+        self.close_idle_connection()
+        host.redial_at = self.loop.now() + REDIAL_MS
 
         def again() -> None:
             if self.hosts.get(host.uid) is host:
@@ -341,10 +343,12 @@
         """Dial a host on which something of ours stands, or is to end, where no connection may still bring word, or one has
         broken on which a release may have lain: the host says it again on the next connection alone."""
         now = self.loop.now()
-        wanted = self._listed(host) and (host.uid in self._tasks.standing or bool(host.letting))
+        wanted = self._listed(host) and (host.uid in self._tasks.standing or bool(host.pending_releases))
         hopeful = bool(self._health.answering(host))
-        due = wanted and (host.unheard or not hopeful) and not host.dialing and now >= host.dial_at
-        if due and (self._descriptors.spare() > 0 or (self._health.suspected(host) and self.make_room())):
+        due = wanted and (host.needs_reconnect or not hopeful) and not host.dialing and now >= host.redial_at
+        if due and (
+            self._descriptors.available() > 0 or (self._health.suspected(host) and self.close_idle_connection())
+        ):
             self._dial(host)
 
     def _end(self, host: Host, link: HostLink, why: str) -> None:
@@ -356,10 +360,10 @@
         self._log.host(host.uid, "disconnected", link=link.number, why=why, open=len(link.open) or None)
         if why in ("retired", "idle", "room"):
             link.transport.on_late = lambda data: self._late(host, link, data)
-            self._descriptors.end(link.transport)
+            self._descriptors.close(link.transport)
         else:
             link.transport.abort()
-        host.unheard |= why in ("reset", "malformed", "untested") and host.uid in self._tasks.standing
+        host.needs_reconnect |= why in ("reset", "malformed", "untested") and host.uid in self._tasks.standing
         attempts, link.open = list(link.open.values()), {}
         for attempt in attempts:
             self._tasks.end(attempt, i.Ending.RESET if self.went_out(attempt) else i.Ending.MOOT)
@@ -373,7 +377,7 @@
 
     def _data(self, host: Host, link: HostLink, data: bytes) -> None:
         for line in link.decoder.feed(data):
-            link.used = self.loop.now()
+            link.last_used = self.loop.now()
             self._health.heard(host, link)
             self._line(link, host, line)
         if link.decoder.error is not None:
@@ -386,21 +390,23 @@
         connection, which may be long in coming."""
         if self.hosts.get(host.uid) is host:
             for line in link.decoder.feed(data):
-                if line.word in (Word.CLOSE, Word.EVENT):
+                if line.type in (MessageType.CLOSE, MessageType.EVENT):
                     self._heard(host, link, line)
 
     def _line(self, link: HostLink, host: Host, line: Line) -> None:
         attempt = link.open.get(line.sid)
-        if attempt is not None and (line.word is Word.CLOSE or (line.word is Word.READY and line.text is not None)):
+        if attempt is not None and (
+            line.type is MessageType.CLOSE or (line.type is MessageType.READY and line.text is not None)
+        ):
             del link.open[line.sid]
-            if line.word is Word.CLOSE:
-                link.ended.append(line.sid)
+            if line.type is MessageType.CLOSE:
+                link.ended_unanswered.append(line.sid)
             self._tasks.answered(attempt, line)
             self._retire(host, link)
             self._serve(host)
-        elif attempt is not None and line.word is Word.EVENT:
+        elif attempt is not None and line.type is MessageType.EVENT:
             attempt.noted = True
-        elif attempt is None and line.word in (Word.READY, Word.CLOSE, Word.EVENT):
+        elif attempt is None and line.type in (MessageType.READY, MessageType.CLOSE, MessageType.EVENT):
             self._heard(host, link, line)
 
     def _heard(self, host: Host, link: HostLink, line: Line) -> None:
@@ -419,15 +425,15 @@
         for host in list(self.hosts.values()):
             standing = host.uid in self._tasks.standing
             for link in list(host.links):
-                idle = not link.open and now - link.used > self._idle / 2 and (len(host.links) > 1 or not standing)
+                idle = not link.open and now - link.last_used > self._idle / 2 and (len(host.links) > 1 or not standing)
                 if idle and not link.transport.look():
                     self._end(host, link, "idle")
-            host.letting = {sid: until for sid, until in host.letting.items() if until > now}
+            host.pending_releases = {sid: until for sid, until in host.pending_releases.items() if until > now}
             self._health.review(host)
             if not standing:
-                host.unheard = False
+                host.needs_reconnect = False
                 self._tidy(host)
-                if not host.letting:
+                if not host.pending_releases:
                     continue
             self._find(host)
 
@@ -446,7 +452,7 @@
         sids = list(self._tasks.standing[host.uid])
         self._log.host(host.uid, "silent", heard=round(now - host.last_heard), late=round(self.loop.late_ms, 1))
         self._lost(host, "silent")
-        host.letting.update((sid, now + self._idle) for sid in sids)
+        host.pending_releases.update((sid, now + self._idle) for sid in sids)
         for link in [link for link in host.links if not link.open]:
             self._end(host, link, "silent")
 
--- a/sprucepost/node/jsonl.py
+++ b/sprucepost/node/jsonl.py
@@ -13,7 +13,7 @@
 _ID = re.compile("[0-9a-fA-F]{16}")
 
 
-class Word(StrEnum):
+class MessageType(StrEnum):
     """The types of messages."""
 
     OPEN = "open"
@@ -31,7 +31,7 @@
 class Line:
     """One message; ``sid`` is its task's id in small letters."""
 
-    word: Word
+    type: MessageType
     sid: str
     attrs: dict[str, str] = field(default_factory=dict)
     code: int | None = None
@@ -73,7 +73,7 @@
     return Line(_WORDS[word], sid.lower(), {key: str(value) for key, value in attrs.items()}, code, text)
 
 
-_WORDS: dict[str, Word] = {word.value: word for word in Word}
+_WORDS: dict[str, MessageType] = {word.value: word for word in MessageType}
 
 
 def _plain(value: Any) -> bool:
@@ -96,7 +96,7 @@
 
 
 def encode(
-    word: Word, sid: str, attrs: dict[str, str] | None = None, code: int | None = None, text: str | None = None
+    word: MessageType, sid: str, attrs: dict[str, str] | None = None, code: int | None = None, text: str | None = None
 ) -> bytes:
     """One line; ``text`` is given as :func:`quoted` returned it. ValueError where it is longer than a line may be."""
     parts = f'{{"msg":"{word.value}","sid":"{sid}","attrs":{json.dumps(attrs or {}, separators=(",", ":"))}'
--- a/sprucepost/node/log.py
+++ b/sprucepost/node/log.py
@@ -14,11 +14,11 @@
 
 from sprucepost.loop import Loop
 
-PER_SECOND = 20  # lines of one kind: the log is written by the thread that places
-STEPS_PER_SECOND = 2000  # of tasks, and as many of hosts: at about 10 us each 2 % of a core
-STEPS_WAIT_MS = 100.0  # what a kill may take away
-KEPT_MOST = 256 * 1024  # bytes of lines that wait for a reader
-_MOST = {"task": STEPS_PER_SECOND, "host": STEPS_PER_SECOND}
+LINES_PER_SECOND = 20  # lines of one kind: the log is written by the thread that places
+STATE_LINES_PER_SECOND = 2000  # of tasks, and as many of hosts: at about 10 us each 2 % of a core
+STATE_LINES_DELAY_MS = 100.0  # what a kill may take away
+UNSENT_MAX_BYTES = 256 * 1024  # bytes of lines that wait for a reader
+_MOST = {"task": STATE_LINES_PER_SECOND, "host": STATE_LINES_PER_SECOND}
 
 
 class Output:
@@ -41,7 +41,7 @@
     def flush(self) -> None:
         """Send what was written since the last time, as much as the system takes."""
         lines, self._lines = self._lines, []
-        if len(self._rest) < KEPT_MOST:
+        if len(self._rest) < UNSENT_MAX_BYTES:
             self._rest += "".join(f"{line}\n" for line in lines).encode()
         else:
             self.dropped += len(lines)
@@ -96,11 +96,13 @@
             self._second = int(now // 1000)
             self._report_held(now, held)
         self._counts[event] = self._counts.get(event, 0) + 1
-        if self._counts[event] <= _MOST.get(event, PER_SECOND):
+        if self._counts[event] <= _MOST.get(event, LINES_PER_SECOND):
             self._line(now, event, fields)
 
     def _report_held(self, now: float, counts: dict[str, int]) -> None:
-        held = {kind: count - most for kind, count in counts.items() if count > (most := _MOST.get(kind, PER_SECOND))}
+        held = {
+            kind: count - most for kind, count in counts.items() if count > (most := _MOST.get(kind, LINES_PER_SECOND))
+        }
         if held:
             self._line(now, "log_held_back", held)
 
@@ -112,7 +114,7 @@
             self._loop.at_turn_end(self._send)
         elif not self._flush_due:
             self._flush_due = True
-            self._loop.call_later(STEPS_WAIT_MS, self._send)
+            self._loop.call_later(STATE_LINES_DELAY_MS, self._send)
 
     def _send(self) -> None:
         self._flush_due = False
--- a/sprucepost/node/owners.py
+++ b/sprucepost/node/owners.py
@@ -183,7 +183,7 @@
         if len(self.links) >= self._most:
             return self._make_room()
         return (
-            self._descriptors.spare() > 0
+            self._descriptors.available() > 0
             or self._make_room(lambda link: not (link.proven or self._arriving(link)))
             or self.others_yield()
             or self._make_room()
@@ -197,8 +197,8 @@
         """Where the next newcomer could only have the place of one that has just come, it waits in the backlog: who comes
         back the moment it is closed would else push out usual clients before their set-up has arrived. Clients that hold
         less than their share need not wait: connections to hosts make room for them."""
-        within_share = len(self.links) < self._descriptors.share
-        if len(self.links) < self._most and (within_share or self._descriptors.spare() > 0):
+        within_share = len(self.links) < self._descriptors.guaranteed_share
+        if len(self.links) < self._most and (within_share or self._descriptors.available() > 0):
             return
         idle = [link for link in self.links if not (link.open or link.standing)]
         if not idle:
@@ -235,11 +235,11 @@
             return
         self.counters[f"owner_{why}"] += 1
         if why in ("ended", "idle", "stopped"):
-            self._descriptors.end(link.transport)
+            self._descriptors.close(link.transport)
         elif why in ("room", "silent"):
             if not link.transport.buffered:  # its descriptor is wanted, or it has said nothing: no lingering
                 link.transport.linger_ms = 0.0
-            self._descriptors.end(link.transport)
+            self._descriptors.close(link.transport)
         else:
             link.transport.abort()
         self._forget(link)
--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -34,10 +34,10 @@
 from sprucepost.loop.epoll import EpollLoop, insist
 from sprucepost.node import words
 from sprucepost.node.bounds import Malformed
-from sprucepost.node.bulletin import Bulletin, Told
-from sprucepost.node.config import Config, ConfigError, ConfigUnavailable, read
-from sprucepost.node.descriptors import Descriptors, usable
-from sprucepost.node.feed import BODY_PART, Feed
+from sprucepost.node.bulletin import Bulletin, ListUpdate
+from sprucepost.node.config import Config, ConfigError, ConfigUnavailable, read_config
+from sprucepost.node.descriptors import Descriptors, descriptor_limit
+from sprucepost.node.feed import BODY_MEMORY_DIVISOR, Feed
 from sprucepost.node.hosts import Hosts
 from sprucepost.node.log import Log, Output
 from sprucepost.node.owners import Owners
@@ -69,7 +69,7 @@
             lambda text: words.load(text, config.report_names, config.report_fields),
             self.counters,
         )
-        sockets = usable(config.limits.sockets)
+        sockets = descriptor_limit(config.limits.sockets)
         self.descriptors = Descriptors(sockets, lambda: len(self.owners.links) + self.hosts.connections)
         self.start_times = StartTimes(loop, self.desk.now)
         self.hosts = Hosts(
@@ -84,7 +84,7 @@
             self.counters,
         )
         bulletin = Bulletin(settings.zones, settings.kinds)
-        body_most = int(config.limits.memory_mb * 1024 * 1024) // BODY_PART
+        body_most = int(config.limits.memory_mb * 1024 * 1024) // BODY_MEMORY_DIVISOR
         self.feed = Feed(
             loop, scope, bulletin, config.bulletin, config.connect_ms, body_most, self._told, log, self.counters
         )
@@ -101,7 +101,7 @@
             self.counters,
         )
         self.tasks.owners, self.tasks.hosts, self.tasks.trace = self.owners, self.hosts, log.task
-        self.owners.others_yield = self.hosts.make_room
+        self.owners.others_yield = self.hosts.close_idle_connection
         self.ended = False  # all is answered, or time is up
         self._began = loop.now()
         self._over: Queue[None] = Queue(1)
@@ -111,7 +111,7 @@
         """Take what the configuration knows; the first batch follows at this turn's end."""
         if self.config.known is not None:
             try:
-                told = self.feed.bulletin.take(self.config.known)
+                told = self.feed.bulletin.apply(self.config.known)
             except Malformed as error:
                 self.log("known_unreadable", why=str(error))
             else:
@@ -121,16 +121,16 @@
         self.feed.start()  # whether the settings say that the list is pushed or asked for: the bulletin wants to be asked
         self.log("ready", listen=self.config.listen, hosts=len(self.hosts.hosts), pid=os.getpid())
 
-    def _told(self, told: Told) -> None:
+    def _told(self, told: ListUpdate) -> None:
         for fault in told.faults:
             self.log("bulletin_unreadable", why=fault)
-        moved = self.start_times.hear(told.list, self.feed.heard_at or self._began)
-        self.hosts.see(told)
-        self.desk.push(self.start_times.dated(told.list))
+        moved = self.start_times.learn(told.list, self.feed.last_answer_at or self._began)
+        self.hosts.apply_list(told)
+        self.desk.push(self.start_times.with_aligned_starts(told.list))
         if moved:
             self.counters["starts_moved"] += 1
             known = tuple(entry for entry in self.feed.bulletin.entries.values() if entry.started)
-            self.desk.push(self.start_times.dated(i.MachineList(i.ListKind.DELTA, known)))
+            self.desk.push(self.start_times.with_aligned_starts(i.MachineList(i.ListKind.DELTA, known)))
         self.counters["lists"] += 1
 
     def run(self) -> Co[int]:
@@ -182,7 +182,7 @@
     def reload(self) -> None:
         """SIGHUP."""
         try:
-            config = read(self._environment)
+            config = read_config(self._environment)
         except ConfigUnavailable as error:
             self.log("reload_delayed", why=str(error))
             self.loop.call_later(TICK_MS, self.reload)
@@ -191,7 +191,7 @@
             self.log("reload_refused", why=str(error))
             return
         self.log("reloaded", bulletin=config.bulletin)
-        self.feed.move(config.bulletin)
+        self.feed.change_address(config.bulletin)
 
     def leave(self) -> None:
         """SIGTERM."""
@@ -238,7 +238,7 @@
     # Ignored until here, where ``run`` of the deploy file says so, since the file had not been read; from now on it waits.
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
     try:
-        config = insist(lambda: read(os.environ), ConfigUnavailable)
+        config = insist(lambda: read_config(os.environ), ConfigUnavailable)
         loop = insist(lambda: EpollLoop(config.seed))
     except ConfigError as error:
         print(f"sprucepost: {error}", file=sys.stderr)
--- a/sprucepost/node/start_times.py
+++ b/sprucepost/node/start_times.py
@@ -42,7 +42,7 @@
         self._youngest = math.inf  # age by our own clock of any start, when it was listed
         self._youngest_new = math.inf  # likewise of those not listed before, when the list was asked for the last time
 
-    def hear(self, told: i.MachineList, asked: float) -> bool:
+    def learn(self, told: i.MachineList, asked: float) -> bool:
         """Learn from a list; ``asked`` is when, by the loop's clock, everything listed until then had been read. True
         where earlier starts have moved by it: they are to be told once more."""
         now = self._loop.now()
@@ -73,11 +73,11 @@
         self._for_module.clear()
         return True
 
-    def on_loop(self, started: float) -> float:
+    def to_loop_time(self, started: float) -> float:
         """That start on the loop's clock, in ms."""
         return started - self._epoch + self._ahead
 
-    def dated(self, told: i.MachineList) -> i.MachineList:
+    def with_aligned_starts(self, told: i.MachineList) -> i.MachineList:
         """The list as the module is to have it: starts on its own clock, the same each time a host is listed again."""
         return replace(told, entries=tuple(self._dated(entry) for entry in told.entries))
 
@@ -90,7 +90,7 @@
         return replace(entry, started=started)
 
     def _aligned_of(self, started: float) -> float:
-        return self._aligned_at(self.on_loop(started))
+        return self._aligned_at(self.to_loop_time(started))
 
     def _aligned_at(self, at: float) -> float:
         return max(1.0, self._aligned() - (self._loop.now() - at))  # 0 means long ago, which is as long as any
--- a/sprucepost/node/tasks.py
+++ b/sprucepost/node/tasks.py
@@ -59,7 +59,7 @@
 from sprucepost.node import words
 from sprucepost.node.attempt import Attempt, HostsPort, OwnerPort, OwnersPort, SetUpResult, TaskState, Withdrawal
 from sprucepost.node.early import Early, EarlyWords
-from sprucepost.node.jsonl import Line, Word, encode
+from sprucepost.node.jsonl import Line, MessageType, encode
 from sprucepost.node.queue import FairQueue
 from sprucepost.node.words import SetUp
 from sprucepost.placing.desk import Desk
@@ -297,7 +297,7 @@
         if setup.key:
             attrs["idem"] = setup.key
         attrs["left"] = str(int(left))
-        return encode(Word.OPEN, setup.sid, attrs, text=setup.text)
+        return encode(MessageType.OPEN, setup.sid, attrs, text=setup.text)
 
     def _expire(self, attempt: Attempt) -> None:
         if attempt.entry.ask.attempt is not attempt:
@@ -333,7 +333,7 @@
 
     def answered(self, attempt: Attempt, line: Line) -> None:
         """What a host says on the connection of an open set-up: an answer, or how the attempt ended."""
-        if line.word is Word.READY and line.text is not None:
+        if line.type is MessageType.READY and line.text is not None:
             self._accept(attempt, line.text)
             return
         if line.code == ENDED and line.text is not None:
@@ -406,11 +406,11 @@
         entry = self.standing.get(machine, {}).get(line.sid)
         if entry is None:
             self._heard_before_it_stands(machine, line)
-        elif line.word is Word.EVENT:
+        elif line.type is MessageType.EVENT:
             kind, value = words.NOTES.get(line.attrs.get("note", "")), words.figure(line.attrs.get("value"))
             if kind is not None and value is not None:
                 self._desk.push(i.Note(entry.request, entry.attempt, kind, value))
-        elif line.word is Word.CLOSE:
+        elif line.type is MessageType.CLOSE:
             ending = {16: i.Ending.OK, 31: i.Ending.CANCELLED}.get(line.code or 0, i.Ending.RESET)
             cause = {i.Ending.OK: ENDED, i.Ending.RESET: BROKEN}.get(ending)
             why = f"host said {line.code}"
@@ -424,18 +424,18 @@
         if entry is not None and entry.outcome is Outcome.OPEN:
             attempt: Attempt | None = entry.ask.attempt
             if attempt is not None and attempt.machine == machine and self.hosts.went_out(attempt):
-                if line.word is Word.EVENT:
+                if line.type is MessageType.EVENT:
                     attempt.noted = True
                     self.trace(line.sid, "noted", host=machine)
                     return
-                if line.word is Word.CLOSE and self._is_of(attempt, line):
+                if line.type is MessageType.CLOSE and self._is_of(attempt, line):
                     self._released_unanswered(attempt, line, elsewhere=True)
                     return
-            elif line.word is Word.CLOSE and self._stood_when_withdrawn(entry, machine, line):
+            elif line.type is MessageType.CLOSE and self._stood_when_withdrawn(entry, machine, line):
                 self._fail_withdrawn(entry, machine)
                 return
         self._count_late(machine, line)
-        if line.word is Word.CLOSE and entry is None:
+        if line.type is MessageType.CLOSE and entry is None:
             self.early.note(line.sid, Early.ENDED, self.loop.now(), (machine, line))
 
     def heard_of_withdrawn(self, machine: str, line: Line) -> None:
@@ -445,7 +445,7 @@
         if (
             entry is not None
             and is_open
-            and line.word is Word.CLOSE
+            and line.type is MessageType.CLOSE
             and self._stood_when_withdrawn(entry, machine, line)
         ):
             self._fail_withdrawn(entry, machine)
@@ -454,7 +454,7 @@
 
     def _count_late(self, machine: str, line: Line) -> None:
         self.counters["late_words"] += 1
-        self.trace(line.sid, "late_word", host=machine, word=line.word.value, code=line.code)
+        self.trace(line.sid, "late_word", host=machine, word=line.type.value, code=line.code)
 
     def _is_of(self, attempt: Attempt, line: Line) -> bool:
         """Whether a release on another connection is of that attempt: refusals come on its own, and what we took back there
--- a/sprucepost/scale/hollow/platform.py
+++ b/sprucepost/scale/hollow/platform.py
@@ -16,7 +16,7 @@
 from sprucepost.loop import Acceptor, Address, Co, Loop, Scope, Sock, TimedOut, Transport, connect, current, sleep
 from sprucepost.node import binary, jsonl
 from sprucepost.node.binary import Code, Kind, Message
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from sprucepost.placer.daemon import address_of, address_text
 from sprucepost.scale import deployment
 from sprucepost.scale.hollow.settings import HostSpec, PlatformFile
@@ -53,15 +53,19 @@
         transport.start()
 
     def _line(self, transport: Transport, line: Line) -> None:
-        if line.word is Word.PROBE:
-            transport.write(jsonl.encode(Word.PROBED, line.sid, code=1))
-        elif line.word is Word.OPEN:
+        if line.type is MessageType.PROBE:
+            transport.write(jsonl.encode(MessageType.PROBED, line.sid, code=1))
+        elif line.type is MessageType.OPEN:
             self._open(transport, line.sid)
 
     def _open(self, transport: Transport, sid: str) -> None:
-        transport.write(jsonl.encode(Word.READY, sid, text=jsonl.quoted(sid + DESCRIPTION)))
-        self._platform.later(RUNS_AFTER_MS, transport, jsonl.encode(Word.EVENT, sid, {"note": "runs", "value": "1"}))
-        self.start_task(lambda: transport.write(jsonl.encode(Word.CLOSE, sid, {"load": "backlog:0"}, code=ENDED)))
+        transport.write(jsonl.encode(MessageType.READY, sid, text=jsonl.quoted(sid + DESCRIPTION)))
+        self._platform.later(
+            RUNS_AFTER_MS, transport, jsonl.encode(MessageType.EVENT, sid, {"note": "runs", "value": "1"})
+        )
+        self.start_task(
+            lambda: transport.write(jsonl.encode(MessageType.CLOSE, sid, {"load": "backlog:0"}, code=ENDED))
+        )
 
     def start_task(self, end: Any = lambda: None) -> None:
         """A task stands, until its drawn life is over."""
--- a/sprucepost/scale/state.py
+++ b/sprucepost/scale/state.py
@@ -190,7 +190,7 @@
 def _hold_items() -> Any:
     settings = _settings()
     watch = Bulletin(settings.zones, settings.kinds)
-    told = watch.read(_items())
+    told = watch.apply_json(_items())
     assert told is not None
     scheduler = Scheduler(settings, seed=1)
     scheduler.handle(0.0, [told.list])
--- a/tests/node/drawn_words.py
+++ b/tests/node/drawn_words.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from sprucepost.node.attempt import Attempt
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from sprucepost.node.tasks import TAKEN_BACK_MS
 from sprucepost.placing.ledger import Outcome
 from tests.node.test_tasks import Around
@@ -96,7 +96,7 @@
     def _cut(self, copy: Copy) -> None:
         """The host reads that; one that still has the copy answers with the same cause, or with that of a cancellation."""
         if not copy.cut and not copy.ended and self.rng.random() < 0.5:
-            line = Line(Word.CLOSE, copy.attempt.sid, {}, self.rng.choice((16, 31)))
+            line = Line(MessageType.CLOSE, copy.attempt.sid, {}, self.rng.choice((16, 31)))
             self.loop.call_later(self.rng.uniform(2.0, 30.0), lambda: self._answer_taking_back(copy, line))
         copy.cut = True
 
@@ -110,7 +110,7 @@
         """The host decides what becomes of it."""
         rng = self.rng
         if rng.random() < 0.25:
-            self._say(attempt, Word.CLOSE, self._delay(), own=True, code=rng.choice((34, 47, 102)))
+            self._say(attempt, MessageType.CLOSE, self._delay(), own=True, code=rng.choice((34, 47, 102)))
             return
         held = rng.random() < 0.5
         life = rng.uniform(1.0, 2000.0)
@@ -118,23 +118,25 @@
             life = max(1.0, attempt.until - self.loop.time + rng.uniform(-10.0, 5.0))
         answer_after = rng.uniform(50.0, 2500.0) if held else self._delay()
         own = not held or rng.random() < 0.4  # else that connection is of no use for other words
-        self._say(attempt, Word.READY, answer_after, own=True, text="made")
+        self._say(attempt, MessageType.READY, answer_after, own=True, text="made")
         for _ in range(rng.randrange(3)):
-            self._say(attempt, Word.EVENT, rng.uniform(0.0, life), own, attrs={"note": "cores", "value": "0.5"})
+            self._say(attempt, MessageType.EVENT, rng.uniform(0.0, life), own, attrs={"note": "cores", "value": "0.5"})
         reason = {"note": rng.choice(REASONS)} if rng.random() < 0.3 else {}
-        self._say(attempt, Word.CLOSE, life if held else max(life, answer_after), own, reason, rng.choice((16, 41)))
+        self._say(
+            attempt, MessageType.CLOSE, life if held else max(life, answer_after), own, reason, rng.choice((16, 41))
+        )
 
     def _say(
-        self, attempt: Attempt, word: Word, after: float, own: bool, attrs: dict[str, str] | None = None,
+        self, attempt: Attempt, word: MessageType, after: float, own: bool, attrs: dict[str, str] | None = None,
         code: int | None = None, text: str | None = None,
     ) -> None:  # fmt: skip
         line = Line(word, attempt.sid, attrs or {}, code, text)
 
         def say() -> None:
             copy = self._copy(attempt)
-            if copy.cut or (copy.ended and word is not Word.READY):
+            if copy.cut or (copy.ended and word is not MessageType.READY):
                 return
-            if word is Word.CLOSE:
+            if word is MessageType.CLOSE:
                 copy.ended = True
             self.loop.call_later(self._delay(), lambda: self._deliver(attempt, line, own))
 
@@ -144,9 +146,9 @@
         """As ``Hosts`` does: by the connection that brings it."""
         copy, tasks = self._copy(attempt), self.around.tasks
         carried = own and copy.withdrawn_at is None and not copy.answered
-        if line.word is Word.CLOSE and line.code not in (34, 47, 102):
+        if line.type is MessageType.CLOSE and line.code not in (34, 47, 102):
             self._owe(copy, line, own)
-        if carried and line.word is not Word.EVENT:
+        if carried and line.type is not MessageType.EVENT:
             copy.answered = True
             tasks.answered(attempt, line)
         elif carried:
@@ -155,7 +157,7 @@
             tasks.heard_of_withdrawn(attempt.machine, line)
         else:
             tasks.heard(attempt.machine, line)
-        if line.word is Word.EVENT and copy.noted_at is None:
+        if line.type is MessageType.EVENT and copy.noted_at is None:
             copy.noted_at = self.loop.time
 
     def _owe(self, copy: Copy, line: Line, own: bool) -> None:
--- a/tests/node/platform.py
+++ b/tests/node/platform.py
@@ -12,8 +12,8 @@
 from sprucepost.loop.epoll import EpollLoop
 from sprucepost.node import binary, jsonl
 from sprucepost.node.binary import Code, Kind, Message
-from sprucepost.node.config import read
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.config import read_config
+from sprucepost.node.jsonl import Line, MessageType
 from sprucepost.node.log import Log
 from sprucepost.node.service import Service
 from tests.wire.support import wait_for
@@ -82,7 +82,7 @@
         self.ended = True
         self.transport.close()
 
-    def say(self, word: Word, sid: str, attrs: dict[str, str] | None = None, **more: Any) -> None:
+    def say(self, word: MessageType, sid: str, attrs: dict[str, str] | None = None, **more: Any) -> None:
         """A host's line."""
         text = more.get("text")
         self.transport.write(
@@ -97,7 +97,7 @@
         self.day, self.uid = day, uid
         self.links: list[Link] = []
         self.on_open: Callable[[Link, Line], None] = lambda link, line: link.say(
-            Word.READY, line.sid, text=self.made(line.sid)
+            MessageType.READY, line.sid, text=self.made(line.sid)
         )
         self.tests = True  # whether it answers them
         self.acceptor = Acceptor(day.loop, day.loop.listen(("127.0.0.1", port)), self._take)
@@ -111,13 +111,13 @@
         self.links.append(Link(Transport(self.day.loop, sock), jsonl.Decoder(), self._line))
 
     def _line(self, link: Link, line: Line) -> None:
-        if line.word is Word.OPEN:
+        if line.type is MessageType.OPEN:
             self.on_open(link, line)
-        elif line.word is Word.PROBE and self.tests:
-            link.say(Word.PROBED, line.sid, code=1)
+        elif line.type is MessageType.PROBE and self.tests:
+            link.say(MessageType.PROBED, line.sid, code=1)
 
-    def lines(self, word: Word) -> list[Line]:
-        return [line for link in self.links for line in link.got if line.word is word]
+    def lines(self, word: MessageType) -> list[Line]:
+        return [line for link in self.links for line in link.got if line.type is word]
 
     def die(self) -> None:
         """The process ends: nothing listens there any more, and its connections are reset."""
@@ -221,7 +221,7 @@
         if not self.paper.items:
             self.paper.tell(*(host.entry() for host in self.hosts.values()), everything=True)
         environment = self.environment(**changes)
-        config = read(environment)
+        config = read_config(environment)
         self.service = Service(self.loop, self._scope, environment, config, Log(self.loop, "n0", self.lines.append))
         self._scope.spawn(self.service.run(), "placer")
 
--- a/tests/node/soak.py
+++ b/tests/node/soak.py
@@ -23,8 +23,8 @@
 from sprucepost.loop import Co, Task, TimedOut, connect, current, sleep
 from sprucepost.node import binary
 from sprucepost.node.binary import Code, Kind, Message
-from sprucepost.node.config import read
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.config import read_config
+from sprucepost.node.jsonl import Line, MessageType
 from tests.node.faulty_system import BREAKING, PASSING, Faults
 from tests.node.platform import Day, Host, Link, play, settings, setup
 
@@ -113,7 +113,7 @@
         rng = self.soak.rng
         self.soak.attempt_came(self, line.sid)
         if rng.random() < 0.06:
-            link.say(Word.CLOSE, line.sid, code=rng.choice((34, 47)))
+            link.say(MessageType.CLOSE, line.sid, code=rng.choice((34, 47)))
             return
         self.running[line.sid] = link
         pause = rng.choice((0.0, 0.0, 0.0, 20.0, 200.0))
@@ -123,17 +123,17 @@
     def _answer(self, link: Link, sid: str, life: int) -> None:
         if life != self.life or self.running.get(sid) is not link:
             return
-        if any(said.word is Word.CLOSE and said.sid == sid for said in link.got) or link.ended:
+        if any(said.type is MessageType.CLOSE and said.sid == sid for said in link.got) or link.ended:
             self.running.pop(sid)  # it was taken back, or its connection ended with it open
             return
-        self._when_awake(lambda: link.say(Word.READY, sid, text=self.uid))
+        self._when_awake(lambda: link.say(MessageType.READY, sid, text=self.uid))
         runs = 1000.0 * self.soak.rng.choice(END_CHOICES)
         self.day.loop.call_later(runs, lambda: self._when_awake(lambda: self._end(link, sid, life)))
 
     def _end(self, link: Link, sid: str, life: int) -> None:
         if life != self.life or self.running.pop(sid, None) is None:
             return
-        if any(said.word is Word.CLOSE and said.sid == sid for each in self.host.links for said in each.got):
+        if any(said.type is MessageType.CLOSE and said.sid == sid for each in self.host.links for said in each.got):
             return  # the placer has cut it
         self.soak.task_over(sid, self.uid)
         now = self.day.loop.now()
@@ -145,7 +145,7 @@
         usable = [link] if not link.ended else [other for other in self.host.links if not other.ended]
         if not usable:
             return None
-        usable[0].say(Word.CLOSE, sid, code=16)
+        usable[0].say(MessageType.CLOSE, sid, code=16)
         return usable[0]
 
     def _note_told(self, sid: str, said: Link | None, at: float) -> None:
@@ -158,7 +158,7 @@
             return
         later = [link for link in self.host.links[links:] if not link.ended]
         if later:
-            self._when_awake(lambda: later[0].say(Word.CLOSE, sid, code=16))
+            self._when_awake(lambda: later[0].say(MessageType.CLOSE, sid, code=16))
         else:
             self.day.loop.call_later(10.0, lambda: self._repeat(sid, links, life))
 
@@ -235,7 +235,7 @@
         self.kill_ms = min(LONGEST_MS, self.deadline_ms) + KILL_AFTER_MS
         classes = [{**each, "deadline": self.deadline_ms} for each in settings()["classes"]]
         self.environment = day.environment(settings=settings(classes=classes))
-        self.listen = read(self.environment).listen
+        self.listen = read_config(self.environment).listen
         self.log = (day.folder / f"log-{seed}").open("w")
         self.process = subprocess.Popen(
             [sys.executable, "-m", "tests.node.faulty_system", self._faults().text()],
--- a/tests/node/test_bulletin.py
+++ b/tests/node/test_bulletin.py
@@ -11,8 +11,8 @@
 
 from sprucepost import interface as i
 from sprucepost.node.bounds import Malformed
-from sprucepost.node.bulletin import Bulletin, Told, parse
-from sprucepost.node.config import ConfigError, read
+from sprucepost.node.bulletin import Bulletin, ListUpdate, parse
+from sprucepost.node.config import ConfigError, read_config
 from tests.node.platform import settings
 
 
@@ -32,8 +32,8 @@
     return {"no": last or max((no for no, _, _ in events), default=0), "items": items}
 
 
-def take(board: Bulletin, *events: tuple[int, bool, list[Any]]) -> Told:
-    told = board.take(document(*events))
+def take(board: Bulletin, *events: tuple[int, bool, list[Any]]) -> ListUpdate:
+    told = board.apply(document(*events))
     assert told is not None
     return told
 
@@ -47,27 +47,27 @@
     told = take(board, (2, False, [entry("s-1", state="DRAINING")]), (3, False, [entry("s-2", state="DELETED")]))
     assert told.list.kind is i.ListKind.DELTA
     assert {e.machine: e.state.name for e in told.list.entries} == {"s-1": "DRAINING", "s-2": "GONE"}
-    assert board.last == 3 and list(board.entries) == ["s-1"]
+    assert board.last_number == 3 and list(board.entries) == ["s-1"]
 
 
 def test_numbers_given_again_or_gone_back_change_nothing() -> None:
     board = bulletin()
     take(board, (1, True, [entry("s-1", state="DRAINING")]))
-    assert board.take(document((1, True, [entry("s-1")]))) is None
-    assert board.take(document(last=0)) is None
-    assert board.last == 1 and board.entries["s-1"].state is i.MachineState.DRAINING
+    assert board.apply(document((1, True, [entry("s-1")]))) is None
+    assert board.apply(document(last=0)) is None
+    assert board.last_number == 1 and board.entries["s-1"].state is i.MachineState.DRAINING
 
 
 def test_a_number_left_out_asks_for_the_whole_list() -> None:
     board = bulletin()
     take(board, (1, True, [entry("s-1")]))
     with pytest.raises(Malformed):
-        board.take(document((3, False, [entry("s-2")])))
-    assert board.last == 0
+        board.apply(document((3, False, [entry("s-2")])))
+    assert board.last_number == 0
     told = take(
         board, (1, True, [entry("s-1")]), (2, False, [entry("s-1", state="DELETED")]), (3, False, [entry("s-2")])
     )
-    assert told.list.kind is i.ListKind.FULL and list(board.entries) == ["s-2"] and board.last == 3
+    assert told.list.kind is i.ListKind.FULL and list(board.entries) == ["s-2"] and board.last_number == 3
 
 
 def drawn_events(rng: random.Random) -> list[tuple[int, bool, list[Any]]]:
@@ -87,15 +87,17 @@
 
 def test_the_last_whole_list_is_taken_whatever_number_the_first_has() -> None:
     board = bulletin()
-    board.read(json.dumps(document((5, True, [entry("s-1")]), (6, True, [entry("s-2")]), (7, False, [entry("s-3")]))))
-    assert board.last == 7 and list(board.entries) == ["s-2", "s-3"]
+    board.apply_json(
+        json.dumps(document((5, True, [entry("s-1")]), (6, True, [entry("s-2")]), (7, False, [entry("s-3")])))
+    )
+    assert board.last_number == 7 and list(board.entries) == ["s-2", "s-3"]
 
 
 def test_a_whole_list_that_is_held_already_hides_nothing_new() -> None:
     board = bulletin()
     take(board, (1, True, [entry("s-1")]))
-    board.read(json.dumps(document((2, False, [entry("s-2")]), (1, True, [entry("s-1")]))))
-    assert board.last == 2 and list(board.entries) == ["s-1", "s-2"]
+    board.apply_json(json.dumps(document((2, False, [entry("s-2")]), (1, True, [entry("s-1")]))))
+    assert board.last_number == 2 and list(board.entries) == ["s-1", "s-2"]
 
 
 @pytest.mark.parametrize("seed", range(50))
@@ -105,12 +107,12 @@
     one_by_one, at_once = bulletin(), bulletin()
     held = rng.randrange(len(events))
     for event in events[:held]:
-        one_by_one.take(document(event))
-        at_once.take(document(event))
+        one_by_one.apply(document(event))
+        at_once.apply(document(event))
     for event in events[held:]:
-        one_by_one.take(document(event))
-    at_once.read(json.dumps(document(*events)))
-    assert at_once.entries == one_by_one.entries and at_once.last == one_by_one.last
+        one_by_one.apply(document(event))
+    at_once.apply_json(json.dumps(document(*events)))
+    assert at_once.entries == one_by_one.entries and at_once.last_number == one_by_one.last_number
 
 
 def test_what_a_later_whole_list_overrides_is_forgotten_while_it_is_parsed() -> None:
@@ -138,7 +140,7 @@
     take(board, (1, True, [entry("s-1")]))
     told = take(board, (2, False, [entry("s-2"), {**entry("s-1", state="DRAINING"), **bad}]))
     assert [e.machine for e in told.list.entries] == ["s-2"] and len(told.faults) == 1
-    assert board.entries["s-1"].state is i.MachineState.READY and board.last == 2
+    assert board.entries["s-1"].state is i.MachineState.READY and board.last_number == 2
 
 
 @pytest.mark.parametrize(
@@ -148,8 +150,8 @@
     board = bulletin()
     take(board, (1, True, [entry("s-1")]))
     with pytest.raises(Malformed):
-        board.read(data)
-    assert board.last == 1
+        board.apply_json(data)
+    assert board.last_number == 1
 
 
 @pytest.mark.parametrize(
@@ -160,10 +162,10 @@
     board = bulletin()
     take(board, (1, True, [entry("s-1")]))
     data = document((2, False, [entry("s-1", state="DRAINING")]))
-    told = board.take({**data, "items": [*data["items"], bad]})
+    told = board.apply({**data, "items": [*data["items"], bad]})
     assert told is not None and told.list.entries[0].state is i.MachineState.DRAINING and len(told.faults) == 1
     with pytest.raises(Malformed):  # alone, it is asked for again after a pause
-        board.take({"no": 4, "items": [bad]})
+        board.apply({"no": 4, "items": [bad]})
 
 
 def good(**changes: Any) -> dict[str, Any]:
@@ -176,13 +178,13 @@
 def test_the_configuration(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(good()))
-    config = read({"BALANCER_CONFIG": str(path)})
+    config = read_config({"BALANCER_CONFIG": str(path)})
     assert config.listen == ("127.0.0.1", 2905) and config.limits.sockets == 256 and config.seed == 0x8C1F30D27A5BE964
     assert config.report_fields == ("free_cores", "free_memory", "queue")
     data = good()
     del data["listen"]
     path.write_text(json.dumps(data))
-    assert read({"BALANCER_CONFIG": str(path), "BALANCER_LISTEN": "127.0.0.2:1"}).listen == ("127.0.0.2", 1)
+    assert read_config({"BALANCER_CONFIG": str(path), "BALANCER_LISTEN": "127.0.0.2:1"}).listen == ("127.0.0.2", 1)
 
 
 @pytest.mark.parametrize(
@@ -197,8 +199,8 @@
     path = tmp_path / "config.json"
     path.write_text(data)
     with pytest.raises(ConfigError) as found:
-        read({"BALANCER_CONFIG": str(path)})
+        read_config({"BALANCER_CONFIG": str(path)})
     assert str(path) in str(found.value) and "\n" not in str(found.value)
     for environment in ({}, {"BALANCER_CONFIG": str(tmp_path / "none")}):
         with pytest.raises(ConfigError):
-            read(environment)
+            read_config(environment)
--- a/tests/node/test_clients_that_left.py
+++ b/tests/node/test_clients_that_left.py
@@ -22,7 +22,7 @@
 from sprucepost.node.descriptors import Descriptors
 from sprucepost.node.host import Host as HostState
 from sprucepost.node.host import HostLink
-from sprucepost.node.jsonl import Word
+from sprucepost.node.jsonl import MessageType
 from tests.node.platform import Day, Host, Link, heard, play, setup
 from tests.node.stepped import SteppedLoop, all_lies_unread, lies_unread
 from tests.node.test_crossings import OTHER, SIDS, Raw, deciding, opened, patient, release, warm
@@ -145,7 +145,7 @@
 
 def next_attempt(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """The first one has been refused."""
-    host.on_open = lambda link, line: link.say(Word.CLOSE, line.sid, code=102)
+    host.on_open = lambda link, line: link.say(MessageType.CLOSE, line.sid, code=102)
     at_its_offer(day, LEAVING, 2, client.leave)
     client.ask()
     yield from wait_for(lambda: client.left_at is not None)
@@ -157,7 +157,7 @@
     def refuse(link: Link, line: jsonl.Line) -> None:
         if client.left_at is not None:
             return
-        link.say(Word.CLOSE, line.sid, code=102)
+        link.say(MessageType.CLOSE, line.sid, code=102)
         link.transport.flush()
         [ours] = [mine for mine in day.service.hosts.hosts["s-1"].links if LEAVING in mine.open]
         lies_unread(ours.transport._sock.fd)  # type: ignore[attr-defined]
@@ -182,11 +182,11 @@
 
 def for_a_connection(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """There may be no more to its host, and on none of them can be written: half a line has come there."""
-    day.service.hosts._descriptors.share = 2
+    day.service.hosts._descriptors.guaranteed_share = 2
     busy, halves = SIDS[310:312], list[tuple[Link, bytes]]()
 
     def half(link: Link, line: jsonl.Line) -> None:
-        whole = jsonl.encode(Word.READY, line.sid, None, None, jsonl.quoted("x"))
+        whole = jsonl.encode(MessageType.READY, line.sid, None, None, jsonl.quoted("x"))
         link.transport.write(whole[:9])
         halves.append((link, whole[9:]))
 
@@ -218,7 +218,7 @@
     yield from wait_for(lambda: len(ours.waiting) == 1)
     at_an_answer(day, SIDS[310], client.leave)
     [(link, sid)] = taken
-    link.say(Word.READY, sid, text="x")
+    link.say(MessageType.READY, sid, text="x")
     yield from wait_for(lambda: client.left_at is not None)
 
 
@@ -277,7 +277,7 @@
         assert not attempts.late(LEAVING, client.left_at)
         assert not day.service.hosts.hosts["s-1"].waiting
         assert not any(LEAVING in link.open for link in day.service.owners.links)
-        host.on_open = lambda link, line: link.say(Word.READY, line.sid, text="x")
+        host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
         staying.transport.write(setup(STAYING))
         yield from heard(staying, STAYING, Kind.ANSWER)
         client.close()
@@ -436,7 +436,7 @@
             """Each read takes longer than a look may be old, and then there is more."""
             take(data)
             reads[0] += 1
-            loop.time += dispatch.LOOK_AGE_MS + 1.0
+            loop.time += dispatch.POLL_AGE_MAX_MS + 1.0
             rest.extend(b"" if rest else filler())
             with contextlib.suppress(BlockingIOError):
                 del rest[: client.other.sock.send(rest)]
@@ -473,15 +473,15 @@
     """A host to which there are two connections, and may be no more: all attempts of a batch are sent at once."""
     host = day.host("s-1")
     day.start(settings=patient())
-    day.service.hosts._descriptors.share = 2
+    day.service.hosts._descriptors.guaranteed_share = 2
     owner = yield from day.owner()
     host.on_open = lambda link, line: None
     for sid in SIDS[350:352]:
         owner.transport.write(setup(sid))
     yield from wait_for(lambda: len(opened(host)) == 2)
-    host.on_open = lambda link, line: link.say(Word.READY, line.sid, text="x")
+    host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
     for link in host.links:
-        link.say(Word.READY, link.got[0].sid, text="x")
+        link.say(MessageType.READY, link.got[0].sid, text="x")
     for sid in SIDS[350:352]:
         yield from heard(owner, sid, Kind.ANSWER)
 
@@ -585,7 +585,7 @@
         test = binary.encode(Kind.TEST, "0" * 16, [(Code.CAUSE, b"\0")])
 
         def reading() -> None:
-            loop.time += dispatch.LOOK_AGE_MS + 1.0
+            loop.time += dispatch.POLL_AGE_MAX_MS + 1.0
             noise.send(test)
 
         client.ask()
--- a/tests/node/test_codecs.py
+++ b/tests/node/test_codecs.py
@@ -12,7 +12,7 @@
 from sprucepost.node import binary, jsonl
 from sprucepost.node.binary import Code, Kind
 from sprucepost.node.bounds import MOST
-from sprucepost.node.jsonl import Word
+from sprucepost.node.jsonl import MessageType
 
 SID = "9b1f03aa5c7e2d41"
 texts = st.text(st.characters(exclude_categories=["Cs"]), max_size=60)
@@ -28,7 +28,7 @@
 lines = st.lists(
     st.builds(
         lambda word, sid, attrs, code, text: jsonl.encode(word, f"{sid:016x}", attrs, code, jsonl.quoted(text)),
-        st.sampled_from(Word),
+        st.sampled_from(MessageType),
         st.integers(0, 2**64 - 1),
         st.dictionaries(texts, texts, max_size=3),
         st.none() | st.integers(0, 255),
@@ -62,7 +62,7 @@
 
 @given(texts, st.dictionaries(st.sampled_from(["left", "key"]), texts))
 def test_a_description_passes_unchanged_both_ways(text: str, attrs: dict[str, str]) -> None:
-    [line] = jsonl.Decoder().feed(jsonl.encode(Word.OPEN, SID.upper(), attrs, text=jsonl.quoted(text)))
+    [line] = jsonl.Decoder().feed(jsonl.encode(MessageType.OPEN, SID.upper(), attrs, text=jsonl.quoted(text)))
     assert (line.text, line.attrs, line.sid) == (text, attrs, SID)
     [message] = binary.Decoder().feed(binary.encode(Kind.ANSWER, SID, [(Code.DESCRIPTION, text.encode())]))
     assert message.parameters[Code.DESCRIPTION].decode() == text and message.task == SID
@@ -70,7 +70,7 @@
 
 def test_the_wire_is_as_the_protocol_says() -> None:
     assert binary.encode(Kind.RELEASE, SID, [(Code.CAUSE, b"\x22")]).hex() == "000d0c9b1f03aa5c7e2d41de000122"
-    line = json.loads(jsonl.encode(Word.CLOSE, SID, code=34))
+    line = json.loads(jsonl.encode(MessageType.CLOSE, SID, code=34))
     assert line == {"msg": "close", "sid": SID, "attrs": {}, "code": 34}
 
 
@@ -105,7 +105,7 @@
 def test_a_line_that_cannot_be_read(line: str) -> None:
     decoder = jsonl.Decoder()
     assert decoder.feed(line.encode("latin-1") + b"\n") == [] and decoder.error is not None
-    assert decoder.feed(jsonl.encode(Word.PROBE, SID)) == []
+    assert decoder.feed(jsonl.encode(MessageType.PROBE, SID)) == []
 
 
 def test_a_line_that_keeps_coming_ends_at_the_bound() -> None:
@@ -116,6 +116,6 @@
     decoder.feed(b"x" * 64)
     assert decoder.error is not None and decoder.waiting == 0
     with pytest.raises(ValueError):
-        jsonl.encode(Word.READY, SID, text=jsonl.quoted("x" * MOST))
+        jsonl.encode(MessageType.READY, SID, text=jsonl.quoted("x" * MOST))
     with pytest.raises(ValueError):
         binary.encode(Kind.ANSWER, SID, [(Code.DESCRIPTION, b"x" * MOST)])
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -25,7 +25,7 @@
 from sprucepost.node.attempt import Attempt
 from sprucepost.node.binary import Code, Kind
 from sprucepost.node.host import HostLink
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from tests.node.platform import Day, Host, Link, answers, heard, play, settings, setup
 from tests.wire.support import wait_for
 
@@ -106,7 +106,7 @@
 
 
 def opened(*found: Host) -> list[str]:
-    return [line.sid for host in found for line in host.lines(Word.OPEN)]
+    return [line.sid for host in found for line in host.lines(MessageType.OPEN)]
 
 
 def warm(day: Day, sid: str) -> Co[Link]:
@@ -125,7 +125,7 @@
         owner.transport.write(setup(sid))
     yield from wait_for(lambda: len(opened(host)) == 2)
     for link, sid in zip(host.links, opened(host), strict=True):
-        link.say(Word.READY, sid, text="x")
+        link.say(MessageType.READY, sid, text="x")
     for sid in SIDS[:2]:
         yield from heard(owner, sid, Kind.ANSWER)
     return owner
@@ -220,7 +220,7 @@
             deciding(day, lambda events, actions: once(actions, left, done))
             day.paper.tell(second.entry())
         else:
-            first.on_open = lambda link, line: link.say(Word.CLOSE, line.sid, code=102)
+            first.on_open = lambda link, line: link.say(MessageType.CLOSE, line.sid, code=102)
             offers: list[i.Action] = []
 
             def at_the_second(events: list[i.Event], actions: list[i.Action]) -> None:
@@ -282,10 +282,10 @@
         day.start()
         owner = yield from day.owner()
         owner.transport.write(setup(SIDS[0]))
-        yield from wait_for(lambda: host.lines(Word.OPEN))
+        yield from wait_for(lambda: host.lines(MessageType.OPEN))
         other = yield from day.owner()
         other.transport.write(release(SIDS[0]))
-        yield from wait_for(lambda: host.lines(Word.CLOSE))
+        yield from wait_for(lambda: host.lines(MessageType.CLOSE))
         assert not any(link.open for link in day.service.owners.links), "it could never be closed for being idle"
         assert not owner.got
 
@@ -301,8 +301,8 @@
         owner.transport.write(setup(SIDS[1]))
         owner.transport.write(setup(SIDS[2], FIGURES="cores:1;memory:2;service:aa;at:s-1"))
         yield from wait_for(lambda: day.service.counters["unwanted"] == 2)
-        yield from wait_for(lambda: host.lines(Word.CLOSE))
-        assert [line.sid for line in host.lines(Word.CLOSE)] == [SIDS[2]], "what stands is let go at its host"
+        yield from wait_for(lambda: host.lines(MessageType.CLOSE))
+        assert [line.sid for line in host.lines(MessageType.CLOSE)] == [SIDS[2]], "what stands is let go at its host"
         assert opened(host) == [SIDS[0]] and len(owner.got) == 1 and day.standing() == 1
         assert not any(link.open for link in day.service.owners.links)
 
@@ -317,9 +317,9 @@
 
     def body(day: Day) -> Co[None]:
         host, owner = yield from begin(day)
-        host.links[0].say(Word.CLOSE, SIDS[1], code=16)
-        host.links[0].say(Word.CLOSE, SIDS[2], code=41)
-        host.links[0].say(Word.CLOSE, SIDS[3], code=31)
+        host.links[0].say(MessageType.CLOSE, SIDS[1], code=16)
+        host.links[0].say(MessageType.CLOSE, SIDS[2], code=41)
+        host.links[0].say(MessageType.CLOSE, SIDS[3], code=31)
         yield from wait_for(lambda: day.service.counters["late_words"] == 3)
         for sid in SIDS[1:4]:
             owner.transport.write(setup(sid, FIGURES="cores:1;memory:2;service:aa;at:s-1"))
@@ -338,11 +338,11 @@
         at = setup(SIDS[1], FIGURES="cores:1;memory:2;service:aa;at:s-1")
         owner.transport.write(at)
         yield from wait_for(lambda: day.standing() == 2)
-        host.links[0].say(Word.CLOSE, SIDS[1], code=16)
+        host.links[0].say(MessageType.CLOSE, SIDS[1], code=16)
         yield from heard(owner, SIDS[1], Kind.RELEASE)
         other = yield from day.owner()
         other.transport.write(at)  # on its way when the release was
-        host.links[0].say(Word.CLOSE, SIDS[1], code=16)  # said again, as on a new connection
+        host.links[0].say(MessageType.CLOSE, SIDS[1], code=16)  # said again, as on a new connection
         yield from sleep(60)
         other.transport.write(at)
         yield from sleep(60)
@@ -490,7 +490,7 @@
         steps: list[tuple[str, Callable[[], None]]] = []
 
         def ends(sid: str) -> None:  # a host says it on any connection that is open
-            next(link for link in host.links if not link.ended).say(Word.CLOSE, sid, code=16)
+            next(link for link in host.links if not link.ended).say(MessageType.CLOSE, sid, code=16)
 
         def say(data: bytes) -> Callable[[], None]:
             owner = rng.choice(owners_)
@@ -521,7 +521,7 @@
         def wrong(sid: str, kind: str) -> Any:
             mine = [message.kind for message in got if message.task == sid]
             stands = sid in day.service.tasks.standing.get("s-1", {})
-            let_go = sum(line.sid == sid for line in host.lines(Word.CLOSE))
+            let_go = sum(line.sid == sid for line in host.lines(MessageType.CLOSE))
             expected = {
                 "at": stands and not mine,
                 "at, released": not stands and not mine and let_go >= 1,
@@ -671,7 +671,7 @@
         owner.transport.write(setup(SIDS[1], FIGURES=OTHER))
         yield from wait_for(lambda: day.service.counters["offers"] == 2)
         yield from sleep(30)
-        host.on_open = lambda link, line: link.say(Word.READY, line.sid, text="again")
+        host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="again")
         host.links[0].transport.abort()
         if ran:
             assert (yield from heard(owner, SIDS[1], Kind.RELEASE)).cause == 41, "it may have run: it has failed"
@@ -694,11 +694,11 @@
 
         def moot(link: Link, line: Line) -> None:
             host.on_open = ready
-            link.say(Word.CLOSE, line.sid, code=102)
-            day.loop.call_later(30, lambda: link.say(Word.CLOSE, line.sid, code=102))
+            link.say(MessageType.CLOSE, line.sid, code=102)
+            day.loop.call_later(30, lambda: link.say(MessageType.CLOSE, line.sid, code=102))
 
         def ready(link: Link, line: Line) -> None:
-            day.loop.call_later(90, lambda: link.say(Word.READY, line.sid, text="the second"))
+            day.loop.call_later(90, lambda: link.say(MessageType.READY, line.sid, text="the second"))
 
         day.start()
         owner = yield from two_connections(day, host)
@@ -706,7 +706,7 @@
         owner.transport.write(setup(SIDS[2], FIGURES=OTHER))
         message = yield from heard(owner, SIDS[2], Kind.ANSWER)
         assert message.parameters[Code.DESCRIPTION] == b"the second"
-        assert opened(host).count(SIDS[2]) == 2 and not host.lines(Word.CLOSE), "one attempt out at a time"
+        assert opened(host).count(SIDS[2]) == 2 and not host.lines(MessageType.CLOSE), "one attempt out at a time"
         assert len(host.links) == 2
 
     play(tmp_path, body)
@@ -724,12 +724,12 @@
         yield from sleep(30)
         link = first.taken(day)
         hosts_link = next(link for link in host.links if not link.ended)
-        hosts_link.say(Word.CLOSE, SIDS[0], code=16)
+        hosts_link.say(MessageType.CLOSE, SIDS[0], code=16)
         yield from wait_for(lambda: day.standing() == 3)
         yield from sleep(30)
         take_only(link, 10)
-        hosts_link.say(Word.CLOSE, SIDS[1], code=16)
-        hosts_link.say(Word.CLOSE, SIDS[2], code=41)
+        hosts_link.say(MessageType.CLOSE, SIDS[1], code=16)
+        hosts_link.say(MessageType.CLOSE, SIDS[2], code=41)
         yield from wait_for(lambda: day.standing() == 1)
         yield from sleep(30)
         first.reset()
@@ -801,9 +801,11 @@
         for number in range(2, 5):
             day.paper.tell(other.entry(), everything=True)  # the whole list, without it
             yield from wait_for(heard_lists(number))
-        yield from wait_for(lambda: host.lines(Word.PROBE))
+        yield from wait_for(lambda: host.lines(MessageType.PROBE))
         yield from sleep(100)
-        assert len(host.lines(Word.PROBE)) == 1 and day.standing() == 1, "what stands there may still be ended by it"
+        assert len(host.lines(MessageType.PROBE)) == 1 and day.standing() == 1, (
+            "what stands there may still be ended by it"
+        )
 
     play(tmp_path, body)
 
@@ -814,9 +816,9 @@
         day.start()
         owner = yield from two_connections(day, host)
         host.links[0].transport.abort()
-        yield from wait_for(lambda: host.lines(Word.PROBE))
+        yield from wait_for(lambda: host.lines(MessageType.PROBE))
         yield from sleep(1500)
-        assert day.standing() == 2 and len(host.lines(Word.PROBE)) == 1 and len(owner.got) == 2
+        assert day.standing() == 2 and len(host.lines(MessageType.PROBE)) == 1 and len(owner.got) == 2
 
     play(tmp_path, body)
 
@@ -834,8 +836,8 @@
             day.service.hosts._end(there, ours, why)
         for link in host.links:  # which have not read the end yet
             assert not link.ended
-            [sid] = [line.sid for line in link.got if line.word is Word.OPEN]
-            link.say(Word.CLOSE, sid, code=16)
+            [sid] = [line.sid for line in link.got if line.type is MessageType.OPEN]
+            link.say(MessageType.CLOSE, sid, code=16)
         for sid in SIDS[:2]:
             assert (yield from heard(owner, sid, Kind.RELEASE)).cause == 16
         assert not day.standing()
@@ -860,7 +862,7 @@
         halves: list[Link] = []
 
         def half(link: Link, line: Line) -> None:
-            host.on_open = lambda link, line: link.say(Word.READY, line.sid, text="whole")
+            host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="whole")
             halves.append(link)
             link.transport.write(b'{"msg":"ready","sid":"' + line.sid.encode() + b'","te')
             link.transport._flush()
@@ -878,9 +880,11 @@
             assert message.parameters[Code.DESCRIPTION] == b"whole" and opened(host).count(SIDS[1]) == 2
         else:
             assert message.cause == 41 and opened(host).count(SIDS[1]) == 1
-        assert [line.sid for line in halves[0].got if line.word is Word.OPEN].count(SIDS[1]) == 1
+        assert [line.sid for line in halves[0].got if line.type is MessageType.OPEN].count(SIDS[1]) == 1
         if then == "silence":
-            assert SIDS[1] in [line.sid for line in halves[0].got if line.word is Word.CLOSE], "it is taken back there"
+            assert SIDS[1] in [line.sid for line in halves[0].got if line.type is MessageType.CLOSE], (
+                "it is taken back there"
+            )
 
     play(tmp_path, body)
 
@@ -891,9 +895,9 @@
         host, owner = yield from begin(day)
 
         def both(link: Link, line: Line) -> None:
-            link.say(Word.READY, line.sid, text="x")
-            link.say(Word.CLOSE, line.sid, code=cause)
-            link.say(Word.CLOSE, line.sid, code=cause)
+            link.say(MessageType.READY, line.sid, text="x")
+            link.say(MessageType.CLOSE, line.sid, code=cause)
+            link.say(MessageType.CLOSE, line.sid, code=cause)
 
         host.on_open = both
         owner.transport.write(setup(SIDS[1]))
@@ -929,13 +933,13 @@
         else:
             day.paper.tell(host.entry(state="DRAINING"))
             yield from wait_for(lambda: "s-1" in day.service.tasks.closed)
-        link.say(Word.READY, SIDS[1], text="late")
+        link.say(MessageType.READY, SIDS[1], text="late")
         yield from sleep(50)
         if crosses == "its host's drain":
             assert (yield from asking.message()).kind == Kind.ANSWER and day.standing() == 2
         else:
             assert day.standing() == 1 and not day.service.tasks.ledger.open
-            told = [line.sid for found in host.links for line in found.got if line.word is Word.CLOSE]
+            told = [line.sid for found in host.links for line in found.got if line.type is MessageType.CLOSE]
             assert told.count(SIDS[1]) == 1
             assert opened(host).count(SIDS[1]) == 1
         assert not answers(owner, SIDS[1])
@@ -1002,7 +1006,7 @@
 
         def late(*args: Any) -> Co[Any]:
             yield from sleep(200)
-            host.on_open = lambda link, line: link.say(Word.READY, line.sid, text="x")
+            host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
             return (yield from real(*args))
 
         monkeypatch.setattr(hosts, "connect", late)
@@ -1128,7 +1132,7 @@
         for host in found:  # each ends its task on the next connection that it gets
             [sid] = opened(host)
             for link in [link for link in host.links if not link.ended]:
-                link.say(Word.CLOSE, sid, code=16)
+                link.say(MessageType.CLOSE, sid, code=16)
         yield from sleep(50)
         assert day.standing() <= 30 - most + 2
 
@@ -1167,13 +1171,13 @@
         assert isinstance(listener.address, tuple)
         down = listener.address
         listener.close()
-        day.service.feed.move(down)
-        day.service.feed.move(now)
-        day.service.feed.move(down)
+        day.service.feed.change_address(down)
+        day.service.feed.change_address(now)
+        day.service.feed.change_address(down)
         yield from wait_for(lambda: day.service.counters["bulletin_failed"] >= 2)
         asked = len(day.paper.asked)
         day.paper.tell(first.entry(state="DRAINING"))
-        day.service.feed.move(now)
+        day.service.feed.change_address(now)
         yield from wait_for(lambda: len(day.paper.asked) > asked and "s-1" in day.service.tasks.closed)
         owner = yield from day.owner()
         owner.transport.write(setup(SIDS[0]))
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -19,7 +19,7 @@
 from sprucepost.node import binary
 from sprucepost.node.binary import Kind
 from sprucepost.node.descriptors import Descriptors
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from tests.node.platform import Day, Host, Link, Paper, heard, play, settings, setup
 from tests.node.program import Program, connected, passes_test, running
 from tests.node.test_crossings import patient, release
@@ -130,9 +130,9 @@
     def run(link: Link, line: Line) -> None:
         if line.sid == SLOW:
             return
-        link.say(Word.READY, line.sid, text="x")
+        link.say(MessageType.READY, line.sid, text="x")
         if line.sid != STANDING:
-            host.day.loop.call_later(20.0, lambda: link.say(Word.CLOSE, line.sid, code=16))
+            host.day.loop.call_later(20.0, lambda: link.say(MessageType.CLOSE, line.sid, code=16))
 
     host.on_open = run
 
@@ -198,9 +198,9 @@
             for client in idle:
                 client.stop()
             for host in day.hosts.values():
-                for line in host.lines(Word.OPEN):
+                for line in host.lines(MessageType.OPEN):
                     if line.sid == SLOW:
-                        host.links[-1].say(Word.READY, SLOW, text="x")
+                        host.links[-1].say(MessageType.READY, SLOW, text="x")
             assert not usual.ended, "who has work open stays"
             faults = [line for line in program.lines() if "Too many open files" in str(line.get("why"))]
             assert not faults and not program.lines("reload_refused") and not program.lines("host_not_connected")
@@ -248,7 +248,7 @@
         assert not day.service.counters["connect_failed"] and not day.service.counters["ended_connect_failed"]
         shortage.on = False
         yield from heard(owner, SIDS[0], Kind.ANSWER)
-        assert [line.sid for line in host.lines(Word.OPEN)] == [SIDS[0]]
+        assert [line.sid for line in host.lines(MessageType.OPEN)] == [SIDS[0]]
         assert day.service.counters["offers"] == 1
 
     play(tmp_path, body)
@@ -308,16 +308,16 @@
         for _ in range(6):
             transport = Transport(loop, loop.dial(listener.address))
             transport.linger_ms = 1000.0
-            descriptors.end(transport)
+            descriptors.close(transport)
             ending.append(transport)
-        assert descriptors.closing == 6 and descriptors.spare() == 52
+        assert descriptors.closing == 6 and descriptors.available() == 52
         connections[0] = 49
         descriptors.reclaim()
         assert not any(transport.gone for transport in ending), "56 are for all, and one more fits"
         connections[0] = 52
         descriptors.reclaim()
         assert [transport.gone for transport in ending] == [True, True, True, False, False, False]
-        assert descriptors.closing == 3 and descriptors.spare() == 0
+        assert descriptors.closing == 3 and descriptors.available() == 0
         for transport in ending:
             transport.cut()
         assert descriptors.closing == 0
--- a/tests/node/test_dispatch.py
+++ b/tests/node/test_dispatch.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from sprucepost.node.dispatch import LOOK_AGE_MS, Dispatcher
+from sprucepost.node.dispatch import POLL_AGE_MAX_MS, Dispatcher
 from tests.placing.support import VirtualLoop
 
 
@@ -57,7 +57,7 @@
     def slow(name: str) -> None:
         if not served.dispatcher.may_write:
             served.dispatcher.add(name)
-        served.loop.time += LOOK_AGE_MS * 0.6
+        served.loop.time += POLL_AGE_MAX_MS * 0.6
 
     served.then = slow
     for name in ("a", "b", "c"):
--- a/tests/node/test_faulty_system.py
+++ b/tests/node/test_faulty_system.py
@@ -21,8 +21,8 @@
 from sprucepost.loop import Co, TimedOut, connect, current, sleep
 from sprucepost.node import binary
 from sprucepost.node.binary import Kind, Message
-from sprucepost.node.config import read
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.config import read_config
+from sprucepost.node.jsonl import Line, MessageType
 from tests.node.faulty_system import BREAKING, PASSING, Faults
 from tests.node.platform import Day, Host, Link, play, setup
 from tests.wire.support import wait_for
@@ -65,7 +65,7 @@
             day.host(uid).on_open = self._run_task
         day.paper.tell(*(host.entry() for host in day.hosts.values()), everything=True)
         environment = day.environment()
-        self.listen = read(environment).listen
+        self.listen = read_config(environment).listen
         self.log = (day.folder / "log").open("w")
         self.process = subprocess.Popen(
             [sys.executable, "-m", "tests.node.faulty_system", faults.text()],
@@ -73,24 +73,24 @@
         )  # fmt: skip
 
     def _run_task(self, link: Link, line: Line) -> None:
-        link.say(Word.READY, line.sid, text="x")
+        link.say(MessageType.READY, line.sid, text="x")
         host = next(host for host in self.day.hosts.values() if link in host.links)
         self.day.loop.call_later(RUNS_MS, lambda: self._end_task(host, link, line.sid))
 
     def _end_task(self, host: Host, link: Link, sid: str) -> None:
         """On the connection of its set-up, where that cannot be written on any open one, and on the next one as well."""
         self._say_on_next(host, sid, len(host.links))
-        link.say(Word.CLOSE, sid, code=16)
+        link.say(MessageType.CLOSE, sid, code=16)
         self.day.loop.call_later(WRITTEN_MS, lambda: self._say_elsewhere(host, link, sid))
 
     def _say_elsewhere(self, host: Host, link: Link, sid: str) -> None:
         open_links = [other for other in host.links if not other.ended]
         if link.ended and open_links:
-            open_links[0].say(Word.CLOSE, sid, code=16)
+            open_links[0].say(MessageType.CLOSE, sid, code=16)
 
     def _say_on_next(self, host: Host, sid: str, links: int) -> None:
         if len(host.links) > links:
-            host.links[links].say(Word.CLOSE, sid, code=16)
+            host.links[links].say(MessageType.CLOSE, sid, code=16)
         elif self.process.poll() is None:
             self.day.loop.call_later(NEXT_LOOK_MS, lambda: self._say_on_next(host, sid, links))
 
--- a/tests/node/test_hard_cases.py
+++ b/tests/node/test_hard_cases.py
@@ -11,7 +11,7 @@
 from sprucepost import interface as i
 from sprucepost.loop import Co, sleep
 from sprucepost.node.binary import Kind
-from sprucepost.node.jsonl import Word
+from sprucepost.node.jsonl import MessageType
 from tests.cold_fleet import START, Member, worst_window
 from tests.node.platform import Day, Paper, answers, heard, play, setup
 from tests.node.test_process import SIDS, owner, placer
@@ -60,7 +60,7 @@
             yield from wait_for(lambda: len(day.paper.asked) > 1)
             link.transport.write(setup(SIDS[1]))
             yield from heard(link, SIDS[1], Kind.ANSWER)
-            assert second.lines(Word.OPEN) and len(old.asked) == asked
+            assert second.lines(MessageType.OPEN) and len(old.asked) == asked
             assert not [m for m in answers(link, SIDS[0]) if m.kind == Kind.RELEASE], "what stood stands"
 
     play(tmp_path, body)
@@ -78,7 +78,7 @@
                 link.transport.write(setup(sid, FIGURES=f"cores:0.1;memory:0.1;service:{n:016x}"))
             yield from wait_for(lambda: all(answers(link, sid) for sid in SIDS[:16]))
         yield from wait_for(lambda: link.ended)  # it was killed, as the fleet's days do
-        held = {line.sid: host for host in hosts for line in host.lines(Word.OPEN)}
+        held = {line.sid: host for host in hosts for line in host.lines(MessageType.OPEN)}
         assert held.keys() == set(SIDS[:16])
         for host in hosts[:2]:
             host.die()
@@ -93,9 +93,9 @@
             yield from wait_for(lambda: all(answers(link, sid) for sid in SIDS[16:48]))
             assert all([m.kind for m in answers(link, sid)] == [Kind.ANSWER] for sid in SIDS[16:48])
             yield from sleep(300)
-            placed = {line.sid for host in [*newer, *hosts[2:]] for line in host.lines(Word.OPEN)}
-            assert placed >= set(SIDS[16:48]) and all(host.lines(Word.OPEN) for host in newer)
-            closed = {line.sid for host in hosts[2:] for line in host.lines(Word.CLOSE)}
+            placed = {line.sid for host in [*newer, *hosts[2:]] for line in host.lines(MessageType.OPEN)}
+            assert placed >= set(SIDS[16:48]) and all(host.lines(MessageType.OPEN) for host in newer)
+            closed = {line.sid for host in hosts[2:] for line in host.lines(MessageType.CLOSE)}
             assert not closed, "the next life lets nothing go that it does not know"
 
     play(tmp_path, body)
--- a/tests/node/test_log.py
+++ b/tests/node/test_log.py
@@ -10,7 +10,7 @@
 from sprucepost.loop import Co
 from sprucepost.node import log
 from sprucepost.node.binary import Kind
-from sprucepost.node.jsonl import Word
+from sprucepost.node.jsonl import MessageType
 from sprucepost.node.log import Log, Output
 from tests.node.platform import Day, heard, play, setup
 from tests.placing.support import VirtualLoop
@@ -32,7 +32,7 @@
         owner = yield from day.owner()
         owner.transport.write(setup(TASK))
         yield from heard(owner, TASK, Kind.ANSWER)
-        host.links[0].say(Word.CLOSE, TASK, code=16)
+        host.links[0].say(MessageType.CLOSE, TASK, code=16)
         yield from heard(owner, TASK, Kind.RELEASE)
         assert way(day, TASK) == [
             ("taken", None), ("offered", "s-1"), ("sent", "s-1"), ("stands", "s-1"), ("over", "s-1"), ("released", None),
@@ -44,11 +44,11 @@
 def test_a_flood_of_steps_is_counted_and_the_second_after_it_says_how_many() -> None:
     loop, lines = VirtualLoop(), list[dict[str, Any]]()
     written = Log(loop, "n0", lambda line: lines.append(json.loads(line)))
-    for _ in range(log.STEPS_PER_SECOND + 5):
+    for _ in range(log.STATE_LINES_PER_SECOND + 5):
         written.task(TASK, "taken")
     loop.pass_ms(1000.0)
     written("ready")
-    assert len(lines) == log.STEPS_PER_SECOND + 2
+    assert len(lines) == log.STATE_LINES_PER_SECOND + 2
     assert lines[-2]["event"] == "log_held_back" and lines[-2]["task"] == 5
 
 
@@ -59,7 +59,7 @@
     written = Log(loop, "n0", output.write, output.flush)
     for number in range(10):
         written.task(f"{number:016x}", "taken")
-    loop.pass_ms(log.STEPS_WAIT_MS)
+    loop.pass_ms(log.STATE_LINES_DELAY_MS)
     os.set_blocking(reading, False)
     lines = os.read(reading, 65536).decode().splitlines()
     assert [json.loads(line)["task"] for line in lines] == [f"{number:016x}" for number in range(10)]
--- a/tests/node/test_many_hosts.py
+++ b/tests/node/test_many_hosts.py
@@ -18,10 +18,10 @@
         yield from sleep(1)
         whole = known(HOSTS + REPLACED)["items"][0]["roster"]["targets"]
         event = {"no": 2, "roster": {"rev": 2, "all": False, "targets": whole[HOSTS:]}}
-        told = placer.service.feed.bulletin.take({"no": 2, "items": [event]})
+        told = placer.service.feed.bulletin.apply({"no": 2, "items": [event]})
         assert told is not None
         began = time.process_time()
-        placer.service.hosts.see(told)
+        placer.service.hosts.apply_list(told)
         assert time.process_time() - began <= BATCH_MOST_S
         assert len(placer.service.hosts.hosts) == HOSTS + REPLACED
 
@@ -35,9 +35,9 @@
         [entry] = known(1)["items"][0]["roster"]["targets"]
         for number, uid in enumerate(("s-a", "s-b"), 2):
             event = {"no": number, "roster": {"rev": number, "all": False, "targets": [entry | {"uid": uid}]}}
-            told = placer.service.feed.bulletin.take({"no": number, "items": [event]})
+            told = placer.service.feed.bulletin.apply({"no": number, "items": [event]})
             assert told is not None
-            placer.service.hosts.see(told)
+            placer.service.hosts.apply_list(told)
             assert {host.uid for host in placer.service.hosts.hosts.values()} == {uid, "s-1", "s-2"}
             assert placer.service.hosts.hosts[uid].address == host_address(0)
 
--- a/tests/node/test_newcomers.py
+++ b/tests/node/test_newcomers.py
@@ -167,7 +167,7 @@
         while counters["over_ok"] < 59:
             placer.serve_hosts()
             yield from sleep(1)
-        assert placer.service.descriptors.spare() <= 0
+        assert placer.service.descriptors.available() <= 0
         closed = counters["host_link_room"]
         first = [placer.loop.arrive(ADDRESS, f"127.0.1.1:{n}") for n in range(newcomers)]
         yield from sleep(2)
--- a/tests/node/test_overtaken_answers.py
+++ b/tests/node/test_overtaken_answers.py
@@ -9,7 +9,7 @@
 from sprucepost import interface as i
 from sprucepost.loop import Co, sleep
 from sprucepost.node.binary import Kind
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from tests.node.platform import Day, Host, Link, answers, heard, play, setup
 from tests.node.test_tasks import SID, Around
 from tests.wire.support import wait_for
@@ -24,7 +24,7 @@
     ending: list[Link] = []
 
     def answer(link: Link, line: Line) -> None:
-        link.say(Word.READY, line.sid, text="x")
+        link.say(MessageType.READY, line.sid, text="x")
 
     def end(link: Link, line: Line) -> None:
         if ending:
@@ -32,8 +32,8 @@
             return
         ending.append(link)
         if noted:
-            link.say(Word.EVENT, line.sid, NOTE)
-        link.say(Word.CLOSE, line.sid, attrs, code=cause)
+            link.say(MessageType.EVENT, line.sid, NOTE)
+        link.say(MessageType.CLOSE, line.sid, attrs, code=cause)
 
     found = [day.host("s-1"), day.host("s-2")]
     for host in found:
@@ -42,7 +42,7 @@
 
 
 def opened(hosts: list[Host]) -> int:
-    return sum(len(host.lines(Word.OPEN)) for host in hosts)
+    return sum(len(host.lines(MessageType.OPEN)) for host in hosts)
 
 
 @pytest.mark.parametrize("cause", [41, 16, 31])
@@ -55,7 +55,7 @@
         owner = yield from day.owner()
         owner.transport.write(setup(TASK))
         assert (yield from heard(owner, TASK, Kind.RELEASE)).cause == 41
-        ending[0].say(Word.READY, TASK, text="late")
+        ending[0].say(MessageType.READY, TASK, text="late")
         yield from sleep(100)
         assert opened(hosts) == 1 and len(answers(owner, TASK)) == 1
         assert not day.standing() and not day.service.tasks.ledger.open
@@ -101,7 +101,7 @@
         owner = yield from day.owner()
         owner.transport.write(setup(TASK))
         yield from heard(owner, TASK, Kind.RELEASE)
-        [uid] = [host.uid for host in hosts if host.lines(Word.OPEN)]
+        [uid] = [host.uid for host in hosts if host.lines(MessageType.OPEN)]
         owner.transport.write(setup(TASK, FIGURES=f"cores:1;memory:2;service:00000000b4d65521;at:{uid}"))
         owner.transport.write(setup("c0155aa5c7e00002"))
         yield from heard(owner, "c0155aa5c7e00002", Kind.ANSWER)
@@ -114,8 +114,8 @@
 @pytest.mark.parametrize(
     ("line", "heard_by_client"),
     [
-        (Line(Word.READY, SID, text="made"), ("answer", SID, "made")),
-        (Line(Word.CLOSE, SID, {"note": "sent_away"}, 41), ("refuse", SID, 41, 0.0)),
+        (Line(MessageType.READY, SID, text="made"), ("answer", SID, "made")),
+        (Line(MessageType.CLOSE, SID, {"note": "sent_away"}, 41), ("refuse", SID, 41, 0.0)),
     ],
 )
 @pytest.mark.parametrize("action", [i.Refuse, i.Fail])
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -15,7 +15,7 @@
 from sprucepost.loop import Co, Transport, connect, current, sleep
 from sprucepost.node import binary
 from sprucepost.node.binary import Code, Kind
-from sprucepost.node.jsonl import Word
+from sprucepost.node.jsonl import MessageType
 from tests.node.platform import Day, Link, answers, heard, play, setup
 from tests.node.program import cpu_s
 from tests.wire.support import wait_for
@@ -68,8 +68,11 @@
             os.kill(pid, signal.SIGCONT)
             yield from heard(link, SIDS[1], Kind.RELEASE)  # its time was over before it was read
             yield from heard(link, SIDS[2], Kind.ANSWER)
-            assert not host.lines(Word.CLOSE) and [line.sid for line in host.lines(Word.OPEN)].count(SIDS[1]) == 0
-            host.links[0].say(Word.CLOSE, SIDS[0], code=16)
+            assert (
+                not host.lines(MessageType.CLOSE)
+                and [line.sid for line in host.lines(MessageType.OPEN)].count(SIDS[1]) == 0
+            )
+            host.links[0].say(MessageType.CLOSE, SIDS[0], code=16)
             assert (yield from heard(link, SIDS[0], Kind.RELEASE)).cause == 16
 
     play(tmp_path, body)
@@ -145,7 +148,9 @@
             yield from wait_for(lambda: all(answers(link, sid) for sid in SIDS[1:200:2]), 8000)
             assert all([m.kind for m in answers(link, sid)] == [Kind.ANSWER] for sid in SIDS[1:200:2])
             assert not any(m.kind == Kind.ANSWER for sid in SIDS[0:200:2] for m in answers(link, sid))
-            stood = {line.sid for line in host.lines(Word.OPEN)} - {line.sid for line in host.lines(Word.CLOSE)}
+            stood = {line.sid for line in host.lines(MessageType.OPEN)} - {
+                line.sid for line in host.lines(MessageType.CLOSE)
+            }
             assert stood == set(SIDS[1:200:2]), "what was given up stands nowhere"
 
     play(tmp_path, body)
--- a/tests/node/test_releases_lost_with_a_connection.py
+++ b/tests/node/test_releases_lost_with_a_connection.py
@@ -8,7 +8,7 @@
 
 from sprucepost.loop import Co, sleep
 from sprucepost.node.binary import Kind
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from tests.node.platform import Day, Host, Link, heard, play, setup
 from tests.wire.support import wait_for
 
@@ -29,7 +29,7 @@
 
 
 def _answer_later(day: Day, link: Link, line: Line) -> None:
-    day.loop.call_later(30.0, lambda: link.say(Word.READY, line.sid, text="x"))
+    day.loop.call_later(30.0, lambda: link.say(MessageType.READY, line.sid, text="x"))
 
 
 # Guards against a caller that never hears of its call's end: the host says it again on the next connection alone.
@@ -44,7 +44,7 @@
         else:
             broken.transport.write(b"no line of any sort\n")
         yield from wait_for(lambda: len(host.links) == 3)
-        host.links[2].say(Word.CLOSE, TASKS[0], code=16)
+        host.links[2].say(MessageType.CLOSE, TASKS[0], code=16)
         yield from heard(owner, TASKS[0], Kind.RELEASE)
         assert day.standing() == 1
 
--- a/tests/node/test_service.py
+++ b/tests/node/test_service.py
@@ -16,7 +16,7 @@
 from sprucepost.loop import Co, TimedOut, connect, current, sleep
 from sprucepost.node import binary, feed, health, hosts, owners, service, tasks
 from sprucepost.node.binary import Code, Kind
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from tests.node.platform import DESCRIPTION, Day, Host, Link, answers, heard, play, settings, setup
 from tests.wire.support import wait_for
 
@@ -44,16 +44,16 @@
         assert (yield from heard(owner, SIDS[0], Kind.TESTED)).cause == 1
         text = yield from placed(day, owner, SIDS[1])
         assert text == host.made(SIDS[1])
-        [line] = host.lines(Word.OPEN)
+        [line] = host.lines(MessageType.OPEN)
         assert line.text == SIDS[1] + DESCRIPTION
-        host.links[0].say(Word.EVENT, SIDS[1], {"note": "runs", "value": "1"})
-        host.links[0].say(Word.CLOSE, SIDS[1].upper(), {"load": "x0:30;x1:60;backlog:0"}, code=16)
+        host.links[0].say(MessageType.EVENT, SIDS[1], {"note": "runs", "value": "1"})
+        host.links[0].say(MessageType.CLOSE, SIDS[1].upper(), {"load": "x0:30;x1:60;backlog:0"}, code=16)
         message = yield from heard(owner, SIDS[1], Kind.RELEASE)
         assert message.cause == 16 and day.standing() == 0
         yield from placed(day, owner, SIDS[2])
         owner.transport.write(binary.encode(Kind.RELEASE, SIDS[2], [(Code.CAUSE, b"\x1f")]))
-        yield from wait_for(lambda: host.lines(Word.CLOSE))
-        assert host.lines(Word.CLOSE)[0].sid == SIDS[2] and day.standing() == 0
+        yield from wait_for(lambda: host.lines(MessageType.CLOSE))
+        assert host.lines(MessageType.CLOSE)[0].sid == SIDS[2] and day.standing() == 0
 
     play(tmp_path, body)
 
@@ -61,14 +61,14 @@
 def test_a_refusal_says_how_long_to_stay_away_and_comes_at_once(tmp_path: Path) -> None:
     def body(day: Day) -> Co[None]:
         host = day.host("s-1")
-        host.on_open = lambda link, line: link.say(Word.CLOSE, line.sid, {}, code=47)
+        host.on_open = lambda link, line: link.say(MessageType.CLOSE, line.sid, {}, code=47)
         day.start()
         owner = yield from day.owner()
         began = day.loop.now()
         owner.transport.write(setup(SIDS[0]))
         message = yield from heard(owner, SIDS[0], Kind.RELEASE)
         assert message.cause == 34 and int(message.parameters[Code.STAY_AWAY]) >= 0
-        assert len(host.lines(Word.OPEN)) == 3 and day.loop.now() - began < 1500
+        assert len(host.lines(MessageType.OPEN)) == 3 and day.loop.now() - began < 1500
 
     play(tmp_path, body)
 
@@ -82,7 +82,7 @@
         host.links[0].transport.abort()
         yield from wait_for(lambda: len(host.links) == 2, 1000)
         assert day.standing() == 1 and not day.service.counters["lost_refused"]
-        host.links[1].say(Word.CLOSE, SIDS[0], code=16)
+        host.links[1].say(MessageType.CLOSE, SIDS[0], code=16)
         assert (yield from heard(owner, SIDS[0], Kind.RELEASE)).cause == 16
 
     play(tmp_path, body)
@@ -102,7 +102,7 @@
         day.paper.tell(other.entry())
         day.paper.tell(other.entry())  # the first number is held
         yield from wait_for(lambda: "s-2" in day.service.hosts.hosts)
-        other.on_open = lambda link, line: link.say(Word.READY, line.sid, text="x")
+        other.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
         yield from placed(day, owner, SIDS[1])
         newer = Host(day, "s-3")
         day.paper.tell(newer.entry(endpoint=other.entry()["endpoint"]))
@@ -126,13 +126,13 @@
         owner = yield from day.owner()
         yield from placed(day, owner, SIDS[0])
         yield from sleep(1800)
-        assert day.standing() == 1 and len(host.lines(Word.PROBE)) > 5, "tests that are answered keep it"
+        assert day.standing() == 1 and len(host.lines(MessageType.PROBE)) > 5, "tests that are answered keep it"
         host.tests = False
         began = day.loop.now()
         assert (yield from heard(owner, SIDS[0], Kind.RELEASE)).cause == 41
         assert 1000 < day.loop.now() - began < 1800
         host.tests = True
-        yield from wait_for(lambda: [line for line in host.lines(Word.CLOSE) if line.sid == SIDS[0]])
+        yield from wait_for(lambda: [line for line in host.lines(MessageType.CLOSE) if line.sid == SIDS[0]])
 
     play(tmp_path, body)
 
@@ -148,14 +148,14 @@
         owner = yield from day.owner()
         yield from placed(day, owner, SIDS[0])
         yield from sleep(2500)
-        assert not host.lines(Word.PROBE)
+        assert not host.lines(MessageType.PROBE)
         known = day.service.hosts.hosts["s-1"]
         known.last_heard -= 2000  # it spoke so long before
-        host.links[0].say(Word.EVENT, SIDS[0], {"note": "cores", "value": "1"})
+        host.links[0].say(MessageType.EVENT, SIDS[0], {"note": "cores", "value": "1"})
         yield from sleep(600)
-        assert not host.lines(Word.PROBE), "a note is a sign of life"
+        assert not host.lines(MessageType.PROBE), "a note is a sign of life"
         known.last_heard -= 4500
-        yield from wait_for(lambda: host.lines(Word.PROBE), 1000)
+        yield from wait_for(lambda: host.lines(MessageType.PROBE), 1000)
 
     play(tmp_path, body)
 
@@ -209,7 +209,7 @@
         owner = yield from day.owner()
         yield from placed(day, owner, SIDS[0])
         day.service.hosts.hosts["s-1"].last_heard -= 20_000  # nothing was read all that time
-        yield from wait_for(lambda: host.lines(Word.PROBED) or host.lines(Word.PROBE), 1000)
+        yield from wait_for(lambda: host.lines(MessageType.PROBED) or host.lines(MessageType.PROBE), 1000)
         yield from sleep(1500)
         assert day.standing() == 1 and not day.service.counters["lost_silent"]
 
@@ -231,7 +231,7 @@
         yield from placed(day, owner, SIDS[1])
 
         def once(link: Link, line: Line) -> None:
-            host.on_open = lambda link, line: link.say(Word.READY, line.sid, text=host.made(line.sid))
+            host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text=host.made(line.sid))
             if spoil is None:
                 link.transport.abort()
             else:
@@ -239,7 +239,7 @@
 
         host.on_open = once
         assert (yield from placed(day, owner, SIDS[0])) == host.made(SIDS[0]), "a safe task is tried again"
-        assert day.standing() == 2 and len(host.lines(Word.OPEN)) == 3
+        assert day.standing() == 2 and len(host.lines(MessageType.OPEN)) == 3
         assert day.service.counters["ended_reset"] == 1 and not owner.ended
 
     play(tmp_path, body)
@@ -253,14 +253,14 @@
         def late(link: Link, line: Line) -> None:
             tries.append(link)
             if len(tries) == 2:
-                tries[0].say(Word.READY, line.sid, text="of the first try")
-                day.loop.call_later(30, lambda: link.say(Word.READY, line.sid, text="of the second"))
+                tries[0].say(MessageType.READY, line.sid, text="of the first try")
+                day.loop.call_later(30, lambda: link.say(MessageType.READY, line.sid, text="of the second"))
 
         host.on_open = late
         day.start()
         owner = yield from day.owner()
         assert (yield from placed(day, owner, SIDS[0])) == "of the second"
-        assert tries[0] is not tries[1] and [line.code for line in host.lines(Word.CLOSE)] == [16]
+        assert tries[0] is not tries[1] and [line.code for line in host.lines(MessageType.CLOSE)] == [16]
 
     play(tmp_path, body)
 
@@ -287,7 +287,7 @@
         [first] = [host for host in day.hosts.values() if host.port == slow[0][1]]
         day.paper.tell(first.entry(state="DRAINING"))
         yield from heard(owner, SIDS[0], Kind.ANSWER)
-        assert day.service.counters["ended_moot"] == 1 and not first.lines(Word.OPEN)
+        assert day.service.counters["ended_moot"] == 1 and not first.lines(MessageType.OPEN)
 
     play(tmp_path, body)
 
@@ -308,7 +308,7 @@
         yield from wait_for(lambda: len(halves) == 2)
         owner.transport.write(setup(SIDS[2], FIGURES="cores:1;memory:1;service:s"))
         yield from wait_for(lambda: day.service.tasks.ledger.open == 3)
-        host.on_open = lambda link, line: link.say(Word.READY, line.sid, text="x")
+        host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
         for link, line in halves:
             link.transport.write(f'"sid":"{line.sid}","attrs":{{}},"text":"x"}}\n'.encode())
         for sid in SIDS[:3]:
@@ -326,10 +326,10 @@
         day.start()
         owner = yield from day.owner()
         known = day.service.hosts.hosts["s-1"]
-        known.letting = dict.fromkeys(SIDS[:2], day.loop.now() + 5000)  # it had fallen silent
+        known.pending_releases = dict.fromkeys(SIDS[:2], day.loop.now() + 5000)  # it had fallen silent
         owner.transport.write(setup(SIDS[0], FIGURES="cores:1;memory:2;service:s;at:s-1"))
-        yield from wait_for(lambda: host.lines(Word.CLOSE))
-        assert [line.sid for line in host.lines(Word.CLOSE)] == [SIDS[1]] and day.standing() == 1
+        yield from wait_for(lambda: host.lines(MessageType.CLOSE))
+        assert [line.sid for line in host.lines(MessageType.CLOSE)] == [SIDS[1]] and day.standing() == 1
 
     play(tmp_path, body)
 
@@ -339,9 +339,9 @@
         host = day.host("s-1")
 
         def more(link: Link, line: Line) -> None:
-            link.say(Word.READY, "f" * 16, text="of nobody")
-            link.say(Word.READY, line.sid, text="first")
-            link.say(Word.READY, line.sid, text="second")
+            link.say(MessageType.READY, "f" * 16, text="of nobody")
+            link.say(MessageType.READY, line.sid, text="first")
+            link.say(MessageType.READY, line.sid, text="second")
 
         def short(link: Link, line: Line) -> None:
             host.on_open = more
@@ -365,18 +365,18 @@
         day.start()
         owner = yield from day.owner()
         owner.transport.write(setup(SIDS[0]))
-        yield from wait_for(lambda: host.lines(Word.OPEN))
+        yield from wait_for(lambda: host.lines(MessageType.OPEN))
         owner.transport.close()
-        yield from wait_for(lambda: host.lines(Word.CLOSE))
-        assert host.lines(Word.CLOSE)[0].code == 16 and day.service.tasks.ledger.open == 0
+        yield from wait_for(lambda: host.lines(MessageType.CLOSE))
+        assert host.lines(MessageType.CLOSE)[0].code == 16 and day.service.tasks.ledger.open == 0
 
-        host.on_open = lambda link, line: link.say(Word.READY, line.sid, text="x")
+        host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
         owner = yield from day.owner()
         yield from placed(day, owner, SIDS[1])
         yield from placed(day, owner, SIDS[2])
         owner.transport.close()
         yield from wait_for(lambda: not day.service.owners.links)
-        host.links[-1].say(Word.CLOSE, SIDS[1], code=16)
+        host.links[-1].say(MessageType.CLOSE, SIDS[1], code=16)
         yield from wait_for(lambda: day.standing() == 1)
         owner = yield from day.owner()
         yield from placed(day, owner, SIDS[3])
@@ -409,7 +409,7 @@
         bad.transport.write(data)
         yield from wait_for(lambda: bad.ended or bad.got, 2900)
         assert all(message.kind == Kind.RELEASE for message in bad.got)
-        assert day.service.tasks.ledger.open == 0 and len(host.lines(Word.OPEN)) == 1
+        assert day.service.tasks.ledger.open == 0 and len(host.lines(MessageType.OPEN)) == 1
         assert not usual.ended and (yield from placed(day, usual, SIDS[-2]))
 
     play(tmp_path, body)
@@ -476,7 +476,7 @@
         links = day.service.owners.links
 
         def ends(sid: str) -> None:
-            next(link for link in host.links if not link.ended).say(Word.CLOSE, sid, code=16)
+            next(link for link in host.links if not link.ended).say(MessageType.CLOSE, sid, code=16)
 
         owner = yield from day.owner()
         yield from placed(day, owner, SIDS[0])
@@ -550,8 +550,8 @@
 
 
 def test_the_bulletin_breaks_off_falls_silent_and_moves(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feed, "PATIENCE_MS", 200.0)
-    monkeypatch.setattr(feed, "GRACE_MS", 100.0)
+    monkeypatch.setattr(feed, "LONG_POLL_MS", 200.0)
+    monkeypatch.setattr(feed, "ANSWER_GRACE_MS", 100.0)
 
     def body(day: Day) -> Co[None]:
         first, second = day.host("s-1"), day.host("s-2")
@@ -561,7 +561,7 @@
         day.paper.mode = "breaks"
         day.paper.tell(first.entry(state="DRAINING"))
         yield from wait_for(lambda: day.paper.asked.count(1) > 2)
-        assert "s-1" not in seen and day.service.feed.bulletin.last == 1
+        assert "s-1" not in seen and day.service.feed.bulletin.last_number == 1
         day.paper.mode = "answers"
         yield from wait_for(lambda: "s-1" in seen, 1500)
         day.paper.mode = "silent"
@@ -572,7 +572,7 @@
         owner = yield from day.owner()
         for sid in SIDS[:8]:
             yield from placed(day, owner, sid, FIGURES=f"cores:1;memory:1;service:{sid}")
-        assert not second.lines(Word.OPEN)
+        assert not second.lines(MessageType.OPEN)
 
         old, day.paper = day.paper, type(day.paper)(day)
         day.paper.items = list(old.items)
@@ -629,10 +629,10 @@
         assert not day.service.ended
         owner.transport.write(setup(SIDS[4]))
         assert (yield from heard(owner, SIDS[4], Kind.RELEASE)).cause == 34
-        slow[-1].say(Word.READY, SIDS[3], text="late")
+        slow[-1].say(MessageType.READY, SIDS[3], text="late")
         yield from heard(owner, SIDS[3], Kind.ANSWER)
         yield from wait_for(lambda: day.service.ended, 1000)
-        assert not [line for line in host.lines(Word.CLOSE) if line.sid != SIDS[3]], "standing tasks run on"
+        assert not [line for line in host.lines(MessageType.CLOSE) if line.sid != SIDS[3]], "standing tasks run on"
 
     play(tmp_path, body)
 
@@ -674,7 +674,7 @@
             transport = yield from connect(day.loop, task, (listen[0], int(listen[1])), 3000.0)
             owner = Link(transport, binary.Decoder(), lambda link, message: None)
             yield from placed(day, owner, SIDS[0])
-            host.links[0].say(Word.CLOSE, SIDS[0], code=16)
+            host.links[0].say(MessageType.CLOSE, SIDS[0], code=16)
             yield from heard(owner, SIDS[0], Kind.RELEASE)
             process.send_signal(signal.SIGHUP)
             events = (json.loads(line)["event"] for line in process.stdout)
--- a/tests/node/test_signals_all_the_way.py
+++ b/tests/node/test_signals_all_the_way.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from sprucepost.loop import Co, connect, current, sleep
-from sprucepost.node.config import read
+from sprucepost.node.config import read_config
 from tests.node.platform import Day, play
 
 ROOT = Path(__file__).parent.parent.parent
@@ -58,7 +58,7 @@
             while not up and process.poll() is None and time.monotonic() < until:
                 process.send_signal(signal.SIGHUP)
                 try:
-                    yield from connect(day.loop, task, read(environment).listen, 100.0)
+                    yield from connect(day.loop, task, read_config(environment).listen, 100.0)
                     up = True
                 except OSError:
                     yield from sleep(1)
--- a/tests/node/test_silent_hosts.py
+++ b/tests/node/test_silent_hosts.py
@@ -9,7 +9,7 @@
 from sprucepost.loop import Co, sleep
 from sprucepost.node import binary, health, jsonl, service
 from sprucepost.node.binary import Kind
-from sprucepost.node.jsonl import Word
+from sprucepost.node.jsonl import MessageType
 from sprucepost.node.tasks import LATE_MS
 from tests.node.platform import Day, heard, play, setup
 from tests.node.virtual import LISTEN, Placer, host_address, play_virtual
@@ -30,7 +30,7 @@
         owner = yield from day.owner()
         owner.transport.write(setup(TASK))
         yield from heard(owner, TASK, Kind.ANSWER)
-        yield from wait_for(lambda: len(host.lines(Word.PROBE)) >= 3)
+        yield from wait_for(lambda: len(host.lines(MessageType.PROBE)) >= 3)
         assert len(host.links) == 1
         assert day.standing() == 1 and len(owner.got) == 1
 
@@ -47,9 +47,9 @@
         [carrying] = placer.dialled(host_address(0))
         carrying.up = True
         yield from sleep(5)
-        carrying.inbox.append(jsonl.encode(Word.READY, TASK, text=jsonl.quoted("x")))
+        carrying.inbox.append(jsonl.encode(MessageType.READY, TASK, text=jsonl.quoted("x")))
         yield from sleep(1000)
-        carrying.inbox.append(jsonl.encode(Word.EVENT, TASK, {"note": "cores", "value": "0.5"}))
+        carrying.inbox.append(jsonl.encode(MessageType.EVENT, TASK, {"note": "cores", "value": "0.5"}))
         died = placer.loop.time  # right after that word, and without a sign
         placer.loop.time += stood_still_ms  # a turn that takes so long: the word lies unread
         yield from sleep(died + LATE_MS - placer.loop.time)
--- a/tests/node/test_stop.py
+++ b/tests/node/test_stop.py
@@ -19,7 +19,7 @@
 from sprucepost.node import binary
 from sprucepost.node.binary import Code, Kind
 from sprucepost.node.bounds import LINGER_MS
-from sprucepost.node.jsonl import Word
+from sprucepost.node.jsonl import MessageType
 from tests.node.platform import Day, answers, heard, play, settings, setup
 from tests.node.test_crossings import BEGUN, OTHER, Raw, begin, opened, release, warm
 from tests.node.test_process import owner as connected
@@ -84,7 +84,7 @@
         yield from wait_for(lambda: everything(owner, found), 2000)
         assert [m.cause for m in found if m.task == SIDS[2]] == ([34] if unread.startswith("a set-up") else [])
         if unread == "a release":
-            yield from wait_for(lambda: [line.sid for line in host.lines(Word.CLOSE)] == [SIDS[1]])
+            yield from wait_for(lambda: [line.sid for line in host.lines(MessageType.CLOSE)] == [SIDS[1]])
         assert len(opened(host)) == 2
         owner.close()
 
@@ -102,14 +102,14 @@
         yield from wait_for(lambda: SIDS[1] in opened(host))
         if crossing:
             [link] = [link for link in host.links if any(line.sid == SIDS[1] for line in link.got)]
-            link.say(Word.READY, SIDS[1], text="at the last moment")
+            link.say(MessageType.READY, SIDS[1], text="at the last moment")
             link.transport._flush()
         day.service._end()
         yield from wait_for(lambda: owner.ended, 2000)
         [message] = answers(owner, SIDS[1])
         if message.kind == Kind.RELEASE:
             assert message.cause == 41, "it may run: failed, not refused"
-            yield from wait_for(lambda: [line.sid for line in host.lines(Word.CLOSE)] == [SIDS[1]])
+            yield from wait_for(lambda: [line.sid for line in host.lines(MessageType.CLOSE)] == [SIDS[1]])
         assert day.service.tasks.ledger.open == 0
 
     play(tmp_path, body)
@@ -157,7 +157,7 @@
         yield from wait_for(lambda: day.service.tasks.ledger.open == 0, 10_000)
         yield from sleep(350)
         sent = [sid for sid in opened(host) if sid in set(flood)]
-        closed = [line.sid for line in host.lines(Word.CLOSE)]
+        closed = [line.sid for line in host.lines(MessageType.CLOSE)]
         assert len(sent) < 2000 and sorted(sent) == sorted(closed), "what was sent on has been taken back"
         assert not any(link.open for link in day.service.owners.links)
 
@@ -258,13 +258,13 @@
             link.transport.write(setup(SIDS[1], FIGURES=OTHER))  # still placed, so soon after
             yield from wait_for(lambda: len(late) == 2)
             for at, line in late:
-                at.say(Word.READY, line.sid, text="x")
+                at.say(MessageType.READY, line.sid, text="x")
             for sid in SIDS[:2]:
                 yield from heard(link, sid, Kind.ANSWER)
             assert (yield from ended(process)) == 0
             yield from wait_for(lambda: link.ended)
             assert events(process, "end").count("leaving") == 1
-            assert not host.lines(Word.CLOSE), "standing tasks run on"
+            assert not host.lines(MessageType.CLOSE), "standing tasks run on"
 
     play(tmp_path, body)
 
--- a/tests/node/test_tasks.py
+++ b/tests/node/test_tasks.py
@@ -11,7 +11,7 @@
 from sprucepost.adapter import settings_from
 from sprucepost.node import binary, jsonl, words
 from sprucepost.node.attempt import Attempt, SetUpResult
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from sprucepost.node.tasks import Tasks
 from sprucepost.node.words import Refused, SetUp, Words
 from sprucepost.placing.desk import Desk
@@ -110,7 +110,7 @@
         self.loop.pass_ms(1)
 
     def say(
-        self, word: Word, attrs: dict[str, str] | None = None, code: int | None = None, text: str | None = None
+        self, word: MessageType, attrs: dict[str, str] | None = None, code: int | None = None, text: str | None = None
     ) -> None:
         """The host that has the latest offer says something on its connection."""
         out = self.outs()[-1]
@@ -130,7 +130,7 @@
 def standing(**changes: Any) -> Around:
     around = Around()
     around.ask(**changes)
-    around.say(Word.READY, text="made")
+    around.say(MessageType.READY, text="made")
     return around
 
 
@@ -140,13 +140,13 @@
     [(_, out, line)] = around.events
     assert line.attrs["class"] == "bill" and line.attrs["idem"] == "k" * 32 and line.attrs["key"] == f"task-{SID[-4:]}"
     assert float(line.attrs["left"]) <= out.until - out.sent and line.text.startswith(SID)
-    around.say(Word.READY, text="made")
+    around.say(MessageType.READY, text="made")
     assert around.events[-1] == ("answer", SID, "made") and around.last(i.Accepted).request == out.entry.request
     assert out.entry.ask.setup.text == "", "a standing task keeps no description"
-    around.tasks.heard(out.machine, Line(Word.EVENT, SID, {"note": "cores", "value": "0.5"}))
+    around.tasks.heard(out.machine, Line(MessageType.EVENT, SID, {"note": "cores", "value": "0.5"}))
     around.loop.pass_ms(1)
     assert around.last(i.Note) == i.Note(out.entry.request, 0, i.NoteKind.CORES_USED, 0.5)
-    around.tasks.heard(out.machine, Line(Word.CLOSE, SID, {"load": "x0:3;x1:4;other:x"}, 16))
+    around.tasks.heard(out.machine, Line(MessageType.CLOSE, SID, {"load": "x0:3;x1:4;other:x"}, 16))
     around.loop.pass_ms(1)
     assert around.events[-1] == ("release", SID, 16) and around.last(i.Outcome).report == i.LoadReport(3.0, 4.0)
     assert not around.tasks.standing and len(around.tasks.ledger) == 0
@@ -159,7 +159,7 @@
 def test_what_a_cause_before_the_answer_means(code: int | None, ending: str) -> None:
     around = Around()
     around.ask()
-    around.say(Word.CLOSE, {"note": "no_memory"}, code)
+    around.say(MessageType.CLOSE, {"note": "no_memory"}, code)
     outcome = next(event for event in around.told if isinstance(event, i.Outcome))
     assert (outcome.ending.value, outcome.closed, outcome.reason) == (ending, False, i.Reason.NO_MEMORY)
 
@@ -169,7 +169,7 @@
     around = Around()
     around.ask()
     [out] = around.outs()
-    around.tasks.answered(out, Line(Word.CLOSE, SID, {}, 16, "made by m0"))
+    around.tasks.answered(out, Line(MessageType.CLOSE, SID, {}, 16, "made by m0"))
     around.loop.pass_ms(50)
     assert [event[0] for event in around.events] == ["open", "answer", "release"]
     assert around.events[1][1:] == (SID, "made by m0") and around.events[2][1:] == (SID, 16)
@@ -181,7 +181,7 @@
 @pytest.mark.parametrize("code, released", [(16, 16), (41, 41), (99, 41), (31, None)])
 def test_what_a_cause_after_the_answer_means(code: int, released: int | None) -> None:
     around = standing()
-    around.tasks.heard(around.outs()[0].machine, Line(Word.CLOSE, SID, {}, code))
+    around.tasks.heard(around.outs()[0].machine, Line(MessageType.CLOSE, SID, {}, code))
     around.loop.pass_ms(1)
     found = [event for event in around.events if event[0] == "release"]
     assert found == ([("release", SID, released)] if released else [])
@@ -193,7 +193,7 @@
     around = Around()
     around.ask()
     for _ in range(3):
-        around.say(Word.CLOSE, {}, 47)
+        around.say(MessageType.CLOSE, {}, 47)
     assert around.events[-1][:3] == ("refuse", SID, 34) and around.loop.now() < 1_000_000.0 + 500.0
     around.loop.pass_ms(4000)
     assert around.kinds().count("refuse") == 1
@@ -264,9 +264,9 @@
     around.ask(FIGURES="cores:1;memory:2;service:s;at:m1", LEFT="4294967")
     around.ask(FIGURES="cores:1;memory:2;service:s;at:m1")  # named again, though it is held
     assert around.events == [] and around.last(i.TaskFound).machine == "m1" and around.counters["found"] == 1
-    around.tasks.heard("m0", Line(Word.CLOSE, SID, {}, 16))  # another host's word on it
+    around.tasks.heard("m0", Line(MessageType.CLOSE, SID, {}, 16))  # another host's word on it
     assert around.events == [] and around.counters["late_words"] == 1
-    around.tasks.heard("m1", Line(Word.CLOSE, SID, {}, 16))
+    around.tasks.heard("m1", Line(MessageType.CLOSE, SID, {}, 16))
     assert around.events == [("release", SID, 16)]
 
 
@@ -274,7 +274,7 @@
     around = Around()
     around.ask()
     assert around.tasks.take(read(DESCRIPTION="another"), around, 0.0) is SetUpResult.REPEATED
-    around.say(Word.READY, text="made")
+    around.say(MessageType.READY, text="made")
     assert around.tasks.take(read(), around, 0.0) is SetUpResult.REPEATED
     assert len(around.outs()) == 1
 
@@ -283,15 +283,15 @@
     around = standing()
     out = around.outs()[0]
     for line in (
-        Line(Word.READY, SID, text="again"),
-        Line(Word.READY, "0" * 15 + "1", text="whose"),
-        Line(Word.CLOSE, "f" * 16, {}, 16),
+        Line(MessageType.READY, SID, text="again"),
+        Line(MessageType.READY, "0" * 15 + "1", text="whose"),
+        Line(MessageType.CLOSE, "f" * 16, {}, 16),
     ):
         around.tasks.heard(out.machine, line)
     around.tasks.end(out, i.Ending.RESET)
     assert around.kinds() == ["open", "answer"] and around.counters["late_words"] == 3
-    around.tasks.heard(out.machine, Line(Word.CLOSE, SID, {}, 16))
-    around.tasks.heard(out.machine, Line(Word.CLOSE, SID, {}, 16))
+    around.tasks.heard(out.machine, Line(MessageType.CLOSE, SID, {}, 16))
+    around.tasks.heard(out.machine, Line(MessageType.CLOSE, SID, {}, 16))
     assert around.kinds().count("release") == 1
 
 
@@ -310,8 +310,8 @@
         sid = f"{n + 1:016x}"
         around.ask(sid, FIGURES=f"cores:1;memory:2;service:{n:x}")
         if n % 3:
-            around.say(Word.READY, text="made")
-            around.tasks.heard(around.outs()[-1].machine, Line(Word.CLOSE, sid, {}, 16))
+            around.say(MessageType.READY, text="made")
+            around.tasks.heard(around.outs()[-1].machine, Line(MessageType.CLOSE, sid, {}, 16))
         else:
             around.tasks.owner_released(sid)
         around.loop.pass_ms(20)
--- a/tests/node/test_wall_clock_at_start.py
+++ b/tests/node/test_wall_clock_at_start.py
@@ -48,7 +48,7 @@
     def body(day: Day) -> Co[None]:
         host, other = day.host("s-1"), day.host("s-2")
         day.start()
-        yield from wait_for(lambda: day.service.feed.heard_at > 0)
+        yield from wait_for(lambda: day.service.feed.last_answer_at > 0)
         day.paper.tell(other.entry(boot_ms=loop.wall() - off))  # shows how far the clocks are apart
         yield from wait_for(lambda: lists_of(day) > 1)
         started = loop.wall() - off
@@ -74,7 +74,7 @@
     def body(day: Day) -> Co[None]:
         host = day.host("s-1")
         day.start()
-        yield from wait_for(lambda: day.service.feed.heard_at > 0)
+        yield from wait_for(lambda: day.service.feed.last_answer_at > 0)
         started = loop.wall() - off
         yield from sleep(200)
         day.paper.tell(host.entry(boot_ms=started))
@@ -101,7 +101,7 @@
         young, other = day.host("s-1"), day.host("s-2")
         day.paper.tell(young.entry(boot_ms=loop.wall() - HOUR_MS - 1000), other.entry(), everything=True)
         day.start()
-        yield from wait_for(lambda: day.service.feed.heard_at > 0)
+        yield from wait_for(lambda: day.service.feed.last_answer_at > 0)
         day.paper.tell(other.entry(boot_ms=loop.wall() - HOUR_MS))
         yield from wait_for(lambda: lists_of(day) > 1)
         yield from sleep(50)
--- a/tests/node/test_words_on_another_connection.py
+++ b/tests/node/test_words_on_another_connection.py
@@ -12,7 +12,7 @@
 from sprucepost.loop import Co, sleep
 from sprucepost.node.attempt import Attempt
 from sprucepost.node.binary import Kind
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from tests.node.platform import Day, Host, Link, answers, heard, play, setup
 from tests.node.test_crossings import SIDS, two_connections, warm
 from tests.node.test_tasks import SID, Around
@@ -45,10 +45,10 @@
     def body(day: Day, noted: bool, cause: int) -> Co[None]:
         _, owner, carrying, other = yield from out_on_one_of_two(day)
         if noted:
-            other.say(Word.EVENT, TASK, NOTE)
-        other.say(Word.CLOSE, TASK, code=cause)
+            other.say(MessageType.EVENT, TASK, NOTE)
+        other.say(MessageType.CLOSE, TASK, code=cause)
         assert (yield from heard(owner, TASK, Kind.RELEASE, 1000)).cause == 41
-        carrying.say(Word.READY, TASK, text="late")
+        carrying.say(MessageType.READY, TASK, text="late")
         yield from sleep(100)
         assert len(answers(owner, TASK)) == 1 and day.standing() == 2 and not day.service.tasks.ledger.open
 
@@ -60,11 +60,11 @@
 def test_a_note_on_another_connection_tells_that_a_release_is_of_a_task_that_stood(tmp_path: Path) -> None:
     def body(day: Day) -> Co[None]:
         host, owner, carrying, other = yield from out_on_one_of_two(day)
-        other.say(Word.EVENT, TASK, NOTE)
+        other.say(MessageType.EVENT, TASK, NOTE)
         yield from sleep(50)
-        carrying.say(Word.CLOSE, TASK, code=41)
+        carrying.say(MessageType.CLOSE, TASK, code=41)
         assert (yield from heard(owner, TASK, Kind.RELEASE, 1000)).cause == 41
-        assert sum(line.sid == TASK for line in host.lines(Word.OPEN)) == 1
+        assert sum(line.sid == TASK for line in host.lines(MessageType.OPEN)) == 1
 
     play(tmp_path, body)
 
@@ -75,7 +75,7 @@
     around.ask()
     [first] = around.outs()
     if noted:
-        around.tasks.heard(first.machine, Line(Word.EVENT, SID, NOTE))
+        around.tasks.heard(first.machine, Line(MessageType.EVENT, SID, NOTE))
     around.loop.pass_ms(first.until - around.loop.now() + 1.0)
     assert len(around.outs()) == 2 and ("give up", first) in around.events
     return around, first
@@ -85,7 +85,7 @@
 def test_a_release_of_a_task_that_stood_crosses_our_taking_it_back() -> None:
     around, first = withdrawn_at_its_host(noted=True)
     latest = around.outs()[-1]
-    around.tasks.heard(first.machine, Line(Word.CLOSE, SID, {}, 41))
+    around.tasks.heard(first.machine, Line(MessageType.CLOSE, SID, {}, 41))
     around.loop.pass_ms(1)
     assert around.events[-2:] == [("give up", latest), ("refuse", SID, 41, 0.0)]
     assert not around.tasks.ledger.open and not around.tasks.standing
@@ -97,8 +97,8 @@
 )
 def test_what_says_of_no_task_that_stood_ends_no_later_attempt(noted: bool, cause: int) -> None:
     around, first = withdrawn_at_its_host(noted)
-    around.tasks.heard(first.machine, Line(Word.CLOSE, SID, {}, cause))
-    around.say(Word.READY, text="made")
+    around.tasks.heard(first.machine, Line(MessageType.CLOSE, SID, {}, cause))
+    around.say(MessageType.READY, text="made")
     assert around.events[-1] == ("answer", SID, "made")
 
 
@@ -115,15 +115,17 @@
             carrying.append(link)
             link.transport.on_end = lambda: None  # it may still say something there
             if len(carrying) > 1:
-                link.say(Word.READY, line.sid, text="x")
+                link.say(MessageType.READY, line.sid, text="x")
 
         host.on_open = hold_the_first
         owner.transport.write(setup(TASK))
         yield from heard(owner, TASK, Kind.ANSWER)
-        carrying[0].say(Word.CLOSE, TASK, code=cause)  # on the connection that was taken back, which is still read
+        carrying[0].say(
+            MessageType.CLOSE, TASK, code=cause
+        )  # on the connection that was taken back, which is still read
         yield from sleep(50)
         assert day.standing() == 2 and len(answers(owner, TASK)) == 1
-        carrying[1].say(Word.CLOSE, TASK, code=41)
+        carrying[1].say(MessageType.CLOSE, TASK, code=41)
         yield from heard(owner, TASK, Kind.RELEASE)
 
     play(tmp_path, body)
@@ -141,6 +143,6 @@
     )
     around.loop.pass_ms(first.until - around.loop.now() + 1.0)
     assert around.outs()[-1].machine != first.machine
-    around.tasks.heard(first.machine, Line(Word.CLOSE, SID, {}, 41))
-    around.say(Word.READY, text="made")
+    around.tasks.heard(first.machine, Line(MessageType.CLOSE, SID, {}, 41))
+    around.say(MessageType.READY, text="made")
     assert around.events[-1] == ("answer", SID, "made")
--- a/tests/node/virtual.py
+++ b/tests/node/virtual.py
@@ -9,8 +9,8 @@
 
 from sprucepost.loop import Address, Co, Listener, Scope, Sock, in_scope
 from sprucepost.node import jsonl
-from sprucepost.node.config import read
-from sprucepost.node.jsonl import Word
+from sprucepost.node.config import read_config
+from sprucepost.node.jsonl import MessageType
 from sprucepost.node.log import Log
 from sprucepost.node.service import Service
 from tests.node.platform import settings
@@ -149,7 +149,7 @@
         self.path.write_text(json.dumps(self.document))
         environment = {"BALANCER_CONFIG": str(self.path)}
         log = Log(loop, "n0", lambda line: self.lines.append(json.loads(line)))
-        self.service = Service(loop, scope, environment, read(environment), log)
+        self.service = Service(loop, scope, environment, read_config(environment), log)
         scope.spawn(self.service.run(), "placer")
 
     def dialled(self, address: Address) -> list[VirtualSock]:
@@ -164,9 +164,9 @@
             sock.up = True
             lines, sock.sent = jsonl.Decoder().feed(bytes(sock.sent)), bytearray()
             for line in lines:
-                if line.word is Word.OPEN:
-                    sock.inbox.append(jsonl.encode(Word.READY, line.sid, text=jsonl.quoted("x")))
-                    sock.inbox.append(jsonl.encode(Word.CLOSE, line.sid, code=16))
+                if line.type is MessageType.OPEN:
+                    sock.inbox.append(jsonl.encode(MessageType.READY, line.sid, text=jsonl.quoted("x")))
+                    sock.inbox.append(jsonl.encode(MessageType.CLOSE, line.sid, code=16))
 
 
 def play_virtual(folder: Path, body: Callable[[Placer], Co[None]], **changes: Any) -> None:
