--- a/benchmarks/node_ready.py
+++ b/benchmarks/node_ready.py
@@ -44,7 +44,7 @@
 from sprucepost.loop import Co, Transport, connect, current, sleep
 from sprucepost.node import binary
 from sprucepost.node.binary import Code, Kind
-from tests.node.platform import Day, Link, Paper, play
+from tests.node.platform import BulletinServer, Link, Platform, run_on_platform
 from tests.node.program import cpu_s
 from tests.node.test_descriptors import PROVEN, IdleClient
 
@@ -70,14 +70,14 @@
     real_s: float
 
 
-class Discovery(Paper):
+class Discovery(BulletinServer):
     """``condition`` says how it treats a question."""
 
     condition = "answers"
 
     def _answer(self, transport: Transport, after: int) -> None:
         if self.condition == "late":
-            self.day.loop.call_later(LATE_MS, lambda: super(Discovery, self)._answer(transport, after))
+            self.platform.loop.call_later(LATE_MS, lambda: super(Discovery, self)._answer(transport, after))
         else:
             super()._answer(transport, after)
 
@@ -91,10 +91,10 @@
         return {"no": self.items[-1]["no"], "items": [item for item in self.items if item["no"] > after]}
 
 
-def discovery(day: Day, condition: str, hosts: int) -> Discovery:
+def discovery(platform: Platform, condition: str, hosts: int) -> Discovery:
     """A discovery that behaves so and knows so many hosts."""
-    found = Discovery(day)
-    host = day.host("s-0")
+    found = Discovery(platform)
+    host = platform.host("s-0")
     found.tell(*(host.entry(uid=f"s-{n}", endpoint=f"127.1.{n // 250}.{n % 250 + 1}:9") for n in range(hosts)),
                everything=True)  # fmt: skip
     if condition == "many lists":
@@ -131,88 +131,88 @@
 
 
 def start(
-    day: Day, environment: dict[str, str], listen: tuple[str, int], condition: str, found: list[Start]
+    platform: Platform, environment: dict[str, str], listen: tuple[str, int], condition: str, found: list[Start]
 ) -> Co[None]:
     """Start the program, test it until it passes, and end it."""
-    began = day.loop.now()
+    began = platform.loop.now()
     with subprocess.Popen(
         [sys.executable, "-m", "sprucepost", "node"], env={**os.environ, **environment}, stdout=subprocess.DEVNULL
     ) as process:
         try:
-            link = yield from listening(day, listen)
+            link = yield from listening(platform, listen)
             if condition == "reload":
-                reload(day, process)
+                reload(platform, process)
             link.transport.write(binary.encode(Kind.TEST, TEST, [(Code.CAUSE, b"\0")]))
-            while not link.got:
+            while not link.received:
                 yield from sleep(1.0)
-                if day.loop.now() - began > GIVE_UP_MS or process.poll() is not None:
+                if platform.loop.now() - began > GIVE_UP_MS or process.poll() is not None:
                     raise SystemExit(f"{condition}: the program did not become ready")
-            assert [message.cause for message in link.got] == [1]
-            found.append(Start(cpu_s(process.pid), waits(process.pid), (day.loop.now() - began) / 1000.0))
+            assert [message.cause for message in link.received] == [1]
+            found.append(Start(cpu_s(process.pid), waits(process.pid), (platform.loop.now() - began) / 1000.0))
             link.transport.abort()
         finally:
             process.kill()
 
 
-def listening(day: Day, address: tuple[str, int]) -> Co[Link]:
+def listening(platform: Platform, address: tuple[str, int]) -> Co[Link]:
     """A connection to the program, as soon as it takes one."""
     task = yield from current()
     while True:
         try:
-            transport = yield from connect(day.loop, task, address, GIVE_UP_MS)
+            transport = yield from connect(platform.loop, task, address, GIVE_UP_MS)
         except OSError:
             yield from sleep(AGAIN_MS)
             continue
         return Link(transport, binary.Decoder(), lambda link, message: None)
 
 
-def reload(day: Day, process: subprocess.Popen[bytes]) -> None:
+def reload(platform: Platform, process: subprocess.Popen[bytes]) -> None:
     """SIGHUP now, and again and again until the process has ended."""
     if process.poll() is None:
         process.send_signal(signal.SIGHUP)
-        day.loop.call_later(RELOAD_MS, lambda: reload(day, process))
+        platform.loop.call_later(RELOAD_MS, lambda: reload(platform, process))
 
 
 def condition_starts(condition: str, hosts: int, starts: int) -> list[Start]:
     """All starts under one condition."""
     found: list[Start] = []
 
-    def body(day: Day) -> Co[None]:
-        day.paper = discovery(day, condition, hosts)
+    def body(platform: Platform) -> Co[None]:
+        platform.bulletin = discovery(platform, condition, hosts)
         together = TOGETHER if condition == "thirty at once" else 1
         with unreachable() as nowhere:
-            address = nowhere if condition == "unreachable" else day.paper.address
+            address = nowhere if condition == "unreachable" else platform.bulletin.address
             for _ in range(0, starts, together):
                 wanted = len(found) + together
                 idle: list[IdleClient] = []
                 for n in range(together):
-                    environment, listen = configured(day, n, address)
+                    environment, listen = configured(platform, n, address)
                     if condition == "idle crowd":
-                        idle = [IdleClient(day, listen, PROVEN + k, Counter()) for k in range(IDLE_CLIENTS)]
-                    day._scope.spawn(start(day, environment, listen, condition, found), f"start {n}")
+                        idle = [IdleClient(platform, listen, PROVEN + k, Counter()) for k in range(IDLE_CLIENTS)]
+                    platform._scope.spawn(start(platform, environment, listen, condition, found), f"start {n}")
                 while len(found) < wanted:
                     yield from sleep(5.0)
                 for client in idle:
                     client.stop()
 
     with tempfile.TemporaryDirectory() as folder:
-        play(Path(folder), body)
+        run_on_platform(Path(folder), body)
     return found
 
 
-def configured(day: Day, number: int, address: str) -> tuple[dict[str, str], tuple[str, int]]:
+def configured(platform: Platform, number: int, address: str) -> tuple[dict[str, str], tuple[str, int]]:
     """A configuration of its own for one process: the environment that names it, and where that process will listen."""
-    folder = day.folder
-    day.folder = folder / f"n{number}"
-    day.folder.mkdir(exist_ok=True)
+    folder = platform.folder
+    platform.folder = folder / f"n{number}"
+    platform.folder.mkdir(exist_ok=True)
     listen = f"127.2.0.{number + 1}", PORT  # an address of its own: nobody else takes that port meanwhile
-    environment = day.environment(
-        name=day.folder.name,
+    environment = platform.environment(
+        name=platform.folder.name,
         listen=f"{listen[0]}:{listen[1]}",
         bulletin=address,
         limits={"memory_mb": 64, "sockets": 256},
     )
-    day.folder = folder
+    platform.folder = folder
     return dict(environment), listen
 
 
--- a/benchmarks/node_setups.py
+++ b/benchmarks/node_setups.py
@@ -18,7 +18,7 @@
 from sprucepost.loop import Co, connect, current, sleep
 from sprucepost.node import binary
 from sprucepost.node.jsonl import Line, MessageType
-from tests.node.platform import Day, Link, play, setup
+from tests.node.platform import Link, Platform, run_on_platform, setup
 from tests.node.program import cpu_s
 
 RATE, SECONDS, LIFE_MS, HOSTS, SERVICES = 90, 30, 5000.0, 12, 60
@@ -28,20 +28,22 @@
     """CPU seconds and resident KiB of one placer that served the load."""
     found: dict[str, float] = {}
 
-    def body(day: Day) -> Co[None]:
+    def body(platform: Platform) -> Co[None]:
         for n in range(HOSTS):
-            host = day.host(f"s-{n}")
+            host = platform.host(f"s-{n}")
 
             def runs(link: Link, line: Line) -> None:
-                link.say(MessageType.READY, line.sid, text="x")
-                day.loop.call_later(30.0, lambda: link.say(MessageType.EVENT, line.sid, {"note": "runs", "value": "1"}))
-                day.loop.call_later(
-                    LIFE_MS, lambda: link.say(MessageType.CLOSE, line.sid, {"load": "x0:9;x1:9;backlog:0"}, code=16)
+                link.send(MessageType.READY, line.sid, text="x")
+                platform.loop.call_later(
+                    30.0, lambda: link.send(MessageType.EVENT, line.sid, {"note": "runs", "value": "1"})
+                )
+                platform.loop.call_later(
+                    LIFE_MS, lambda: link.send(MessageType.CLOSE, line.sid, {"load": "x0:9;x1:9;backlog:0"}, code=16)
                 )
 
             host.on_open = runs
-        day.paper.tell(*(host.entry() for host in day.hosts.values()), everything=True)
-        environment = dict(day.environment())
+        platform.bulletin.publish(*(host.entry() for host in platform.hosts.values()), everything=True)
+        environment = dict(platform.environment())
         listen = json.loads((folder / "config.json").read_text())["listen"].split(":")
         with subprocess.Popen(command, env={**os.environ, **environment}, stdout=subprocess.PIPE) as process:
             assert process.stdout is not None
@@ -49,17 +51,22 @@
             os.set_blocking(process.stdout.fileno(), False)
             task = yield from current()
             link = Link(
-                (yield from connect(day.loop, task, (listen[0], int(listen[1])), 3000.0)), binary.Decoder(), _ignore
+                (yield from connect(platform.loop, task, (listen[0], int(listen[1])), 3000.0)),
+                binary.Decoder(),
+                _ignore,
             )
-            began, before = day.loop.now(), cpu_s(process.pid)
+            began, before = platform.loop.now(), cpu_s(process.pid)
             for n in range(RATE * SECONDS):
-                yield from sleep(max(0.0, began + n * 1000.0 / RATE - day.loop.now()))
+                yield from sleep(max(0.0, began + n * 1000.0 / RATE - platform.loop.now()))
                 figures = f"cores:0.1;memory:0.1;service:{n % SERVICES:016x}"
                 link.transport.write(setup(f"9b1f03aa{n:08x}", FIGURES=figures))
                 if n % RATE == 0:
                     process.stdout.read()
             yield from sleep(LIFE_MS + 500)
-            found["set_ups"], found["answered"] = RATE * SECONDS, sum(m.kind == binary.Kind.ANSWER for m in link.got)
+            found["set_ups"], found["answered"] = (
+                RATE * SECONDS,
+                sum(m.kind == binary.Kind.ANSWER for m in link.received),
+            )
             found["cpu_ms_a_set_up"] = round(1000 * (cpu_s(process.pid) - before) / (RATE * SECONDS), 3)
             status = Path(f"/proc/{process.pid}/status").read_text()
             found["resident_kib"] = next(
@@ -70,7 +77,7 @@
                 process.stdout.read()
                 yield from sleep(50)
 
-    play(folder, body)
+    run_on_platform(folder, body)
     return found
 
 
--- a/tests/node/platform.py
+++ b/tests/node/platform.py
@@ -68,11 +68,11 @@
     """One end of a connection, with its codec."""
 
     def __init__(self, transport: Transport, decoder: Any, take: Callable[[Link, Any], None]) -> None:
-        self.transport, self.got, self.ended = transport, [], False  # type: tuple[Transport, list[Any], bool]
+        self.transport, self.received, self.ended = transport, [], False  # type: tuple[Transport, list[Any], bool]
 
         def data(raw: bytes) -> None:
             for item in decoder.feed(raw):
-                self.got.append(item)
+                self.received.append(item)
                 take(self, item)
 
         transport.on_data, transport.on_end, transport.on_lost = data, self._end, lambda error: self._end()
@@ -82,7 +82,7 @@
         self.ended = True
         self.transport.close()
 
-    def say(self, word: MessageType, sid: str, attrs: dict[str, str] | None = None, **more: Any) -> None:
+    def send(self, word: MessageType, sid: str, attrs: dict[str, str] | None = None, **more: Any) -> None:
         """A host's line."""
         text = more.get("text")
         self.transport.write(
@@ -93,31 +93,31 @@
 class Host:
     """One host; ``on_open`` is what it does with a set-up, by default it answers with a description of its own."""
 
-    def __init__(self, day: Day, uid: str, port: int = 0) -> None:
-        self.day, self.uid = day, uid
+    def __init__(self, platform: Platform, uid: str, port: int = 0) -> None:
+        self.platform, self.uid = platform, uid
         self.links: list[Link] = []
-        self.on_open: Callable[[Link, Line], None] = lambda link, line: link.say(
-            MessageType.READY, line.sid, text=self.made(line.sid)
+        self.on_open: Callable[[Link, Line], None] = lambda link, line: link.send(
+            MessageType.READY, line.sid, text=self.description_for(line.sid)
         )
-        self.tests = True  # whether it answers them
-        self.acceptor = Acceptor(day.loop, day.loop.listen(("127.0.0.1", port)), self._take)
+        self.answers_probes = True  # whether it answers them
+        self.acceptor = Acceptor(platform.loop, platform.loop.listen(("127.0.0.1", port)), self._take)
         assert isinstance(self.acceptor.address, tuple)
         self.port = self.acceptor.address[1]
 
-    def made(self, sid: str) -> str:
+    def description_for(self, sid: str) -> str:
         return f"by {self.uid} for {sid}{DESCRIPTION}"
 
     def _take(self, sock: Sock) -> None:
-        self.links.append(Link(Transport(self.day.loop, sock), jsonl.Decoder(), self._line))
+        self.links.append(Link(Transport(self.platform.loop, sock), jsonl.Decoder(), self._line))
 
     def _line(self, link: Link, line: Line) -> None:
         if line.type is MessageType.OPEN:
             self.on_open(link, line)
-        elif line.type is MessageType.PROBE and self.tests:
-            link.say(MessageType.PROBED, line.sid, code=1)
+        elif line.type is MessageType.PROBE and self.answers_probes:
+            link.send(MessageType.PROBED, line.sid, code=1)
 
     def lines(self, word: MessageType) -> list[Line]:
-        return [line for link in self.links for line in link.got if line.type is word]
+        return [line for link in self.links for line in link.received if line.type is word]
 
     def die(self) -> None:
         """The process ends: nothing listens there any more, and its connections are reset."""
@@ -132,17 +132,17 @@
         }  # fmt: skip
 
 
-class Paper:
+class BulletinServer:
     """The bulletin: ``mode`` says how it treats a question ("answers", "silent", "breaks", "hasty")."""
 
-    def __init__(self, day: Day) -> None:
-        self.day, self.items, self.asked = day, [], []  # type: tuple[Day, list[Any], list[int]]
+    def __init__(self, platform: Platform) -> None:
+        self.platform, self.items, self.requests = platform, [], []  # type: tuple[Platform, list[Any], list[int]]
         self.mode = "answers"
         self._waiting: list[tuple[Transport, int]] = []
-        self.acceptor = Acceptor(day.loop, day.loop.listen(("127.0.0.1", 0)), self._take)
+        self.acceptor = Acceptor(platform.loop, platform.loop.listen(("127.0.0.1", 0)), self._take)
         self.address = f"127.0.0.1:{self.acceptor.address[1]}"
 
-    def tell(self, *entries: dict[str, Any], everything: bool = False) -> None:
+    def publish(self, *entries: dict[str, Any], everything: bool = False) -> None:
         number = len(self.items) + 1
         self.items.append({"no": number, "roster": {"rev": number, "all": everything, "targets": list(entries)}})
         waiting, self._waiting = self._waiting, []
@@ -153,7 +153,7 @@
         return {"no": len(self.items), "items": self.items[after:]}
 
     def _take(self, sock: Sock) -> None:
-        transport = Transport(self.day.loop, sock)
+        transport = Transport(self.platform.loop, sock)
         read = bytearray()
 
         def take(data: bytes) -> None:
@@ -169,14 +169,14 @@
         found = re.match(rb"GET /bulletins\?after=(\d+)&patience=(\d+) ", data)
         assert found is not None, data
         after = int(found[1])
-        self.asked.append(after)
+        self.requests.append(after)
         if self.mode == "silent":
             return
         if after < len(self.items) or self.mode == "hasty":
             self._answer(transport, after)
         else:
             self._waiting.append((transport, after))
-            self.day.loop.call_later(float(found[2]), lambda: self._patient(transport, after))
+            self.platform.loop.call_later(float(found[2]), lambda: self._patient(transport, after))
 
     def _patient(self, transport: Transport, after: int) -> None:
         if (transport, after) in self._waiting:
@@ -193,12 +193,12 @@
             transport.write(head + body)
 
 
-class Day:
+class Platform:
     """A placer and what is around it."""
 
     def __init__(self, loop: EpollLoop, scope: Scope, folder: Path) -> None:
         self.loop, self._scope, self.folder = loop, scope, folder
-        self.paper = Paper(self)
+        self.bulletin = BulletinServer(self)
         self.hosts: dict[str, Host] = {}
         self.lines: list[str] = []
         self.service: Service
@@ -211,15 +211,15 @@
         path = self.folder / "config.json"
         path.write_text(json.dumps({
             "name": "n0", "listen": f"127.0.0.1:{_free_port(self.loop)}", "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64}, "bulletin": self.paper.address,
-            "known": self.paper.document(), "settings": settings(), **changes,
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64}, "bulletin": self.bulletin.address,
+            "known": self.bulletin.document(), "settings": settings(), **changes,
         }))  # fmt: skip
         return {"BALANCER_CONFIG": str(path)}
 
     def start(self, **changes: Any) -> None:
         """Start the placer with the hosts so far as what is known."""
-        if not self.paper.items:
-            self.paper.tell(*(host.entry() for host in self.hosts.values()), everything=True)
+        if not self.bulletin.items:
+            self.bulletin.publish(*(host.entry() for host in self.hosts.values()), everything=True)
         environment = self.environment(**changes)
         config = read_config(environment)
         self.service = Service(self.loop, self._scope, environment, config, Log(self.loop, "n0", self.lines.append))
@@ -239,15 +239,15 @@
         return sum(map(len, self.service.tasks.standing.values()))
 
 
-def answers(owner: Link, sid: str) -> list[Message]:
+def messages_for(owner: Link, sid: str) -> list[Message]:
     """What an owner has heard of a task."""
-    return [message for message in owner.got if message.task == sid]
+    return [message for message in owner.received if message.task == sid]
 
 
-def heard(owner: Link, sid: str, kind: Kind, limit_ms: float = 3000) -> Co[Message]:
+def wait_for_message(owner: Link, sid: str, kind: Kind, limit_ms: float = 3000) -> Co[Message]:
     """Wait until the owner has heard that; nothing else may have come before it of the same task and kind."""
-    yield from wait_for(lambda: any(m.kind == kind for m in answers(owner, sid)), limit_ms)
-    found = [message for message in answers(owner, sid) if message.kind == kind]
+    yield from wait_for(lambda: any(m.kind == kind for m in messages_for(owner, sid)), limit_ms)
+    found = [message for message in messages_for(owner, sid) if message.kind == kind]
     assert len(found) == 1
     return found[0]
 
@@ -259,12 +259,12 @@
     return listener.address[1]
 
 
-def play(folder: Path, body: Callable[[Day], Co[None]], loop: EpollLoop | None = None) -> None:
+def run_on_platform(folder: Path, body: Callable[[Platform], Co[None]], loop: EpollLoop | None = None) -> None:
     """Run a test's coroutine beside everything else on one loop, which is closed afterwards."""
     loop = loop or EpollLoop(1)
 
     def main(scope: Scope) -> Co[None]:
-        yield from body(Day(loop, scope, folder))
+        yield from body(Platform(loop, scope, folder))
         scope.cancel()
 
     try:
--- a/tests/node/program.py
+++ b/tests/node/program.py
@@ -16,10 +16,10 @@
 from sprucepost.loop import Co, Transport, connect, current
 from sprucepost.node import binary
 from sprucepost.node.binary import Code, Kind
-from tests.node.platform import Day, Link, heard
+from tests.node.platform import Link, Platform, wait_for_message
 from tests.wire.support import wait_for
 
-STARTED_MS = 20_000.0  # for a start on a machine that is busy with other things
+START_TIMEOUT_MS = 20_000.0  # for a start on a machine that is busy with other things
 
 
 def cpu_s(pid: int) -> float:
@@ -47,16 +47,16 @@
 
 
 @contextmanager
-def running(day: Day, descriptors: int | None = None, **changes: Any) -> Iterator[Program]:
+def running(platform: Platform, descriptors: int | None = None, **changes: Any) -> Iterator[Program]:
     """The program with that limit of descriptors; it must live to the end of the block, and is killed there."""
-    environment = dict(day.environment(**changes))
-    host, port = json.loads((day.folder / "config.json").read_text())["listen"].split(":")
+    environment = dict(platform.environment(**changes))
+    host, port = json.loads((platform.folder / "config.json").read_text())["listen"].split(":")
 
     def limit() -> None:
         if descriptors is not None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
-    log = day.folder / "log"
+    log = platform.folder / "log"
     with (
         log.open("wb") as output,
         subprocess.Popen(
@@ -71,17 +71,17 @@
             process.kill()
 
 
-def connected(day: Day, program: Program) -> Co[Link]:
+def connected(platform: Platform, program: Program) -> Co[Link]:
     """A client's new connection."""
     task = yield from current()
-    transport: Transport = yield from connect(day.loop, task, program.address, 3000.0)
+    transport: Transport = yield from connect(platform.loop, task, program.address, 3000.0)
     return Link(transport, binary.Decoder(), lambda link, message: None)
 
 
-def passes_test(day: Day, program: Program, sid: str) -> Co[Link]:
+def passes_test(platform: Platform, program: Program, sid: str) -> Co[Link]:
     """Wait until the program listens, and until it has passed a test; the connection on which it has."""
-    yield from wait_for(lambda: program.lines("ready"), STARTED_MS)
-    link = yield from connected(day, program)
+    yield from wait_for(lambda: program.lines("ready"), START_TIMEOUT_MS)
+    link = yield from connected(platform, program)
     link.transport.write(binary.encode(Kind.TEST, sid, [(Code.CAUSE, b"\0")]))
-    assert (yield from heard(link, sid, Kind.TESTED, STARTED_MS)).cause == 1
+    assert (yield from wait_for_message(link, sid, Kind.TESTED, START_TIMEOUT_MS)).cause == 1
     return link
--- a/tests/node/soak.py
+++ b/tests/node/soak.py
@@ -26,7 +26,7 @@
 from sprucepost.node.config import read_config
 from sprucepost.node.jsonl import Line, MessageType
 from tests.node.faulty_system import BREAKING, PASSING, Faults
-from tests.node.platform import Day, Host, Link, play, settings, setup
+from tests.node.platform import Host, Link, Platform, run_on_platform, settings, setup
 
 ROOT = Path(__file__).parent.parent.parent
 HOSTS, CONNECTIONS = 6, 4
@@ -78,7 +78,7 @@
     """A host that runs tasks, and may die, hang or drain."""
 
     def __init__(self, soak: Soak, uid: str) -> None:
-        self.soak, self.uid, self.day = soak, uid, soak.day
+        self.soak, self.uid, self.platform = soak, uid, soak.platform
         self.host: Host = self._listen(0)
         self.running: dict[str, Link] = {}
         self.hangs_until = 0.0
@@ -87,20 +87,20 @@
         self.life = 0
 
     def _listen(self, port: int) -> Host:
-        host = self.day.host(self.uid, port)
+        host = self.platform.host(self.uid, port)
         host.on_open = self._open
         return host
 
     def _when_awake(self, call: Callable[[], None]) -> None:
         """A host that hangs does and says nothing until it is awake; one that has died never does."""
-        life, now = self.life, self.day.loop.now()
+        life, now = self.life, self.platform.loop.now()
 
         def awake() -> None:
             if self.life == life:
                 call()
 
         if now < self.hangs_until:
-            self.day.loop.call_later(self.hangs_until - now, awake)
+            self.platform.loop.call_later(self.hangs_until - now, awake)
         else:
             call()
 
@@ -113,39 +113,41 @@
         rng = self.soak.rng
         self.soak.attempt_came(self, line.sid)
         if rng.random() < 0.06:
-            link.say(MessageType.CLOSE, line.sid, code=rng.choice((34, 47)))
+            link.send(MessageType.CLOSE, line.sid, code=rng.choice((34, 47)))
             return
         self.running[line.sid] = link
         pause = rng.choice((0.0, 0.0, 0.0, 20.0, 200.0))
         life = self.life
-        self.day.loop.call_later(pause, lambda: self._answer(link, line.sid, life))
+        self.platform.loop.call_later(pause, lambda: self._answer(link, line.sid, life))
 
     def _answer(self, link: Link, sid: str, life: int) -> None:
         if life != self.life or self.running.get(sid) is not link:
             return
-        if any(said.type is MessageType.CLOSE and said.sid == sid for said in link.got) or link.ended:
+        if any(said.type is MessageType.CLOSE and said.sid == sid for said in link.received) or link.ended:
             self.running.pop(sid)  # it was taken back, or its connection ended with it open
             return
-        self._when_awake(lambda: link.say(MessageType.READY, sid, text=self.uid))
+        self._when_awake(lambda: link.send(MessageType.READY, sid, text=self.uid))
         runs = 1000.0 * self.soak.rng.choice(END_CHOICES)
-        self.day.loop.call_later(runs, lambda: self._when_awake(lambda: self._end(link, sid, life)))
+        self.platform.loop.call_later(runs, lambda: self._when_awake(lambda: self._end(link, sid, life)))
 
     def _end(self, link: Link, sid: str, life: int) -> None:
         if life != self.life or self.running.pop(sid, None) is None:
             return
-        if any(said.type is MessageType.CLOSE and said.sid == sid for each in self.host.links for said in each.got):
+        if any(
+            said.type is MessageType.CLOSE and said.sid == sid for each in self.host.links for said in each.received
+        ):
             return  # the placer has cut it
         self.soak.task_over(sid, self.uid)
-        now = self.day.loop.now()
+        now = self.platform.loop.now()
         said = self._say_end(sid, link)
-        self.day.loop.call_later(WHOLE_MS, lambda: self._note_told(sid, said, now))
+        self.platform.loop.call_later(WHOLE_MS, lambda: self._note_told(sid, said, now))
         self._repeat(sid, len(self.host.links), life)
 
     def _say_end(self, sid: str, link: Link) -> Link | None:
         usable = [link] if not link.ended else [other for other in self.host.links if not other.ended]
         if not usable:
             return None
-        usable[0].say(MessageType.CLOSE, sid, code=16)
+        usable[0].send(MessageType.CLOSE, sid, code=16)
         return usable[0]
 
     def _note_told(self, sid: str, said: Link | None, at: float) -> None:
@@ -158,9 +160,9 @@
             return
         later = [link for link in self.host.links[links:] if not link.ended]
         if later:
-            self._when_awake(lambda: later[0].say(MessageType.CLOSE, sid, code=16))
+            self._when_awake(lambda: later[0].send(MessageType.CLOSE, sid, code=16))
         else:
-            self.day.loop.call_later(10.0, lambda: self._repeat(sid, links, life))
+            self.platform.loop.call_later(10.0, lambda: self._repeat(sid, links, life))
 
     # Faults
 
@@ -185,21 +187,21 @@
         def back() -> None:
             if self.life == life and not self.soak.over:
                 self.host = self._listen(port)
-                self.boot_ms = self.soak.day.loop.wall()
-                self.day.loop.call_later(self.soak.rng.choice((0.0, 100.0, 1500.0)), self.tell)
+                self.boot_ms = self.soak.platform.loop.wall()
+                self.platform.loop.call_later(self.soak.rng.choice((0.0, 100.0, 1500.0)), self.tell)
 
-        self.day.loop.call_later(self.soak.rng.choice((30.0, 600.0)), back)
+        self.platform.loop.call_later(self.soak.rng.choice((30.0, 600.0)), back)
 
     def tell(self) -> None:
         """Have the list tell of it."""
         state = "DRAINING" if self.drains_since is not None else "SERVING"
-        self.day.paper.tell(self.host.entry(boot_ms=self.boot_ms, state=state))
+        self.platform.bulletin.publish(self.host.entry(boot_ms=self.boot_ms, state=state))
 
     def drain(self) -> None:
         if self.drains_since is None:
-            self.drains_since = self.day.loop.now()
+            self.drains_since = self.platform.loop.now()
             self.tell()
-            self.day.loop.call_later(DRAINS_MS, self.serve_again)
+            self.platform.loop.call_later(DRAINS_MS, self.serve_again)
 
     def serve_again(self) -> None:
         self.drains_since = None
@@ -209,8 +211,8 @@
 class Soak:
     """One run."""
 
-    def __init__(self, day: Day, seed: int, seconds: float, defect: str) -> None:
-        self.day, self.seed, self.seconds, self.defect = day, seed, seconds, defect
+    def __init__(self, platform: Platform, seed: int, seconds: float, defect: str) -> None:
+        self.platform, self.seed, self.seconds, self.defect = platform, seed, seconds, defect
         self.rng = random.Random(seed)
         # By itself, so that a seed's faults do not depend on the order in which requests and answers come.
         self._fault_rng = random.Random(f"faults of {seed}")
@@ -229,14 +231,14 @@
         self.hosts = [SoakHost(self, f"s-{n}") for n in range(HOSTS)]
         for host in self.hosts:
             host.tell()
-        day.paper.items.clear()
-        day.paper.tell(*(host.host.entry() for host in self.hosts), everything=True)
+        platform.bulletin.items.clear()
+        platform.bulletin.publish(*(host.host.entry() for host in self.hosts), everything=True)
         self.deadline_ms = DEADLINES_MS[seed % len(DEADLINES_MS)]
         self.kill_ms = min(LONGEST_MS, self.deadline_ms) + KILL_AFTER_MS
         classes = [{**each, "deadline": self.deadline_ms} for each in settings()["classes"]]
-        self.environment = day.environment(settings=settings(classes=classes))
+        self.environment = platform.environment(settings=settings(classes=classes))
         self.listen = read_config(self.environment).listen
-        self.log = (day.folder / f"log-{seed}").open("w")
+        self.log = (platform.folder / f"log-{seed}").open("w")
         self.process = subprocess.Popen(
             [sys.executable, "-m", "tests.node.faulty_system", self._faults().text()],
             stdout=self.log, stderr=self.log, cwd=ROOT, env={**os.environ, **self.environment},
@@ -258,7 +260,7 @@
     # What hosts report
 
     def attempt_came(self, host: SoakHost, sid: str) -> None:
-        now, seen = self.day.loop.now(), self.tasks.get(sid)
+        now, seen = self.platform.loop.now(), self.tasks.get(sid)
         self.verdict.counts["attempts"] += 1
         if seen is None:
             self.verdict.bad.append(f"{sid}: nobody sent it")
@@ -275,7 +277,7 @@
     def task_over(self, sid: str, uid: str) -> None:
         seen = self.tasks[sid]
         if seen.answers and self._answered_at.get(sid) == uid and seen.ended is None:
-            seen.ended = self.day.loop.now()
+            seen.ended = self.platform.loop.now()
 
     def task_told(self, sid: str, at: float) -> None:
         seen = self.tasks[sid]
@@ -293,12 +295,12 @@
             text = message.parameters.get(Code.DESCRIPTION, b"")
             self._answered_at[message.task] = text.decode().strip('"')
         elif message.kind == Kind.RELEASE:
-            seen.releases.append(self.day.loop.now())
+            seen.releases.append(self.platform.loop.now())
             seen.refused |= not seen.answers
 
     def _connect(self, task: Task[Any]) -> Co[Link | None]:
         try:
-            transport = yield from connect(self.day.loop, task, self.listen, 1000.0)
+            transport = yield from connect(self.platform.loop, task, self.listen, 1000.0)
         except (OSError, TimedOut):
             return None
         link = Link(transport, binary.Decoder(), lambda _, message: self._heard(message))
@@ -307,7 +309,7 @@
         def ended() -> None:
             link.ended = True
             link.transport.close()
-            self._ended_at[link] = self.day.loop.now()
+            self._ended_at[link] = self.platform.loop.now()
 
         transport.on_end, transport.on_lost = ended, lambda error: ended()
         return link
@@ -328,7 +330,7 @@
                 continue
             count += 1
             sid = f"{number:04x}{count:04x}{self.seed & 0xFFFFFFFF:08x}"
-            seen = self.tasks[sid] = TaskSeen(sid, self.day.loop.now(), link)
+            seen = self.tasks[sid] = TaskSeen(sid, self.platform.loop.now(), link)
             self.verdict.counts["requests"] += 1
             changes = self.rng.choice(({"CLASS": "web"}, {"CLASS": "bill", "KEY": sid}))
             figures = f"cores:1;memory:2;service:{self.rng.choice(SERVICES)}"
@@ -337,7 +339,7 @@
             if fate < 0.05:
                 yield from sleep(self.rng.choice((0.0, 5.0, 100.0)))
                 if not link.ended and not seen.answers and not seen.releases:
-                    seen.left = self.day.loop.now()
+                    seen.left = self.platform.loop.now()
                     link.transport.write(binary.encode(Kind.RELEASE, sid, [(Code.CAUSE, bytes([16]))]))
             elif fate < 0.06:
                 self._leave(link)
@@ -346,7 +348,7 @@
     def _leave(self, link: Link) -> None:
         for seen in self.tasks.values():
             if seen.link is link and not seen.answers and not seen.releases and seen.left is None:
-                seen.left = self.day.loop.now()
+                seen.left = self.platform.loop.now()
         link.transport.abort()
         link.ended = True
 
@@ -369,7 +371,7 @@
             elif kind == "die":
                 host.die()
             elif kind == "hang":
-                host.hangs_until = self.day.loop.now() + self._fault_rng.choice((200.0, 1500.0))
+                host.hangs_until = self.platform.loop.now() + self._fault_rng.choice((200.0, 1500.0))
             elif kind == "drain":
                 host.drain()
             elif kind == "list":
@@ -381,20 +383,20 @@
 
     def _list_fault(self) -> None:
         for_ms = self._fault_rng.choice((300.0, 2000.0))
-        self.day.paper.mode = self._fault_rng.choice(("silent", "breaks"))
-        self.list_fault_until = self.day.loop.now() + for_ms + 2500.0
+        self.platform.bulletin.mode = self._fault_rng.choice(("silent", "breaks"))
+        self.list_fault_until = self.platform.loop.now() + for_ms + 2500.0
 
         def well() -> None:
-            self.day.paper.mode = "answers"
+            self.platform.bulletin.mode = "answers"
 
-        self.day.loop.call_later(for_ms, well)
+        self.platform.loop.call_later(for_ms, well)
 
     def _stand_still(self) -> None:
         """The process is stopped for a moment."""
         for_ms = self._fault_rng.choice((50.0, 300.0))
-        self.busy_until = self.day.loop.now() + for_ms + LEFT_MS
+        self.busy_until = self.platform.loop.now() + for_ms + LEFT_MS
         self.process.send_signal(signal.SIGSTOP)
-        self.day.loop.call_later(for_ms, lambda: self.process.send_signal(signal.SIGCONT))
+        self.platform.loop.call_later(for_ms, lambda: self.process.send_signal(signal.SIGCONT))
 
     # The run
 
@@ -410,8 +412,8 @@
             return
         self.process.send_signal(signal.SIGCONT)
         self.process.send_signal(signal.SIGTERM)
-        began = self.terminated = self.day.loop.now()
-        while self.process.poll() is None and self.day.loop.now() - began < self.kill_ms:
+        began = self.terminated = self.platform.loop.now()
+        while self.process.poll() is None and self.platform.loop.now() - began < self.kill_ms:
             if self.rng.random() < 0.02:  # once more
                 self.process.send_signal(signal.SIGTERM)
             yield from sleep(5)
@@ -458,16 +460,16 @@
     """One soak, of a placer with that planted defect if any."""
     found: list[Verdict] = []
 
-    def body(day: Day) -> Co[None]:
-        soak = Soak(day, seed, seconds, defect)
+    def body(platform: Platform) -> Co[None]:
+        soak = Soak(platform, seed, seconds, defect)
         found.append(soak.verdict)
         try:
-            spawn = day.spawn
+            spawn = platform.spawn
             for number in range(CONNECTIONS):
                 spawn(soak.owner(number), f"owner {number}")
             spawn(soak.faults(), "faults")
             yield from soak.play()
-            soak.judge(soak.terminated or day.loop.now())
+            soak.judge(soak.terminated or platform.loop.now())
         finally:
             soak.over = True
             if soak.process.poll() is None:
@@ -475,7 +477,7 @@
             soak.process.wait(10)
             soak.log.close()
 
-    play(folder, body)
+    run_on_platform(folder, body)
     return found[0]
 
 
--- a/tests/node/test_clients_that_left.py
+++ b/tests/node/test_clients_that_left.py
@@ -23,7 +23,7 @@
 from sprucepost.node.host import Host as HostState
 from sprucepost.node.host import HostLink
 from sprucepost.node.jsonl import MessageType
-from tests.node.platform import Day, Host, Link, heard, play, setup
+from tests.node.platform import Host, Link, Platform, run_on_platform, setup, wait_for_message
 from tests.node.stepped import SteppedLoop, all_lies_unread, lies_unread
 from tests.node.test_crossings import OTHER, SIDS, Raw, deciding, opened, patient, release, warm
 from tests.wire.support import wait_for
@@ -62,9 +62,9 @@
 class Client:
     """A client with two connections that have been read, and how it leaves."""
 
-    def __init__(self, day: Day, loop: SteppedLoop, way: str) -> None:
-        self.day, self.loop, self.way = day, loop, way
-        self.own, self.other = Raw(day), Raw(day)
+    def __init__(self, platform: Platform, loop: SteppedLoop, way: str) -> None:
+        self.platform, self.loop, self.way = platform, loop, way
+        self.own, self.other = Raw(platform), Raw(platform)
         self.new: socket.socket | None = None
         self.left_at: float | None = None
 
@@ -79,8 +79,8 @@
 
     def leave(self) -> None:
         """Leave; it lies in the placer's kernel when this returns. What the placer does next takes ``BUSY_MS``."""
-        owners = self.day.service.owners
-        fd = self.own.taken(self.day).transport._sock.fd  # type: ignore[attr-defined]
+        owners = self.platform.service.owners
+        fd = self.own.taken(self.platform).transport._sock.fd  # type: ignore[attr-defined]
         if self.way == "close":
             self.own.close()
         elif self.way == "half-close":
@@ -90,11 +90,11 @@
         elif self.way == "give-up":
             self.own.send(release(LEAVING))
         elif self.way == "give-up on another connection":
-            fd = self.other.taken(self.day).transport._sock.fd  # type: ignore[attr-defined]
+            fd = self.other.taken(self.platform).transport._sock.fd  # type: ignore[attr-defined]
             self.other.send(release(LEAVING))
         else:
             fd = owners._acceptor._listener.fd  # type: ignore[attr-defined]
-            self.new = socket.create_connection(self.day.service.config.listen)
+            self.new = socket.create_connection(self.platform.service.config.listen)
             self.new.send(release(LEAVING))
         lies_unread(fd)
         self.left_at = self.loop.time
@@ -106,7 +106,7 @@
                 sock.close()
 
 
-def at_its_offer(day: Day, sid: str, number: int, call: Callable[[], None]) -> None:
+def at_its_offer(platform: Platform, sid: str, number: int, call: Callable[[], None]) -> None:
     """Call it once the module has decided on the task's ``number``-th attempt, before that is carried out."""
     seen: list[i.Offer] = []
 
@@ -115,51 +115,51 @@
             action
             for action in actions
             if isinstance(action, i.Offer)
-            and (entry := day.service.tasks.ledger.by_request(action.request)) is not None
+            and (entry := platform.service.tasks.ledger.by_request(action.request)) is not None
             and entry.name == sid
         ]
         if len(seen) < number <= len(seen) + len(mine):
             call()
         seen.extend(mine)
 
-    deciding(day, act)
+    deciding(platform, act)
 
 
 # Where the request waits when its client leaves; each returns once that has happened
 
 
-def first_attempt(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
-    at_its_offer(day, LEAVING, 1, client.leave)
+def first_attempt(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+    at_its_offer(platform, LEAVING, 1, client.leave)
     client.ask()
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def in_the_queue(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+def in_the_queue(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """Behind others, one a batch, each of which costs as much."""
     monkeypatch.setattr(tasks, "BATCH_MOST", 1)
-    at_its_offer(day, LEAVING, 1, client.leave)
+    at_its_offer(platform, LEAVING, 1, client.leave)
     client.other.send(b"".join(setup(sid, FIGURES=OTHER) for sid in SIDS[300:304]))
     client.ask()
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def next_attempt(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+def next_attempt(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """The first one has been refused."""
-    host.on_open = lambda link, line: link.say(MessageType.CLOSE, line.sid, code=102)
-    at_its_offer(day, LEAVING, 2, client.leave)
+    host.on_open = lambda link, line: link.send(MessageType.CLOSE, line.sid, code=102)
+    at_its_offer(platform, LEAVING, 2, client.leave)
     client.ask()
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def refused_in_one_wake_up(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+def refused_in_one_wake_up(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """The host's refusal is read first, the client's end lies right behind it."""
 
     def refuse(link: Link, line: jsonl.Line) -> None:
         if client.left_at is not None:
             return
-        link.say(MessageType.CLOSE, line.sid, code=102)
+        link.send(MessageType.CLOSE, line.sid, code=102)
         link.transport.flush()
-        [ours] = [mine for mine in day.service.hosts.hosts["s-1"].links if LEAVING in mine.open]
+        [ours] = [mine for mine in platform.service.hosts.hosts["s-1"].links if LEAVING in mine.open]
         lies_unread(ours.transport._sock.fd)  # type: ignore[attr-defined]
         client.leave()
 
@@ -168,21 +168,21 @@
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def at_an_answer(day: Day, sid: str, call: Callable[[], None]) -> None:
+def at_an_answer(platform: Platform, sid: str, call: Callable[[], None]) -> None:
     """Call it once a host has answered that task, before what waits for its connection is looked at."""
-    real = day.service.tasks.answered
+    real = platform.service.tasks.answered
 
     def answered(attempt: Attempt, line: jsonl.Line) -> None:
         real(attempt, line)
         if attempt.sid == sid:
             call()
 
-    day.service.tasks.answered = answered  # type: ignore[method-assign]
+    platform.service.tasks.answered = answered  # type: ignore[method-assign]
 
 
-def for_a_connection(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+def for_a_connection(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """There may be no more to its host, and on none of them can be written: half a line has come there."""
-    day.service.hosts._descriptors.guaranteed_share = 2
+    platform.service.hosts._descriptors.guaranteed_share = 2
     busy, halves = SIDS[310:312], list[tuple[Link, bytes]]()
 
     def half(link: Link, line: jsonl.Line) -> None:
@@ -193,40 +193,40 @@
     host.on_open = half
     for sid in busy:
         client.other.send(setup(sid, FIGURES=OTHER))
-    ours = day.service.hosts.hosts["s-1"]
+    ours = platform.service.hosts.hosts["s-1"]
     yield from wait_for(lambda: len(halves) == 2 and all(link.decoder.waiting for link in ours.links))
     host.on_open = lambda link, line: None
     client.ask()
     yield from wait_for(lambda: len(ours.waiting) == 1)
-    at_an_answer(day, busy[0], client.leave)
+    at_an_answer(platform, busy[0], client.leave)
     for link, rest in halves:
         link.transport.write(rest)
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def for_a_descriptor(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+def for_a_descriptor(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """The one connection to its host is taken, and there is no descriptor for another."""
     taken: list[tuple[Link, str]] = []
     host.on_open = lambda link, line: taken.append((link, line.sid))
     client.other.send(setup(SIDS[310], FIGURES=OTHER))
     yield from wait_for(lambda: taken)
-    monkeypatch.setattr(day.service.hosts, "_descriptors", Descriptors(0, lambda: 0))
-    ours = day.service.hosts.hosts["s-1"]
+    monkeypatch.setattr(platform.service.hosts, "_descriptors", Descriptors(0, lambda: 0))
+    ours = platform.service.hosts.hosts["s-1"]
     for idle in [link for link in ours.links if not link.open]:
-        day.service.hosts._end(ours, idle, "idle")
+        platform.service.hosts._end(ours, idle, "idle")
     client.ask()
     yield from wait_for(lambda: len(ours.waiting) == 1)
-    at_an_answer(day, SIDS[310], client.leave)
+    at_an_answer(platform, SIDS[310], client.leave)
     [(link, sid)] = taken
-    link.say(MessageType.READY, sid, text="x")
+    link.send(MessageType.READY, sid, text="x")
     yield from wait_for(lambda: client.left_at is not None)
 
 
 def for_a_dial(
-    day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch, dial_ms: float = 50.0
+    platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch, dial_ms: float = 50.0
 ) -> Co[None]:
     """There is no connection to its host; one comes up, and the client has just left."""
-    ours, real, dial = day.service.hosts.hosts["s-1"], HostLink, connect
+    ours, real, dial = platform.service.hosts.hosts["s-1"], HostLink, connect
 
     def link_made(*args: Any) -> HostLink:
         if client.left_at is None and ours.waiting:
@@ -240,14 +240,14 @@
     monkeypatch.setattr(hosts, "HostLink", link_made)
     monkeypatch.setattr(hosts, "connect", dialled)
     for link in list(ours.links):
-        day.service.hosts._end(ours, link, "idle")
+        platform.service.hosts._end(ours, link, "idle")
     client.ask()
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def for_a_late_dial(day: Day, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+def for_a_late_dial(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """Likewise, half a second later."""
-    yield from for_a_dial(day, host, client, monkeypatch, dial_ms=500.0)
+    yield from for_a_dial(platform, host, client, monkeypatch, dial_ms=500.0)
 
 
 WAITS = [
@@ -264,25 +264,25 @@
     loop = SteppedLoop()
     attempts = Attempts(loop, monkeypatch)
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start(settings=patient())
-        staying = yield from warm(day, SIDS[0])
-        client = Client(day, loop, way)
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start(settings=patient())
+        staying = yield from warm(platform, SIDS[0])
+        client = Client(platform, loop, way)
         yield from client.known()
-        yield from waits(day, host, client, monkeypatch)
+        yield from waits(platform, host, client, monkeypatch)
         assert client.left_at is not None
-        yield from wait_for(lambda: day.service.counters["given_up"] == 1)
+        yield from wait_for(lambda: platform.service.counters["given_up"] == 1)
         yield from sleep(300)
         assert not attempts.late(LEAVING, client.left_at)
-        assert not day.service.hosts.hosts["s-1"].waiting
-        assert not any(LEAVING in link.open for link in day.service.owners.links)
-        host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
+        assert not platform.service.hosts.hosts["s-1"].waiting
+        assert not any(LEAVING in link.open for link in platform.service.owners.links)
+        host.on_open = lambda link, line: link.send(MessageType.READY, line.sid, text="x")
         staying.transport.write(setup(STAYING))
-        yield from heard(staying, STAYING, Kind.ANSWER)
+        yield from wait_for_message(staying, STAYING, Kind.ANSWER)
         client.close()
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -293,20 +293,20 @@
     loop = SteppedLoop()
     attempts = Attempts(loop, monkeypatch)
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start(settings=patient())
-        yield from warm(day, SIDS[0])
-        client = Client(day, loop, way)
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start(settings=patient())
+        yield from warm(platform, SIDS[0])
+        client = Client(platform, loop, way)
         yield from client.known()
-        day.service.leave()
-        yield from waits(day, host, client, monkeypatch)
+        platform.service.leave()
+        yield from waits(platform, host, client, monkeypatch)
         assert client.left_at is not None
-        yield from wait_for(lambda: day.service.ended, 10_000)
-        assert not attempts.late(LEAVING, client.left_at) and day.service.counters["given_up"] == 1
+        yield from wait_for(lambda: platform.service.ended, 10_000)
+        assert not attempts.late(LEAVING, client.left_at) and platform.service.counters["given_up"] == 1
         client.close()
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
 
 
 # What a look must reach
@@ -315,8 +315,8 @@
 def placed_while(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
-    busy: Callable[[Day, Client], None],
-    prepare: Callable[[Day], Co[None]] | None = None,
+    busy: Callable[[Platform, Client], None],
+    prepare: Callable[[Platform], Co[None]] | None = None,
     sockets: int = 1024,
 ) -> None:
     """``busy`` happens between the decision on a client's request and the wire, and has the client give it up: nothing may
@@ -324,37 +324,37 @@
     loop = SteppedLoop()
     attempts = Attempts(loop, monkeypatch)
 
-    def body(day: Day) -> Co[None]:
-        day.host("s-1")
-        day.start(settings=patient(), limits={"cores": 1.0, "memory_mb": 64, "sockets": sockets})
-        staying = yield from warm(day, SIDS[0])
-        client = Client(day, loop, "give-up on another connection")
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1")
+        platform.start(settings=patient(), limits={"cores": 1.0, "memory_mb": 64, "sockets": sockets})
+        staying = yield from warm(platform, SIDS[0])
+        client = Client(platform, loop, "give-up on another connection")
         yield from client.known()
         if prepare is not None:
-            yield from prepare(day)
-        at_its_offer(day, LEAVING, 1, lambda: busy(day, client))
+            yield from prepare(platform)
+        at_its_offer(platform, LEAVING, 1, lambda: busy(platform, client))
         client.ask()
-        yield from wait_for(lambda: day.service.counters["given_up"] == 1)
+        yield from wait_for(lambda: platform.service.counters["given_up"] == 1)
         yield from sleep(300)
         assert client.left_at is not None and not attempts.late(LEAVING, client.left_at)
         staying.transport.write(setup(STAYING))
-        yield from heard(staying, STAYING, Kind.ANSWER)
+        yield from wait_for_message(staying, STAYING, Kind.ANSWER)
         client.close()
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
 
 
 def test_a_give_up_behind_two_thousand_readable_sockets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """One wait of the system's names 1,023 sockets unless it is asked for more."""
     others: list[Raw] = []
 
-    def prepare(day: Day) -> Co[None]:
+    def prepare(platform: Platform) -> Co[None]:
         for _ in range(40):
-            others.extend(Raw(day) for _ in range(50))
+            others.extend(Raw(platform) for _ in range(50))
             yield from sleep(2)
-        yield from wait_for(lambda: len(day.service.owners.links) > 2000)
+        yield from wait_for(lambda: len(platform.service.owners.links) > 2000)
 
-    def busy(day: Day, client: Client) -> None:
+    def busy(platform: Platform, client: Client) -> None:
         for n, raw in enumerate(others):
             raw.send(binary.encode(Kind.TEST, f"{n:016x}", [(Code.CAUSE, b"\0")]))
         client.leave()
@@ -367,8 +367,8 @@
 def test_a_give_up_on_the_last_of_two_hundred_new_connections(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     newcomers: list[Raw] = []
 
-    def busy(day: Day, client: Client) -> None:
-        newcomers.extend(Raw(day) for _ in range(200))
+    def busy(platform: Platform, client: Client) -> None:
+        newcomers.extend(Raw(platform) for _ in range(200))
         client.way = "give-up on a new connection"
         client.leave()
 
@@ -381,7 +381,7 @@
 def test_an_end_that_lies_behind_other_bytes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, way: str) -> None:
     """One read takes the bytes, and only the next one finds the end."""
 
-    def busy(day: Day, client: Client) -> None:
+    def busy(platform: Platform, client: Client) -> None:
         client.way = way
         client.own.send(binary.encode(Kind.TEST, "0" * 16, [(Code.CAUSE, b"\0")]))
         client.leave()
@@ -401,18 +401,18 @@
 ) -> None:
     """Also where the connection is another one of that client's: it waits until that has been read."""
 
-    def busy(day: Day, client: Client) -> None:
+    def busy(platform: Platform, client: Client) -> None:
         raw = client.own if own else client.other
-        sock = raw.taken(day).transport._sock._sock  # type: ignore[attr-defined]
+        sock = raw.taken(platform).transport._sock._sock  # type: ignore[attr-defined]
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         data = filler() + release(LEAVING)
         raw.sock.setblocking(True)
         raw.sock.sendall(data)
         raw.sock.setblocking(False)
         all_lies_unread(sock, len(data))
-        client.left_at = day.loop.now()
-        assert isinstance(day.loop, SteppedLoop)
-        day.loop.time += BUSY_MS
+        client.left_at = platform.loop.now()
+        assert isinstance(platform.loop, SteppedLoop)
+        platform.loop.time += BUSY_MS
 
     placed_while(tmp_path, monkeypatch, busy)
 
@@ -422,13 +422,13 @@
     loop = SteppedLoop()
     attempts = Attempts(loop, monkeypatch)
 
-    def body(day: Day) -> Co[None]:
-        day.host("s-1")
-        day.start(settings=patient())
-        yield from warm(day, SIDS[0])
-        client = Client(day, loop, "give-up")
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1")
+        platform.start(settings=patient())
+        yield from warm(platform, SIDS[0])
+        client = Client(platform, loop, "give-up")
         yield from client.known()
-        loud = client.other.taken(day)
+        loud = client.other.taken(platform)
         loud.whose = "127.0.0.2"  # as if it called from another host
         rest, reads, take = bytearray(), [0], loud.transport.on_data
 
@@ -449,19 +449,19 @@
         loud.transport.on_data = take
         client.close()
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
 
 
 def test_a_give_up_on_a_connection_that_we_are_closing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    def busy(day: Day, client: Client) -> None:
-        link = client.other.taken(day)
+    def busy(platform: Platform, client: Client) -> None:
+        link = client.other.taken(platform)
         fd = link.transport._sock.fd  # type: ignore[attr-defined]
-        day.service.owners.drop(link, "idle")
+        platform.service.owners.drop(link, "idle")
         client.other.send(release(LEAVING))
         lies_unread(fd)
-        client.left_at = day.loop.now()
-        assert isinstance(day.loop, SteppedLoop)
-        day.loop.time += BUSY_MS
+        client.left_at = platform.loop.now()
+        assert isinstance(platform.loop, SteppedLoop)
+        platform.loop.time += BUSY_MS
 
     placed_while(tmp_path, monkeypatch, busy)
 
@@ -469,40 +469,40 @@
 # How old a look may be
 
 
-def shared_connections(day: Day) -> Co[None]:
+def shared_connections(platform: Platform) -> Co[None]:
     """A host to which there are two connections, and may be no more: all attempts of a batch are sent at once."""
-    host = day.host("s-1")
-    day.start(settings=patient())
-    day.service.hosts._descriptors.guaranteed_share = 2
-    owner = yield from day.owner()
+    host = platform.host("s-1")
+    platform.start(settings=patient())
+    platform.service.hosts._descriptors.guaranteed_share = 2
+    owner = yield from platform.owner()
     host.on_open = lambda link, line: None
     for sid in SIDS[350:352]:
         owner.transport.write(setup(sid))
     yield from wait_for(lambda: len(opened(host)) == 2)
-    host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
+    host.on_open = lambda link, line: link.send(MessageType.READY, line.sid, text="x")
     for link in host.links:
-        link.say(MessageType.READY, link.got[0].sid, text="x")
+        link.send(MessageType.READY, link.received[0].sid, text="x")
     for sid in SIDS[350:352]:
-        yield from heard(owner, sid, Kind.ANSWER)
+        yield from wait_for_message(owner, sid, Kind.ANSWER)
 
 
 def test_what_comes_during_a_long_look_is_read_by_another(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     noise: list[Raw] = []
 
-    def prepare(day: Day) -> Co[None]:
-        noise.append(Raw(day))
-        yield from wait_for(lambda: len(day.service.owners.links) == 4)
+    def prepare(platform: Platform) -> Co[None]:
+        noise.append(Raw(platform))
+        yield from wait_for(lambda: len(platform.service.owners.links) == 4)
 
-    def busy(day: Day, client: Client) -> None:
-        assert isinstance(day.loop, SteppedLoop)
+    def busy(platform: Platform, client: Client) -> None:
+        assert isinstance(platform.loop, SteppedLoop)
 
         def reading() -> None:
-            day.loop.reading = lambda: None  # type: ignore[attr-defined]
+            platform.loop.reading = lambda: None  # type: ignore[attr-defined]
             client.leave()
 
-        day.loop.reading = reading
+        platform.loop.reading = reading
         noise[0].send(binary.encode(Kind.TEST, "0" * 16, [(Code.CAUSE, b"\0")]))
-        lies_unread(noise[0].taken(day).transport._sock.fd)  # type: ignore[attr-defined]
+        lies_unread(noise[0].taken(platform).transport._sock.fd)  # type: ignore[attr-defined]
 
     placed_while(tmp_path, monkeypatch, busy, prepare)
     noise[0].close()
@@ -514,11 +514,11 @@
     loop = SteppedLoop()
     attempts = Attempts(loop, monkeypatch)
 
-    def body(day: Day) -> Co[None]:
-        yield from shared_connections(day)
-        client = Client(day, loop, way)
+    def body(platform: Platform) -> Co[None]:
+        yield from shared_connections(platform)
+        client = Client(platform, loop, way)
         yield from client.known()
-        ours = day.service.hosts
+        ours = platform.service.hosts
         real = ours._write
 
         def write(host: HostState, link: HostLink, attempt: Attempt) -> None:
@@ -530,12 +530,12 @@
         ours._write = write  # type: ignore[method-assign]
         client.other.send(b"".join(setup(sid, CLASS="bill", KEY=sid) for sid in SIDS[320:323]))
         client.ask()
-        yield from wait_for(lambda: day.service.counters["given_up"] == 1)
+        yield from wait_for(lambda: platform.service.counters["given_up"] == 1)
         yield from sleep(300)
         assert client.left_at is not None and not attempts.late(LEAVING, client.left_at)
         client.close()
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
 
 
 def test_no_decision_comes_between_the_look_and_the_wire(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -544,22 +544,22 @@
     loop = SteppedLoop()
     attempts = Attempts(loop, monkeypatch)
 
-    def body(day: Day) -> Co[None]:
-        yield from shared_connections(day)
-        client, gone, closed = Client(day, loop, "give-up on another connection"), Raw(day), list[bool]()
+    def body(platform: Platform) -> Co[None]:
+        yield from shared_connections(platform)
+        client, gone, closed = Client(platform, loop, "give-up on another connection"), Raw(platform), list[bool]()
         yield from client.known()
-        yield from wait_for(lambda: len(day.service.owners.links) == 4)
+        yield from wait_for(lambda: len(platform.service.owners.links) == 4)
 
         def act(events: list[i.Event], actions: list[i.Action]) -> None:
             if not closed and sum(isinstance(action, i.Offer) for action in actions) == 2:
                 closed.append(True)
-                fd = gone.taken(day).transport._sock.fd  # type: ignore[attr-defined]
+                fd = gone.taken(platform).transport._sock.fd  # type: ignore[attr-defined]
                 gone.close()
                 lies_unread(fd)
             elif any(isinstance(event, i.Gone) for event in events) and client.left_at is None:
                 client.leave()
 
-        deciding(day, act)
+        deciding(platform, act)
         gone.send(setup(SIDS[331]))
         client.ask()
         yield from wait_for(lambda: client.left_at is not None)
@@ -568,7 +568,7 @@
         assert not attempts.times(SIDS[331]) and len(attempts.times(LEAVING)) == 1
         client.close()
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
 
 
 def test_while_reading_takes_all_time_nothing_is_sent(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -576,11 +576,11 @@
     loop = SteppedLoop()
     attempts = Attempts(loop, monkeypatch)
 
-    def body(day: Day) -> Co[None]:
-        day.host("s-1")
-        day.start(settings=patient())
-        yield from warm(day, SIDS[0])
-        client, noise = Client(day, loop, "give-up"), Raw(day)
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1")
+        platform.start(settings=patient())
+        yield from warm(platform, SIDS[0])
+        client, noise = Client(platform, loop, "give-up"), Raw(platform)
         yield from client.known()
         test = binary.encode(Kind.TEST, "0" * 16, [(Code.CAUSE, b"\0")])
 
@@ -591,14 +591,14 @@
         client.ask()
         noise.send(test)
         loop.reading = reading
-        yield from wait_for(lambda: day.service.counters["dispatch_held"] >= 3)
+        yield from wait_for(lambda: platform.service.counters["dispatch_held"] >= 3)
         assert not attempts.times(LEAVING)
         loop.reading = lambda: None
         yield from wait_for(lambda: attempts.times(LEAVING))
         noise.close()
         client.close()
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
 
 
 # What goes out as before
@@ -610,39 +610,39 @@
     loop = SteppedLoop()
     attempts = Attempts(loop, monkeypatch)
 
-    def body(day: Day) -> Co[None]:
-        day.host("s-1")
-        day.start(settings=patient())
-        owner = yield from warm(day, SIDS[0])
-        ours, look_until, failed = day.service.hosts.hosts["s-1"], loop.look_until, list[bool]()
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1")
+        platform.start(settings=patient())
+        owner = yield from warm(platform, SIDS[0])
+        ours, look_until, failed = platform.service.hosts.hosts["s-1"], loop.look_until, list[bool]()
 
         def look(most_ms: float) -> bool:
             if ours.waiting and not failed:
                 failed.append(True)
-                day.service.hosts._not_connected(ours, OSError("no way there"), loop.wall())
+                platform.service.hosts._not_connected(ours, OSError("no way there"), loop.wall())
             return look_until(most_ms)
 
         loop.look_until = look  # type: ignore[method-assign]
         owner.transport.write(setup(LEAVING))
-        yield from heard(owner, LEAVING, Kind.ANSWER)
+        yield from wait_for_message(owner, LEAVING, Kind.ANSWER)
         assert failed and len(attempts.times(LEAVING)) == 1
-        assert not day.service.counters["ended_connect_failed"]
+        assert not platform.service.counters["ended_connect_failed"]
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
 
 
 def test_a_connection_on_which_a_health_check_was_just_written_is_used(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start(settings=patient())
-        owner = yield from warm(day, SIDS[0])
-        known = day.service.hosts.hosts["s-1"]
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start(settings=patient())
+        owner = yield from warm(platform, SIDS[0])
+        known = platform.service.hosts.hosts["s-1"]
         [link] = known.links
-        at_its_offer(day, LEAVING, 1, lambda: day.service.hosts._health.check(known, link))
+        at_its_offer(platform, LEAVING, 1, lambda: platform.service.hosts._health.check(known, link))
         owner.transport.write(setup(LEAVING))
-        yield from heard(owner, LEAVING, Kind.ANSWER)
+        yield from wait_for_message(owner, LEAVING, Kind.ANSWER)
         assert len(host.links) == 1 and opened(host) == [SIDS[0], LEAVING]
 
-    play(tmp_path, body, SteppedLoop())
+    run_on_platform(tmp_path, body, SteppedLoop())
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -20,7 +20,7 @@
 from sprucepost.node.binary import Kind
 from sprucepost.node.descriptors import Descriptors
 from sprucepost.node.jsonl import Line, MessageType
-from tests.node.platform import Day, Host, Link, Paper, heard, play, settings, setup
+from tests.node.platform import BulletinServer, Host, Link, Platform, run_on_platform, settings, setup, wait_for_message
 from tests.node.program import Program, connected, passes_test, running
 from tests.node.test_crossings import patient, release
 from tests.wire.support import wait_for
@@ -37,8 +37,8 @@
     """Holds a connection and says nothing useful. The moment it is closed it comes back, and leaves the old one half open
     until it has lost the next one too."""
 
-    def __init__(self, day: Day, address: Address, number: int, seen: Counter[str]) -> None:
-        self._day, self._address, self._number, self._seen = day, address, number, seen
+    def __init__(self, platform: Platform, address: Address, number: int, seen: Counter[str]) -> None:
+        self._platform, self._address, self._number, self._seen = platform, address, number, seen
         self._socks: list[Sock] = []
         self._came = 0
         self._on = True
@@ -48,15 +48,15 @@
         """Close all that it holds, and stay away."""
         self._on = False
         for sock in self._socks:
-            self._day.loop.watch(sock, None, None)
+            self._platform.loop.watch(sock, None, None)
             sock.close()
 
     def _dial(self) -> None:
         if not self._on:
             return
-        sock = self._day.loop.dial(self._address)
+        sock = self._platform.loop.dial(self._address)
         self._socks.append(sock)
-        self._day.loop.watch(sock, None, lambda: self._up(sock))
+        self._platform.loop.watch(sock, None, lambda: self._up(sock))
 
     def _up(self, sock: Sock) -> None:
         try:
@@ -65,7 +65,7 @@
             self._seen["reset"] += 1
             self._again(sock)
             return
-        self._day.loop.watch(sock, lambda: self._read(sock), None)
+        self._platform.loop.watch(sock, lambda: self._read(sock), None)
 
     def _speak(self, sock: Sock) -> None:
         """Nothing, a part of a message, a test, or a task that is taken back at once."""
@@ -87,17 +87,17 @@
             self._again(sock)
 
     def _again(self, sock: Sock) -> None:
-        self._day.loop.watch(sock, None, None)
+        self._platform.loop.watch(sock, None, None)
         while len(self._socks) > 1:
             self._socks.pop(0).close()
-        self._day.loop.call_later(10.0, self._dial)
+        self._platform.loop.call_later(10.0, self._dial)
 
 
 class UsualClients:
     """One task every 20 ms, each on a new connection, which is closed once it has its answer."""
 
-    def __init__(self, day: Day, program: Program) -> None:
-        self._day, self._program = day, program
+    def __init__(self, platform: Platform, program: Program) -> None:
+        self._platform, self._program = platform, program
         self.asked, self.answered, self.on, self.done = 0, 0, True, False
 
     def run(self) -> Co[None]:
@@ -130,24 +130,26 @@
     def run(link: Link, line: Line) -> None:
         if line.sid == SLOW:
             return
-        link.say(MessageType.READY, line.sid, text="x")
+        link.send(MessageType.READY, line.sid, text="x")
         if line.sid != STANDING:
-            host.day.loop.call_later(20.0, lambda: link.say(MessageType.CLOSE, line.sid, code=16))
+            host.platform.loop.call_later(20.0, lambda: link.send(MessageType.CLOSE, line.sid, code=16))
 
     host.on_open = run
 
 
-def take_down(day: Day, how: str) -> None:
+def take_down(platform: Platform, how: str) -> None:
     """Discovery's process has been killed, or is stopped: the system takes connections, and nobody answers."""
-    day.paper.mode = "silent"
+    platform.bulletin.mode = "silent"
     if how == "killed":
-        day.paper.acceptor.close()
+        platform.bulletin.acceptor.close()
 
 
-def bring_back(day: Day, how: str) -> None:
-    day.paper.mode = "answers"
+def bring_back(platform: Platform, how: str) -> None:
+    platform.bulletin.mode = "answers"
     if how == "killed":
-        day.paper.acceptor = Acceptor(day.loop, day.loop.listen(day.paper.acceptor.address), day.paper._take)
+        platform.bulletin.acceptor = Acceptor(
+            platform.loop, platform.loop.listen(platform.bulletin.acceptor.address), platform.bulletin._take
+        )
 
 
 @pytest.mark.parametrize("how", ["killed", "stopped"])
@@ -157,38 +159,38 @@
     seen: Counter[str] = Counter()
     most = [0]
 
-    def body(day: Day) -> Co[None]:
+    def body(platform: Platform) -> Co[None]:
         for n in range(12):
-            short_tasks(day.host(f"s-{n}"))
-        day.paper.tell(*(host.entry() for host in day.hosts.values()), everything=True)
+            short_tasks(platform.host(f"s-{n}"))
+        platform.bulletin.publish(*(host.entry() for host in platform.hosts.values()), everything=True)
         limits = {"cores": 1.0, "memory_mb": 64, "sockets": LIMIT}
-        with running(day, LIMIT, settings=found, limits=limits) as program:
+        with running(platform, LIMIT, settings=found, limits=limits) as program:
 
             def count() -> None:
                 if program.process.returncode is None:
                     most[0] = max(most[0], program.descriptors())
-                    day.loop.call_later(2.0, count)
+                    platform.loop.call_later(2.0, count)
 
-            usual = yield from passes_test(day, program, FRONT)
+            usual = yield from passes_test(platform, program, FRONT)
             usual.transport.write(setup(STANDING, FIGURES=SMALL) + setup(SLOW, LEFT="20000"))
-            yield from heard(usual, STANDING, Kind.ANSWER)
+            yield from wait_for_message(usual, STANDING, Kind.ANSWER)
             count()
-            idle = [IdleClient(day, program.address, n, seen) for n in range(PROVEN)]
+            idle = [IdleClient(platform, program.address, n, seen) for n in range(PROVEN)]
             yield from wait_for(lambda: seen["closed"] >= PROVEN / 2, 8000)  # all for idleness, in one step
-            idle += [IdleClient(day, program.address, PROVEN + n, seen) for n in range(SILENT)]
-            others = UsualClients(day, program)
-            day._scope.spawn(others.run(), "usual clients")
+            idle += [IdleClient(platform, program.address, PROVEN + n, seen) for n in range(SILENT)]
+            others = UsualClients(platform, program)
+            platform._scope.spawn(others.run(), "usual clients")
             yield from wait_for(lambda: seen["closed"] > PROVEN + SILENT, 8000)
-            take_down(day, how)
+            take_down(platform, how)
             yield from wait_for(lambda: len(program.lines("bulletin_failed")) >= 3, 8000)
             yield from sleep(1500)
-            yield from passes_test(day, program, FRONT)
-            failed, asked = len(program.lines("bulletin_failed")), len(day.paper.asked)
-            bring_back(day, how)
-            day.paper.tell(day.host("newer").entry())
-            yield from wait_for(lambda: 2 in day.paper.asked, 15_000)  # what it has told is held
+            yield from passes_test(platform, program, FRONT)
+            failed, asked = len(program.lines("bulletin_failed")), len(platform.bulletin.requests)
+            bring_back(platform, how)
+            platform.bulletin.publish(platform.host("newer").entry())
+            yield from wait_for(lambda: 2 in platform.bulletin.requests, 15_000)  # what it has told is held
             assert len(program.lines("bulletin_failed")) <= failed + 1, "the first dial that can reach it does"
-            assert day.paper.asked[asked:][:1] == [1]
+            assert platform.bulletin.requests[asked:][:1] == [1]
             path = tmp_path / "config.json"
             path.write_text(json.dumps({**json.loads(path.read_text()), "name": "moved"}))
             os.kill(program.process.pid, signal.SIGHUP)
@@ -197,25 +199,25 @@
             yield from wait_for(lambda: others.done, 8000)
             for client in idle:
                 client.stop()
-            for host in day.hosts.values():
+            for host in platform.hosts.values():
                 for line in host.lines(MessageType.OPEN):
                     if line.sid == SLOW:
-                        host.links[-1].say(MessageType.READY, SLOW, text="x")
+                        host.links[-1].send(MessageType.READY, SLOW, text="x")
             assert not usual.ended, "who has work open stays"
             faults = [line for line in program.lines() if "Too many open files" in str(line.get("why"))]
             assert not faults and not program.lines("reload_refused") and not program.lines("host_not_connected")
             assert most[0] < LIMIT, "one is left for whatever must be opened"
             assert others.asked == others.answered > 5
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 class Shortage:
     """While it lasts the system has no descriptor for a dial to a host, nor for a file."""
 
-    def __init__(self, day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
+    def __init__(self, platform: Platform, monkeypatch: pytest.MonkeyPatch) -> None:
         self.on, self.refused = False, 0
-        dial, read = day.loop.dial, Path.open
+        dial, read = platform.loop.dial, Path.open
 
         def short_dial(address: Address, source: str | None = None) -> Sock:
             self._refuse()
@@ -225,7 +227,7 @@
             self._refuse()
             return read(path, mode)
 
-        monkeypatch.setattr(day.loop, "dial", short_dial)
+        monkeypatch.setattr(platform.loop, "dial", short_dial)
         monkeypatch.setattr(Path, "open", short_open)
 
     def _refuse(self) -> None:
@@ -237,64 +239,64 @@
 def test_a_dial_without_a_descriptor_says_nothing_of_its_host(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The whole machine may be out of them. The host was taken for dead, and its tasks went elsewhere or failed."""
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start(settings=patient())
-        shortage = Shortage(day, monkeypatch)
-        owner = yield from day.owner()
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start(settings=patient())
+        shortage = Shortage(platform, monkeypatch)
+        owner = yield from platform.owner()
         shortage.on = True
         owner.transport.write(setup(SIDS[0]))
         yield from wait_for(lambda: shortage.refused >= 2)
-        assert not day.service.counters["connect_failed"] and not day.service.counters["ended_connect_failed"]
+        assert not platform.service.counters["connect_failed"] and not platform.service.counters["ended_connect_failed"]
         shortage.on = False
-        yield from heard(owner, SIDS[0], Kind.ANSWER)
+        yield from wait_for_message(owner, SIDS[0], Kind.ANSWER)
         assert [line.sid for line in host.lines(MessageType.OPEN)] == [SIDS[0]]
-        assert day.service.counters["offers"] == 1
+        assert platform.service.counters["offers"] == 1
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_reload_without_a_descriptor_is_made_later(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """It comes once: refused, the placer would ask a discovery that tells nothing any more until its end."""
 
-    def body(day: Day) -> Co[None]:
-        day.host("s-1")
-        day.start()
-        yield from wait_for(lambda: day.paper.asked)
-        old, day.paper = day.paper, Paper(day)
-        day.paper.items = list(old.items)
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1")
+        platform.start()
+        yield from wait_for(lambda: platform.bulletin.requests)
+        old, platform.bulletin = platform.bulletin, BulletinServer(platform)
+        platform.bulletin.items = list(old.items)
         path = tmp_path / "config.json"
-        path.write_text(json.dumps({**json.loads(path.read_text()), "bulletin": day.paper.address}))
-        shortage = Shortage(day, monkeypatch)
+        path.write_text(json.dumps({**json.loads(path.read_text()), "bulletin": platform.bulletin.address}))
+        shortage = Shortage(platform, monkeypatch)
         shortage.on = True
-        day.service.reload()
-        assert shortage.refused == 1 and not day.paper.asked
+        platform.service.reload()
+        assert shortage.refused == 1 and not platform.bulletin.requests
         shortage.on = False
-        yield from wait_for(lambda: day.paper.asked)
-        assert any("reload_delayed" in line for line in day.lines)
+        yield from wait_for(lambda: platform.bulletin.requests)
+        assert any("reload_delayed" in line for line in platform.lines)
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_no_more_descriptors_are_counted_on_than_the_system_grants(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        short_tasks(day.host("s-1"))
-        day.paper.tell(*(host.entry() for host in day.hosts.values()), everything=True)
+    def body(platform: Platform) -> Co[None]:
+        short_tasks(platform.host("s-1"))
+        platform.bulletin.publish(*(host.entry() for host in platform.hosts.values()), everything=True)
         seen: Counter[str] = Counter()
-        with running(day, 64, limits={"cores": 1.0, "memory_mb": 64, "sockets": LIMIT}) as program:
-            yield from passes_test(day, program, FRONT)
-            idle = [IdleClient(day, program.address, PROVEN + n, seen) for n in range(100)]
+        with running(platform, 64, limits={"cores": 1.0, "memory_mb": 64, "sockets": LIMIT}) as program:
+            yield from passes_test(platform, program, FRONT)
+            idle = [IdleClient(platform, program.address, PROVEN + n, seen) for n in range(100)]
             yield from wait_for(lambda: seen["closed"] > 100, 8000)
             os.kill(program.process.pid, signal.SIGHUP)
             yield from wait_for(lambda: program.lines("reloaded"), 8000)
-            usual = yield from connected(day, program)
+            usual = yield from connected(platform, program)
             usual.transport.write(setup(SIDS[0], FIGURES=SMALL))
-            yield from heard(usual, SIDS[0], Kind.ANSWER)
+            yield from wait_for_message(usual, SIDS[0], Kind.ANSWER)
             for client in idle:
                 client.stop()
             assert not program.lines("reload_delayed") and not program.lines("host_not_connected")
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_closes_that_linger_give_way_the_longest_first() -> None:
--- a/tests/node/test_dials_that_never_leave.py
+++ b/tests/node/test_dials_that_never_leave.py
@@ -10,7 +10,7 @@
 from sprucepost.loop import Address, Co, Sock
 from sprucepost.loop.epoll import EpollLoop
 from sprucepost.node.binary import Kind
-from tests.node.platform import Day, heard, play, setup
+from tests.node.platform import Platform, run_on_platform, setup, wait_for_message
 from tests.wire.support import wait_for
 
 TASK, NEXT = "c0455aa5c7e00001", "c0455aa5c7e00002"
@@ -35,17 +35,17 @@
 def test_a_dial_that_never_left_counts_against_no_host(tmp_path: Path, code: int) -> None:
     loop = ShortLoop(code)
 
-    def body(day: Day) -> Co[None]:
-        hosts = [day.host("s-1"), day.host("s-2")]
+    def body(platform: Platform) -> Co[None]:
+        hosts = [platform.host("s-1"), platform.host("s-2")]
         loop.hosts = {("127.0.0.1", host.port) for host in hosts}
-        day.start()
-        owner = yield from day.owner()
+        platform.start()
+        owner = yield from platform.owner()
         owner.transport.write(setup(TASK))
-        yield from wait_for(lambda: day.service.counters["unsent"] >= 2)  # offers whose time has passed meanwhile
-        assert day.service.counters["ended_connect_failed"] == 0
-        assert not any(machine.doubts for machine in day.service.desk.scheduler.machines.values())
+        yield from wait_for(lambda: platform.service.counters["unsent"] >= 2)  # offers whose time has passed meanwhile
+        assert platform.service.counters["ended_connect_failed"] == 0
+        assert not any(machine.doubts for machine in platform.service.desk.scheduler.machines.values())
         loop.short = False
         owner.transport.write(setup(NEXT))
-        yield from heard(owner, NEXT, Kind.ANSWER, 1000.0)
+        yield from wait_for_message(owner, NEXT, Kind.ANSWER, 1000.0)
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
--- a/tests/node/test_faulty_system.py
+++ b/tests/node/test_faulty_system.py
@@ -24,7 +24,7 @@
 from sprucepost.node.config import read_config
 from sprucepost.node.jsonl import Line, MessageType
 from tests.node.faulty_system import BREAKING, PASSING, Faults
-from tests.node.platform import Day, Host, Link, play, setup
+from tests.node.platform import Host, Link, Platform, run_on_platform, setup
 from tests.wire.support import wait_for
 
 ROOT = Path(__file__).parent.parent.parent
@@ -59,50 +59,50 @@
 class Process:
     """A placer in a process of its own, with a day around it that fails in nothing."""
 
-    def __init__(self, day: Day, faults: Faults) -> None:
-        self.day = day
+    def __init__(self, platform: Platform, faults: Faults) -> None:
+        self.platform = platform
         for uid in ("s-1", "s-2", "s-3"):
-            day.host(uid).on_open = self._run_task
-        day.paper.tell(*(host.entry() for host in day.hosts.values()), everything=True)
-        environment = day.environment()
+            platform.host(uid).on_open = self._run_task
+        platform.bulletin.publish(*(host.entry() for host in platform.hosts.values()), everything=True)
+        environment = platform.environment()
         self.listen = read_config(environment).listen
-        self.log = (day.folder / "log").open("w")
+        self.log = (platform.folder / "log").open("w")
         self.process = subprocess.Popen(
             [sys.executable, "-m", "tests.node.faulty_system", faults.text()],
             stdout=self.log, stderr=self.log, cwd=ROOT, env={**os.environ, **environment},
         )  # fmt: skip
 
     def _run_task(self, link: Link, line: Line) -> None:
-        link.say(MessageType.READY, line.sid, text="x")
-        host = next(host for host in self.day.hosts.values() if link in host.links)
-        self.day.loop.call_later(RUNS_MS, lambda: self._end_task(host, link, line.sid))
+        link.send(MessageType.READY, line.sid, text="x")
+        host = next(host for host in self.platform.hosts.values() if link in host.links)
+        self.platform.loop.call_later(RUNS_MS, lambda: self._end_task(host, link, line.sid))
 
     def _end_task(self, host: Host, link: Link, sid: str) -> None:
         """On the connection of its set-up, where that cannot be written on any open one, and on the next one as well."""
         self._say_on_next(host, sid, len(host.links))
-        link.say(MessageType.CLOSE, sid, code=16)
-        self.day.loop.call_later(WRITTEN_MS, lambda: self._say_elsewhere(host, link, sid))
+        link.send(MessageType.CLOSE, sid, code=16)
+        self.platform.loop.call_later(WRITTEN_MS, lambda: self._say_elsewhere(host, link, sid))
 
     def _say_elsewhere(self, host: Host, link: Link, sid: str) -> None:
         open_links = [other for other in host.links if not other.ended]
         if link.ended and open_links:
-            open_links[0].say(MessageType.CLOSE, sid, code=16)
+            open_links[0].send(MessageType.CLOSE, sid, code=16)
 
     def _say_on_next(self, host: Host, sid: str, links: int) -> None:
         if len(host.links) > links:
-            host.links[links].say(MessageType.CLOSE, sid, code=16)
+            host.links[links].send(MessageType.CLOSE, sid, code=16)
         elif self.process.poll() is None:
-            self.day.loop.call_later(NEXT_LOOK_MS, lambda: self._say_on_next(host, sid, links))
+            self.platform.loop.call_later(NEXT_LOOK_MS, lambda: self._say_on_next(host, sid, links))
 
     def owner(self, limit_ms: float) -> Co[Link]:
         """A connection, tried again until the process takes it; ends early where the process has ended."""
         task = yield from current()
-        until = self.day.loop.now() + limit_ms
+        until = self.platform.loop.now() + limit_ms
         while True:
             try:
-                transport = yield from connect(self.day.loop, task, self.listen, 1000.0)
+                transport = yield from connect(self.platform.loop, task, self.listen, 1000.0)
             except (OSError, TimedOut):
-                if self.day.loop.now() > until or self.process.poll() is not None:
+                if self.platform.loop.now() > until or self.process.poll() is not None:
                     raise
                 yield from sleep(10)
             else:
@@ -113,7 +113,7 @@
         self.process.send_signal(signal.SIGTERM)
         until = time.monotonic() + END_S
         while self.process.poll() is None and time.monotonic() < until:
-            self.day.loop.turn()
+            self.platform.loop.turn()
         status = self.process.poll()
         self.kill()
         return status
@@ -142,26 +142,26 @@
     """Play a short day with these faults."""
     seen = Seen(Counter(), None, 0.0)
 
-    def body(day: Day) -> Co[None]:
-        process = Process(day, faults)
+    def body(platform: Platform) -> Co[None]:
+        process = Process(platform, faults)
         try:
-            began = day.loop.now()
+            began = platform.loop.now()
             for number in range(OWNERS):
                 owner = yield from process.owner(READY_MS if not number else 1000.0)
-                seen.ready_ms = seen.ready_ms or day.loop.now() - began
+                seen.ready_ms = seen.ready_ms or platform.loop.now() - began
                 sids = [f"{number:04x}55aa5c7e{n:04x}" for n in range(EACH)]
-                yield from _use(day, owner, sids, seen)
+                yield from _use(platform, owner, sids, seen)
             seen.status = process.end()
         finally:
             process.kill()
 
-    play(folder, body)
+    run_on_platform(folder, body)
     return seen
 
 
-def _use(day: Day, owner: Link, sids: list[str], seen: Seen) -> Co[None]:
+def _use(platform: Platform, owner: Link, sids: list[str], seen: Seen) -> Co[None]:
     def of(sid: str) -> list[Message]:
-        return [message for message in owner.got if message.task == sid]
+        return [message for message in owner.received if message.task == sid]
 
     def settled() -> bool:
         return owner.ended or all(outcome(of(sid), False) in ("served", "refused or failed") for sid in sids)
--- a/tests/node/test_given_up_in_the_batch_of_its_refusal.py
+++ b/tests/node/test_given_up_in_the_batch_of_its_refusal.py
@@ -10,7 +10,7 @@
 from sprucepost.loop import Co, sleep
 from sprucepost.node.tasks import Tasks
 from tests.node.platform import setup
-from tests.node.virtual import LISTEN, Placer, known, play_virtual
+from tests.node.virtual import LISTEN, Placer, known_hosts, run_virtual
 
 TASK, OTHER = "c0455aa5c7e00001", "c0455aa5c7e00002"
 
@@ -37,7 +37,7 @@
         yield from sleep(1000)
         assert sock.sent, "the placer goes on"
 
-    play_virtual(tmp_path, body, known=known(hosts))
+    run_virtual(tmp_path, body, known=known_hosts(hosts))
 
 
 def _leave(tasks: Tasks, by: str) -> None:
--- a/tests/node/test_log.py
+++ b/tests/node/test_log.py
@@ -12,33 +12,33 @@
 from sprucepost.node.binary import Kind
 from sprucepost.node.jsonl import MessageType
 from sprucepost.node.log import Log, Output
-from tests.node.platform import Day, heard, play, setup
+from tests.node.platform import Platform, run_on_platform, setup, wait_for_message
 from tests.placing.support import VirtualLoop
 
 TASK = "c0255aa5c7e00002"
 
 
-def way(day: Day, sid: str) -> list[tuple[str, Any]]:
+def way(platform: Platform, sid: str) -> list[tuple[str, Any]]:
     """The states of a task as the log names them, each with its host."""
-    lines = [json.loads(line) for line in day.lines]
+    lines = [json.loads(line) for line in platform.lines]
     assert [line["up_ms"] for line in lines] == sorted(line["up_ms"] for line in lines)
     return [(line["state"], line.get("host")) for line in lines if line.get("task") == sid]
 
 
 def test_each_step_of_a_task_is_named_with_its_id(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
         owner.transport.write(setup(TASK))
-        yield from heard(owner, TASK, Kind.ANSWER)
-        host.links[0].say(MessageType.CLOSE, TASK, code=16)
-        yield from heard(owner, TASK, Kind.RELEASE)
-        assert way(day, TASK) == [
+        yield from wait_for_message(owner, TASK, Kind.ANSWER)
+        host.links[0].send(MessageType.CLOSE, TASK, code=16)
+        yield from wait_for_message(owner, TASK, Kind.RELEASE)
+        assert way(platform, TASK) == [
             ("taken", None), ("offered", "s-1"), ("sent", "s-1"), ("stands", "s-1"), ("over", "s-1"), ("released", None),
         ]  # fmt: skip
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_flood_of_steps_is_counted_and_the_second_after_it_says_how_many() -> None:
--- a/tests/node/test_many_hosts.py
+++ b/tests/node/test_many_hosts.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from sprucepost.loop import Co, sleep
-from tests.node.virtual import Placer, host_address, known, play_virtual
+from tests.node.virtual import Placer, host_address, known_hosts, run_virtual
 from tests.test_decision_slices import BATCH_MOST_S
 
 HOSTS, REPLACED = 3200, 1920
@@ -16,7 +16,7 @@
 def test_a_list_of_many_newcomers_leaves_the_sockets_no_longer_than_a_release_may_wait(tmp_path: Path) -> None:
     def body(placer: Placer) -> Co[None]:
         yield from sleep(1)
-        whole = known(HOSTS + REPLACED)["items"][0]["roster"]["targets"]
+        whole = known_hosts(HOSTS + REPLACED)["items"][0]["roster"]["targets"]
         event = {"no": 2, "roster": {"rev": 2, "all": False, "targets": whole[HOSTS:]}}
         told = placer.service.feed.bulletin.apply({"no": 2, "items": [event]})
         assert told is not None
@@ -25,14 +25,14 @@
         assert time.process_time() - began <= BATCH_MOST_S
         assert len(placer.service.hosts.hosts) == HOSTS + REPLACED
 
-    play_virtual(tmp_path, body, known=known(HOSTS))
+    run_virtual(tmp_path, body, known=known_hosts(HOSTS))
 
 
 # Guards against a host that stays in service at an address that another has taken.
 def test_a_newcomer_takes_the_address_of_the_former_alone(tmp_path: Path) -> None:
     def body(placer: Placer) -> Co[None]:
         yield from sleep(1)
-        [entry] = known(1)["items"][0]["roster"]["targets"]
+        [entry] = known_hosts(1)["items"][0]["roster"]["targets"]
         for number, uid in enumerate(("s-a", "s-b"), 2):
             event = {"no": number, "roster": {"rev": number, "all": False, "targets": [entry | {"uid": uid}]}}
             told = placer.service.feed.bulletin.apply({"no": number, "items": [event]})
@@ -41,4 +41,4 @@
             assert {host.uid for host in placer.service.hosts.hosts.values()} == {uid, "s-1", "s-2"}
             assert placer.service.hosts.hosts[uid].address == host_address(0)
 
-    play_virtual(tmp_path, body, known=known(3))
+    run_virtual(tmp_path, body, known=known_hosts(3))
--- a/tests/node/test_newcomers.py
+++ b/tests/node/test_newcomers.py
@@ -19,7 +19,7 @@
 from sprucepost.placing.desk import Desk
 from tests.node.platform import settings, setup
 from tests.node.test_crossings import release
-from tests.node.virtual import DISCOVERY, LISTEN, Placer, SocketLoop, VirtualSock, known, play_virtual
+from tests.node.virtual import DISCOVERY, LISTEN, Placer, SocketLoop, VirtualSock, known_hosts, run_virtual
 
 ADDRESS = LISTEN
 TEST = binary.encode(Kind.TEST, "5c" * 8, [(Code.CAUSE, b"\0")])
@@ -151,7 +151,7 @@
 
     found = alone_on_their_hosts()
     found["policy_limits"]["keepalive"] = 1000.0
-    play_virtual(tmp_path, body, known=known(60), settings=found)
+    run_virtual(tmp_path, body, known=known_hosts(60), settings=found)
 
 
 @pytest.mark.parametrize("newcomers", [12, 60])
@@ -181,4 +181,4 @@
         assert not placer.loop.listeners[ADDRESS].backlog
         assert counters["host_link_room"] - closed <= 21 and not counters["owners_turned_away"]
 
-    play_virtual(tmp_path, body, known=known(60), settings=alone_on_their_hosts())
+    run_virtual(tmp_path, body, known=known_hosts(60), settings=alone_on_their_hosts())
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -16,7 +16,7 @@
 from sprucepost.node import binary
 from sprucepost.node.binary import Code, Kind
 from sprucepost.node.jsonl import MessageType
-from tests.node.platform import Day, Link, answers, heard, play, setup
+from tests.node.platform import Link, Platform, messages_for, run_on_platform, setup, wait_for_message
 from tests.node.program import cpu_s
 from tests.wire.support import wait_for
 
@@ -25,14 +25,14 @@
 
 @contextmanager
 def placer(
-    day: Day, name: str = "n0", before: Callable[[], None] | None = None
+    platform: Platform, name: str = "n0", before: Callable[[], None] | None = None
 ) -> Iterator[tuple[int, tuple[str, int]]]:
     """A placer's process and its address; it is ended at the end, and must then have ended by itself on SIGTERM."""
-    day.folder = day.folder / name
-    day.folder.mkdir()
-    environment = dict(day.environment(name=name))
-    document = json.loads((day.folder / "config.json").read_text())
-    day.folder = day.folder.parent
+    platform.folder = platform.folder / name
+    platform.folder.mkdir()
+    environment = dict(platform.environment(name=name))
+    document = json.loads((platform.folder / "config.json").read_text())
+    platform.folder = platform.folder.parent
     host, port = document["listen"].split(":")
     with subprocess.Popen(
         [sys.executable, "-m", "sprucepost", "node"], env=environment, stdout=subprocess.PIPE, preexec_fn=before
@@ -48,96 +48,96 @@
             process.kill()
 
 
-def owner(day: Day, address: tuple[str, int]) -> Co[Link]:
+def owner(platform: Platform, address: tuple[str, int]) -> Co[Link]:
     task = yield from current()
-    transport = yield from connect(day.loop, task, address, 3000.0)
+    transport = yield from connect(platform.loop, task, address, 3000.0)
     return Link(transport, binary.Decoder(), lambda link, message: None)
 
 
 def test_a_pause_loses_no_standing_task_and_answers_nothing_late(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.paper.tell(host.entry(), everything=True)
-        with placer(day) as (pid, address):
-            link = yield from owner(day, address)
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.bulletin.publish(host.entry(), everything=True)
+        with placer(platform) as (pid, address):
+            link = yield from owner(platform, address)
             link.transport.write(setup(SIDS[0]))
-            yield from heard(link, SIDS[0], Kind.ANSWER)
+            yield from wait_for_message(link, SIDS[0], Kind.ANSWER)
             os.kill(pid, signal.SIGSTOP)
             link.transport.write(setup(SIDS[1], LEFT="500") + setup(SIDS[2], LEFT="5500"))
             yield from sleep(1500)
             os.kill(pid, signal.SIGCONT)
-            yield from heard(link, SIDS[1], Kind.RELEASE)  # its time was over before it was read
-            yield from heard(link, SIDS[2], Kind.ANSWER)
+            yield from wait_for_message(link, SIDS[1], Kind.RELEASE)  # its time was over before it was read
+            yield from wait_for_message(link, SIDS[2], Kind.ANSWER)
             assert (
                 not host.lines(MessageType.CLOSE)
                 and [line.sid for line in host.lines(MessageType.OPEN)].count(SIDS[1]) == 0
             )
-            host.links[0].say(MessageType.CLOSE, SIDS[0], code=16)
-            assert (yield from heard(link, SIDS[0], Kind.RELEASE)).cause == 16
+            host.links[0].send(MessageType.CLOSE, SIDS[0], code=16)
+            assert (yield from wait_for_message(link, SIDS[0], Kind.RELEASE)).cause == 16
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_without_a_descriptor_left_who_is_connected_is_served_and_the_rest_later(tmp_path: Path) -> None:
     def few() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (16, 16))  # the configuration promises 64
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.paper.tell(host.entry(), everything=True)
-        with placer(day, before=few) as (pid, address):
-            link = yield from owner(day, address)
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.bulletin.publish(host.entry(), everything=True)
+        with placer(platform, before=few) as (pid, address):
+            link = yield from owner(platform, address)
             link.transport.write(setup(SIDS[0]))
-            yield from heard(link, SIDS[0], Kind.ANSWER)
+            yield from wait_for_message(link, SIDS[0], Kind.ANSWER)
             task = yield from current()
             others: list[Transport] = []
             for _ in range(24):  # the system takes them all; the process cannot
-                others.append((yield from connect(day.loop, task, address, 3000.0)))
+                others.append((yield from connect(platform.loop, task, address, 3000.0)))
             yield from sleep(300)
             before = cpu_s(pid)
             link.transport.write(setup(SIDS[1]))
-            yield from heard(link, SIDS[1], Kind.ANSWER)
+            yield from wait_for_message(link, SIDS[1], Kind.ANSWER)
             yield from sleep(700)
             assert cpu_s(pid) - before < 0.5, "a listener that cannot be served keeps nobody busy"
             for transport in others:
                 transport.abort()
-            newer = yield from owner(day, address)
+            newer = yield from owner(platform, address)
             newer.transport.write(setup(SIDS[2]))
-            yield from heard(newer, SIDS[2], Kind.ANSWER, 8000)
+            yield from wait_for_message(newer, SIDS[2], Kind.ANSWER, 8000)
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_two_on_one_core_answer_everything_in_time(tmp_path: Path) -> None:
     core = min(os.sched_getaffinity(0))
 
-    def body(day: Day) -> Co[None]:
+    def body(platform: Platform) -> Co[None]:
         for n in range(4):
-            day.host(f"s-{n}")
-        day.paper.tell(*(host.entry() for host in day.hosts.values()), everything=True)
+            platform.host(f"s-{n}")
+        platform.bulletin.publish(*(host.entry() for host in platform.hosts.values()), everything=True)
 
         def pinned() -> None:
             os.sched_setaffinity(0, {core})
 
-        with placer(day, "n0", pinned) as (_, first), placer(day, "n1", pinned) as (_, second):
-            links = [(yield from owner(day, first)), (yield from owner(day, second))]
+        with placer(platform, "n0", pinned) as (_, first), placer(platform, "n1", pinned) as (_, second):
+            links = [(yield from owner(platform, first)), (yield from owner(platform, second))]
             for n, sid in enumerate(SIDS[:120]):
                 figures = f"cores:0.1;memory:0.1;service:{n % 20:016x}"
                 links[n % 2].transport.write(setup(sid, FIGURES=figures, LEFT="5000"))
                 yield from sleep(5)
-            yield from wait_for(lambda: all(answers(links[n % 2], sid) for n, sid in enumerate(SIDS[:120])), 8000)
+            yield from wait_for(lambda: all(messages_for(links[n % 2], sid) for n, sid in enumerate(SIDS[:120])), 8000)
             for n, sid in enumerate(SIDS[:120]):
-                assert [m.kind for m in answers(links[n % 2], sid)] == [Kind.ANSWER]
+                assert [m.kind for m in messages_for(links[n % 2], sid)] == [Kind.ANSWER]
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_who_gives_up_and_comes_again_within_a_millisecond_gets_one_answer_each(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.paper.tell(host.entry(), everything=True)
-        with placer(day) as (_, address):
-            link = yield from owner(day, address)
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.bulletin.publish(host.entry(), everything=True)
+        with placer(platform) as (_, address):
+            link = yield from owner(platform, address)
             give_up = [(Code.CAUSE, b"\x10")]
             for n in range(0, 200, 2):  # in one piece: the set-up, its end, and the same task under the next id
                 link.transport.write(
@@ -145,12 +145,12 @@
                     + binary.encode(Kind.RELEASE, SIDS[n], give_up)
                     + setup(SIDS[n + 1], NAME="t", FIGURES="cores:0.1;memory:0.1;service:s")
                 )
-            yield from wait_for(lambda: all(answers(link, sid) for sid in SIDS[1:200:2]), 8000)
-            assert all([m.kind for m in answers(link, sid)] == [Kind.ANSWER] for sid in SIDS[1:200:2])
-            assert not any(m.kind == Kind.ANSWER for sid in SIDS[0:200:2] for m in answers(link, sid))
+            yield from wait_for(lambda: all(messages_for(link, sid) for sid in SIDS[1:200:2]), 8000)
+            assert all([m.kind for m in messages_for(link, sid)] == [Kind.ANSWER] for sid in SIDS[1:200:2])
+            assert not any(m.kind == Kind.ANSWER for sid in SIDS[0:200:2] for m in messages_for(link, sid))
             stood = {line.sid for line in host.lines(MessageType.OPEN)} - {
                 line.sid for line in host.lines(MessageType.CLOSE)
             }
             assert stood == set(SIDS[1:200:2]), "what was given up stands nowhere"
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
--- a/tests/node/test_ready.py
+++ b/tests/node/test_ready.py
@@ -15,7 +15,7 @@
 from sprucepost.node import binary
 from sprucepost.node.binary import Code, Kind
 from tests.node.platform import setup
-from tests.node.virtual import DISCOVERY, LISTEN, Placer, VirtualSock, known, play_virtual
+from tests.node.virtual import DISCOVERY, LISTEN, Placer, VirtualSock, known_hosts, run_virtual
 
 SID = "7e57aa5c7e000001"
 TEST = binary.encode(Kind.TEST, SID, [(Code.CAUSE, b"\0")])
@@ -51,7 +51,7 @@
 
 def whole_list(placer: Placer) -> None:
     """It tells everything anew as soon as it is asked."""
-    body = json.dumps(known(1000) | {"no": 2, "items": [{**known(1000)["items"][0], "no": 2}]}).encode()
+    body = json.dumps(known_hosts(1000) | {"no": 2, "items": [{**known_hosts(1000)["items"][0], "no": 2}]}).encode()
     for sock in placer.dialled(DISCOVERY):
         if sock.sent and not sock.inbox:
             sock.inbox.append(f"HTTP/1.1 200 OK\r\ncontent-length: {len(body)}\r\n\r\n".encode() + body)
@@ -78,7 +78,7 @@
         assert [line["hosts"] for line in placer.lines if line["event"] == "ready"] == [hosts]
         assert all(address[0] in ("127.0.0.2", "127.0.0.3") for address, _ in placer.loop.dialled), "no host is dialled"
 
-    play_virtual(tmp_path, body, known=known(hosts))
+    run_virtual(tmp_path, body, known=known_hosts(hosts))
 
 
 @pytest.mark.parametrize("bad", [None, "", {"no": 1}, {"no": 1, "items": [{"no": 7}]}])
@@ -87,7 +87,7 @@
         yield from passes_without_waiting(placer)
         assert len(placer.dialled(DISCOVERY)) == 1, "discovery is asked at once"
 
-    play_virtual(tmp_path, body, known=bad)
+    run_virtual(tmp_path, body, known=bad)
 
 
 def test_what_is_known_is_placed_on_before_discovery_has_said_anything(tmp_path: Path) -> None:
@@ -100,7 +100,7 @@
         kinds = [message.kind for message in binary.Decoder().feed(bytes(client.sent))]
         assert kinds == [Kind.ANSWER, Kind.RELEASE]
 
-    play_virtual(tmp_path, body, known=known(3))
+    run_virtual(tmp_path, body, known=known_hosts(3))
 
 
 def test_ready_while_all_known_hosts_keep_their_dials_waiting(tmp_path: Path) -> None:
@@ -114,4 +114,4 @@
             yield from passes_without_waiting(placer)
         assert any(address != DISCOVERY for address, _ in placer.loop.dialled)
 
-    play_virtual(tmp_path, body, known=known(400))
+    run_virtual(tmp_path, body, known=known_hosts(400))
--- a/tests/node/test_service.py
+++ b/tests/node/test_service.py
@@ -17,17 +17,27 @@
 from sprucepost.node import binary, feed, health, hosts, owners, service, tasks
 from sprucepost.node.binary import Code, Kind
 from sprucepost.node.jsonl import Line, MessageType
-from tests.node.platform import DESCRIPTION, Day, Host, Link, answers, heard, play, settings, setup
+from tests.node.platform import (
+    DESCRIPTION,
+    Host,
+    Link,
+    Platform,
+    messages_for,
+    run_on_platform,
+    settings,
+    setup,
+    wait_for_message,
+)
 from tests.wire.support import wait_for
 
 SIDS = [f"9b1f03aa5c7e2d{n:02x}" for n in range(40)]
-Body = Callable[[Day], Co[None]]
+Body = Callable[[Platform], Co[None]]
 
 
-def placed(day: Day, owner: Link, sid: str, **changes: Any) -> Co[str]:
+def placed(platform: Platform, owner: Link, sid: str, **changes: Any) -> Co[str]:
     """A set-up, and the description that its answer brought."""
     owner.transport.write(setup(sid, **changes))
-    message = yield from heard(owner, sid, Kind.ANSWER)
+    message = yield from wait_for_message(owner, sid, Kind.ANSWER)
     return message.parameters[Code.DESCRIPTION].decode()
 
 
@@ -36,80 +46,80 @@
 
 
 def test_set_up_answer_notes_release_and_test(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
         owner.transport.write(binary.encode(Kind.TEST, SIDS[0], [(Code.CAUSE, b"\0")]))
-        assert (yield from heard(owner, SIDS[0], Kind.TESTED)).cause == 1
-        text = yield from placed(day, owner, SIDS[1])
-        assert text == host.made(SIDS[1])
+        assert (yield from wait_for_message(owner, SIDS[0], Kind.TESTED)).cause == 1
+        text = yield from placed(platform, owner, SIDS[1])
+        assert text == host.description_for(SIDS[1])
         [line] = host.lines(MessageType.OPEN)
         assert line.text == SIDS[1] + DESCRIPTION
-        host.links[0].say(MessageType.EVENT, SIDS[1], {"note": "runs", "value": "1"})
-        host.links[0].say(MessageType.CLOSE, SIDS[1].upper(), {"load": "x0:30;x1:60;backlog:0"}, code=16)
-        message = yield from heard(owner, SIDS[1], Kind.RELEASE)
-        assert message.cause == 16 and day.standing() == 0
-        yield from placed(day, owner, SIDS[2])
+        host.links[0].send(MessageType.EVENT, SIDS[1], {"note": "runs", "value": "1"})
+        host.links[0].send(MessageType.CLOSE, SIDS[1].upper(), {"load": "x0:30;x1:60;backlog:0"}, code=16)
+        message = yield from wait_for_message(owner, SIDS[1], Kind.RELEASE)
+        assert message.cause == 16 and platform.standing() == 0
+        yield from placed(platform, owner, SIDS[2])
         owner.transport.write(binary.encode(Kind.RELEASE, SIDS[2], [(Code.CAUSE, b"\x1f")]))
         yield from wait_for(lambda: host.lines(MessageType.CLOSE))
-        assert host.lines(MessageType.CLOSE)[0].sid == SIDS[2] and day.standing() == 0
+        assert host.lines(MessageType.CLOSE)[0].sid == SIDS[2] and platform.standing() == 0
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_refusal_says_how_long_to_stay_away_and_comes_at_once(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        host.on_open = lambda link, line: link.say(MessageType.CLOSE, line.sid, {}, code=47)
-        day.start()
-        owner = yield from day.owner()
-        began = day.loop.now()
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        host.on_open = lambda link, line: link.send(MessageType.CLOSE, line.sid, {}, code=47)
+        platform.start()
+        owner = yield from platform.owner()
+        began = platform.loop.now()
         owner.transport.write(setup(SIDS[0]))
-        message = yield from heard(owner, SIDS[0], Kind.RELEASE)
+        message = yield from wait_for_message(owner, SIDS[0], Kind.RELEASE)
         assert message.cause == 34 and int(message.parameters[Code.STAY_AWAY]) >= 0
-        assert len(host.lines(MessageType.OPEN)) == 3 and day.loop.now() - began < 1500
+        assert len(host.lines(MessageType.OPEN)) == 3 and platform.loop.now() - began < 1500
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_release_waits_at_a_host_whose_connection_ended(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[0])
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[0])
         host.links[0].transport.abort()
         yield from wait_for(lambda: len(host.links) == 2, 1000)
-        assert day.standing() == 1 and not day.service.counters["lost_refused"]
-        host.links[1].say(MessageType.CLOSE, SIDS[0], code=16)
-        assert (yield from heard(owner, SIDS[0], Kind.RELEASE)).cause == 16
+        assert platform.standing() == 1 and not platform.service.counters["lost_refused"]
+        host.links[1].send(MessageType.CLOSE, SIDS[0], code=16)
+        assert (yield from wait_for_message(owner, SIDS[0], Kind.RELEASE)).cause == 16
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_process_that_died_releases_its_tasks_and_one_at_its_address_is_another(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        first, other = day.host("s-1"), day.host("s-2")
+    def body(platform: Platform) -> Co[None]:
+        first, other = platform.host("s-1"), platform.host("s-2")
         other.on_open = silent
-        day.start(known={"no": 1, "items": [_event(1, first.entry())]})
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[0])
+        platform.start(known={"no": 1, "items": [_event(1, first.entry())]})
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[0])
         first.die()
-        assert (yield from heard(owner, SIDS[0], Kind.RELEASE)).cause == 41
-        yield from wait_for(lambda: day.service.counters["lost_refused"] == 1)
+        assert (yield from wait_for_message(owner, SIDS[0], Kind.RELEASE)).cause == 41
+        yield from wait_for(lambda: platform.service.counters["lost_refused"] == 1)
 
-        day.paper.tell(other.entry())
-        day.paper.tell(other.entry())  # the first number is held
-        yield from wait_for(lambda: "s-2" in day.service.hosts.hosts)
-        other.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
-        yield from placed(day, owner, SIDS[1])
-        newer = Host(day, "s-3")
-        day.paper.tell(newer.entry(endpoint=other.entry()["endpoint"]))
-        assert (yield from heard(owner, SIDS[1], Kind.RELEASE)).cause == 41
-        assert "s-2" not in day.service.hosts.hosts
+        platform.bulletin.publish(other.entry())
+        platform.bulletin.publish(other.entry())  # the first number is held
+        yield from wait_for(lambda: "s-2" in platform.service.hosts.hosts)
+        other.on_open = lambda link, line: link.send(MessageType.READY, line.sid, text="x")
+        yield from placed(platform, owner, SIDS[1])
+        newer = Host(platform, "s-3")
+        platform.bulletin.publish(newer.entry(endpoint=other.entry()["endpoint"]))
+        assert (yield from wait_for_message(owner, SIDS[1], Kind.RELEASE)).cause == 41
+        assert "s-2" not in platform.service.hosts.hosts
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_silent_host_is_tested_and_its_tasks_released_in_time(
@@ -120,21 +130,21 @@
     monkeypatch.setattr(health, "CHECK_TIMEOUT_MS", 300.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[0])
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[0])
         yield from sleep(1800)
-        assert day.standing() == 1 and len(host.lines(MessageType.PROBE)) > 5, "tests that are answered keep it"
-        host.tests = False
-        began = day.loop.now()
-        assert (yield from heard(owner, SIDS[0], Kind.RELEASE)).cause == 41
-        assert 1000 < day.loop.now() - began < 1800
-        host.tests = True
+        assert platform.standing() == 1 and len(host.lines(MessageType.PROBE)) > 5, "tests that are answered keep it"
+        host.answers_probes = False
+        began = platform.loop.now()
+        assert (yield from wait_for_message(owner, SIDS[0], Kind.RELEASE)).cause == 41
+        assert 1000 < platform.loop.now() - began < 1800
+        host.answers_probes = True
         yield from wait_for(lambda: [line for line in host.lines(MessageType.CLOSE) if line.sid == SIDS[0]])
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_host_is_not_tested_before_its_silence_matters(tmp_path: Path) -> None:
@@ -142,22 +152,22 @@
     assert health.SILENT_AFTER_MS < 8000
     assert health.SILENT_AFTER_MS - health.SUSPECT_AFTER_MS >= 3 * health.CHECK_TIMEOUT_MS
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[0])
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[0])
         yield from sleep(2500)
         assert not host.lines(MessageType.PROBE)
-        known = day.service.hosts.hosts["s-1"]
+        known = platform.service.hosts.hosts["s-1"]
         known.last_heard -= 2000  # it spoke so long before
-        host.links[0].say(MessageType.EVENT, SIDS[0], {"note": "cores", "value": "1"})
+        host.links[0].send(MessageType.EVENT, SIDS[0], {"note": "cores", "value": "1"})
         yield from sleep(600)
         assert not host.lines(MessageType.PROBE), "a note is a sign of life"
         known.last_heard -= 4500
         yield from wait_for(lambda: host.lines(MessageType.PROBE), 1000)
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 @pytest.mark.parametrize("busy", [False, True])
@@ -180,40 +190,40 @@
 
     monkeypatch.setattr(hosts, "connect", connecting)
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[0])
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[0])
         old = list(host.links)
-        cut[0], host.tests = True, False
+        cut[0], host.answers_probes = True, False
         host.on_open = silent
         if busy:
             owner.transport.write(setup(SIDS[1], CLASS="bill", KEY="k", LEFT="9000"))
         yield from sleep(2000)
-        cut[0], host.tests = False, True
+        cut[0], host.answers_probes = False, True
         yield from wait_for(lambda: len(host.links) > len(old), 500)
         yield from sleep(900)
-        assert day.standing() == 1 and not answers(owner, SIDS[0])[1:], "heard again before its time was up"
-        assert not day.service.counters["lost_silent"]
+        assert platform.standing() == 1 and not messages_for(owner, SIDS[0])[1:], "heard again before its time was up"
+        assert not platform.service.counters["lost_silent"]
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_placer_that_stood_still_tests_before_it_calls_a_host_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[0])
-        day.service.hosts.hosts["s-1"].last_heard -= 20_000  # nothing was read all that time
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[0])
+        platform.service.hosts.hosts["s-1"].last_heard -= 20_000  # nothing was read all that time
         yield from wait_for(lambda: host.lines(MessageType.PROBED) or host.lines(MessageType.PROBE), 1000)
         yield from sleep(1500)
-        assert day.standing() == 1 and not day.service.counters["lost_silent"]
+        assert platform.standing() == 1 and not platform.service.counters["lost_silent"]
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 @pytest.mark.parametrize(
@@ -224,45 +234,49 @@
     ],
 )  # fmt: skip
 def test_a_spoilt_answer_ends_its_connection_alone(tmp_path: Path, spoil: bytes | None) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[1])
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[1])
 
         def once(link: Link, line: Line) -> None:
-            host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text=host.made(line.sid))
+            host.on_open = lambda link, line: link.send(
+                MessageType.READY, line.sid, text=host.description_for(line.sid)
+            )
             if spoil is None:
                 link.transport.abort()
             else:
                 link.transport.write(spoil)
 
         host.on_open = once
-        assert (yield from placed(day, owner, SIDS[0])) == host.made(SIDS[0]), "a safe task is tried again"
-        assert day.standing() == 2 and len(host.lines(MessageType.OPEN)) == 3
-        assert day.service.counters["ended_reset"] == 1 and not owner.ended
+        assert (yield from placed(platform, owner, SIDS[0])) == host.description_for(SIDS[0]), (
+            "a safe task is tried again"
+        )
+        assert platform.standing() == 2 and len(host.lines(MessageType.OPEN)) == 3
+        assert platform.service.counters["ended_reset"] == 1 and not owner.ended
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_words_of_a_first_try_do_not_answer_the_second_at_the_same_host(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
         tries: list[Link] = []
 
         def late(link: Link, line: Line) -> None:
             tries.append(link)
             if len(tries) == 2:
-                tries[0].say(MessageType.READY, line.sid, text="of the first try")
-                day.loop.call_later(30, lambda: link.say(MessageType.READY, line.sid, text="of the second"))
+                tries[0].send(MessageType.READY, line.sid, text="of the first try")
+                platform.loop.call_later(30, lambda: link.send(MessageType.READY, line.sid, text="of the second"))
 
         host.on_open = late
-        day.start()
-        owner = yield from day.owner()
-        assert (yield from placed(day, owner, SIDS[0])) == "of the second"
+        platform.start()
+        owner = yield from platform.owner()
+        assert (yield from placed(platform, owner, SIDS[0])) == "of the second"
         assert tries[0] is not tries[1] and [line.code for line in host.lines(MessageType.CLOSE)] == [16]
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_connect_still_under_way_when_its_host_drains_is_moot_at_once(
@@ -278,23 +292,23 @@
 
     monkeypatch.setattr(hosts, "connect", connecting)
 
-    def body(day: Day) -> Co[None]:
-        day.host("s-1"), day.host("s-2")
-        day.start()
-        owner = yield from day.owner()
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1"), platform.host("s-2")
+        platform.start()
+        owner = yield from platform.owner()
         owner.transport.write(setup(SIDS[0], CLASS="bill", KEY="k"))
         yield from wait_for(lambda: slow)
-        [first] = [host for host in day.hosts.values() if host.port == slow[0][1]]
-        day.paper.tell(first.entry(state="DRAINING"))
-        yield from heard(owner, SIDS[0], Kind.ANSWER)
-        assert day.service.counters["ended_moot"] == 1 and not first.lines(MessageType.OPEN)
+        [first] = [host for host in platform.hosts.values() if host.port == slow[0][1]]
+        platform.bulletin.publish(first.entry(state="DRAINING"))
+        yield from wait_for_message(owner, SIDS[0], Kind.ANSWER)
+        assert platform.service.counters["ended_moot"] == 1 and not first.lines(MessageType.OPEN)
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_an_offer_that_waits_for_a_connection_takes_the_first_that_is_free(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
         halves: list[tuple[Link, Line]] = []
 
         def half(link: Link, line: Line) -> None:
@@ -302,89 +316,89 @@
             halves.append((link, line))
 
         host.on_open = half
-        day.start(limits={"memory_mb": 64, "sockets": 6})  # two connections to a host
-        owner = yield from day.owner()
+        platform.start(limits={"memory_mb": 64, "sockets": 6})  # two connections to a host
+        owner = yield from platform.owner()
         owner.transport.write(b"".join(setup(sid, FIGURES=f"cores:1;memory:1;service:{sid}") for sid in SIDS[:2]))
         yield from wait_for(lambda: len(halves) == 2)
         owner.transport.write(setup(SIDS[2], FIGURES="cores:1;memory:1;service:s"))
-        yield from wait_for(lambda: day.service.tasks.ledger.open == 3)
-        host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
+        yield from wait_for(lambda: platform.service.tasks.ledger.open == 3)
+        host.on_open = lambda link, line: link.send(MessageType.READY, line.sid, text="x")
         for link, line in halves:
             link.transport.write(f'"sid":"{line.sid}","attrs":{{}},"text":"x"}}\n'.encode())
         for sid in SIDS[:3]:
-            yield from heard(owner, sid, Kind.ANSWER)
-        assert len(host.links) == 2 and not day.service.counters["unsent"]
+            yield from wait_for_message(owner, sid, Kind.ANSWER)
+        assert len(host.links) == 2 and not platform.service.counters["unsent"]
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_task_that_is_handed_back_is_not_let_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(service, "TICK_MS", 300.0)
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
-        known = day.service.hosts.hosts["s-1"]
-        known.pending_releases = dict.fromkeys(SIDS[:2], day.loop.now() + 5000)  # it had fallen silent
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
+        known = platform.service.hosts.hosts["s-1"]
+        known.pending_releases = dict.fromkeys(SIDS[:2], platform.loop.now() + 5000)  # it had fallen silent
         owner.transport.write(setup(SIDS[0], FIGURES="cores:1;memory:2;service:s;at:s-1"))
         yield from wait_for(lambda: host.lines(MessageType.CLOSE))
-        assert [line.sid for line in host.lines(MessageType.CLOSE)] == [SIDS[1]] and day.standing() == 1
+        assert [line.sid for line in host.lines(MessageType.CLOSE)] == [SIDS[1]] and platform.standing() == 1
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_an_answer_that_stops_short_and_answers_that_bring_more(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
 
         def more(link: Link, line: Line) -> None:
-            link.say(MessageType.READY, "f" * 16, text="of nobody")
-            link.say(MessageType.READY, line.sid, text="first")
-            link.say(MessageType.READY, line.sid, text="second")
+            link.send(MessageType.READY, "f" * 16, text="of nobody")
+            link.send(MessageType.READY, line.sid, text="first")
+            link.send(MessageType.READY, line.sid, text="second")
 
         def short(link: Link, line: Line) -> None:
             host.on_open = more
             link.transport.write(b'{"msg":"ready","sid":"')
 
         host.on_open = short
-        day.start()
-        owner = yield from day.owner()
-        assert (yield from placed(day, owner, SIDS[0])) == "first"
+        platform.start()
+        owner = yield from platform.owner()
+        assert (yield from placed(platform, owner, SIDS[0])) == "first"
         yield from sleep(50)
-        assert [m.kind for m in answers(owner, SIDS[0])] == [Kind.ANSWER] and len(owner.got) == 1
-        assert day.service.counters["late_words"] == 2
+        assert [m.kind for m in messages_for(owner, SIDS[0])] == [Kind.ANSWER] and len(owner.received) == 1
+        assert platform.service.counters["late_words"] == 2
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_an_owners_connection_ends_before_its_answer_and_before_its_release(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
         host.on_open = silent
-        day.start()
-        owner = yield from day.owner()
+        platform.start()
+        owner = yield from platform.owner()
         owner.transport.write(setup(SIDS[0]))
         yield from wait_for(lambda: host.lines(MessageType.OPEN))
         owner.transport.close()
         yield from wait_for(lambda: host.lines(MessageType.CLOSE))
-        assert host.lines(MessageType.CLOSE)[0].code == 16 and day.service.tasks.ledger.open == 0
+        assert host.lines(MessageType.CLOSE)[0].code == 16 and platform.service.tasks.ledger.open == 0
 
-        host.on_open = lambda link, line: link.say(MessageType.READY, line.sid, text="x")
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[1])
-        yield from placed(day, owner, SIDS[2])
+        host.on_open = lambda link, line: link.send(MessageType.READY, line.sid, text="x")
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[1])
+        yield from placed(platform, owner, SIDS[2])
         owner.transport.close()
-        yield from wait_for(lambda: not day.service.owners.links)
-        host.links[-1].say(MessageType.CLOSE, SIDS[1], code=16)
-        yield from wait_for(lambda: day.standing() == 1)
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[3])
-        assert (yield from heard(owner, SIDS[1], Kind.RELEASE)).cause == 16
+        yield from wait_for(lambda: not platform.service.owners.links)
+        host.links[-1].send(MessageType.CLOSE, SIDS[1], code=16)
+        yield from wait_for(lambda: platform.standing() == 1)
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[3])
+        assert (yield from wait_for_message(owner, SIDS[1], Kind.RELEASE)).cause == 16
         owner.transport.write(binary.encode(Kind.RELEASE, SIDS[2], [(Code.CAUSE, b"\x10")]))  # not where it came
-        yield from wait_for(lambda: day.standing() == 1)
+        yield from wait_for(lambda: platform.standing() == 1)
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def _event(number: int, *entries: dict[str, Any]) -> dict[str, Any]:
@@ -401,18 +415,18 @@
     ],
 )  # fmt: skip
 def test_bad_owners_are_refused_or_closed_in_time_and_hurt_nobody(tmp_path: Path, data: bytes) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        usual, bad = (yield from day.owner()), (yield from day.owner())
-        yield from placed(day, usual, SIDS[-1], DESCRIPTION="usual")
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        usual, bad = (yield from platform.owner()), (yield from platform.owner())
+        yield from placed(platform, usual, SIDS[-1], DESCRIPTION="usual")
         bad.transport.write(data)
-        yield from wait_for(lambda: bad.ended or bad.got, 2900)
-        assert all(message.kind == Kind.RELEASE for message in bad.got)
-        assert day.service.tasks.ledger.open == 0 and len(host.lines(MessageType.OPEN)) == 1
-        assert not usual.ended and (yield from placed(day, usual, SIDS[-2]))
+        yield from wait_for(lambda: bad.ended or bad.received, 2900)
+        assert all(message.kind == Kind.RELEASE for message in bad.received)
+        assert platform.service.tasks.ledger.open == 0 and len(host.lines(MessageType.OPEN)) == 1
+        assert not usual.ended and (yield from placed(platform, usual, SIDS[-2]))
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_what_no_list_has_told_of_is_forgotten_and_a_busy_owner_is_not_cut(
@@ -423,43 +437,43 @@
     monkeypatch.setattr(owners, "UNPROVEN_MS", 400.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
 
-    def body(day: Day) -> Co[None]:
-        day.host("s-1")
-        day.start()
-        bad = yield from day.owner()
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1")
+        platform.start()
+        bad = yield from platform.owner()
         bad.transport.write(setup(SIDS[0], FIGURES="cores:1;memory:2;service:s;at:s-none"))
         yield from wait_for(lambda: bad.ended, 1500)
-        busy = yield from day.owner()
+        busy = yield from platform.owner()
         data = b"".join(setup(sid, LEFT="2000") for sid in SIDS[1:12])
         step = len(data) // 11
         for at in range(0, len(data), step):
             busy.transport.write(data[max(0, at - 5) : at + step - 5])
             yield from sleep(100)
-        assert not busy.ended and len(busy.got) >= 10
-        yield from wait_for(lambda: "s-none" not in day.service.tasks.standing, 1500)
-        assert day.service.counters["lost_unlisted"] == 1
+        assert not busy.ended and len(busy.received) >= 10
+        yield from wait_for(lambda: "s-none" not in platform.service.tasks.standing, 1500)
+        assert platform.service.counters["lost_unlisted"] == 1
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_hundreds_that_say_nothing_leave_room_for_the_usual_owners(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        day.host("s-1")
-        day.start()
-        usual = yield from day.owner()
-        yield from placed(day, usual, SIDS[0])
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1")
+        platform.start()
+        usual = yield from platform.owner()
+        yield from placed(platform, usual, SIDS[0])
         task = yield from current()
         idle = []
         for _ in range(100):
-            idle.append((yield from connect(day.loop, task, day.service.config.listen, 1000.0)))
-        newer = yield from day.owner()
-        yield from placed(day, newer, SIDS[1])
-        assert len(day.service.owners.links) <= 32 and not usual.ended
-        yield from wait_for(lambda: len(day.service.owners.links) == 2, owners.UNPROVEN_MS + 1000)
+            idle.append((yield from connect(platform.loop, task, platform.service.config.listen, 1000.0)))
+        newer = yield from platform.owner()
+        yield from placed(platform, newer, SIDS[1])
+        assert len(platform.service.owners.links) <= 32 and not usual.ended
+        yield from wait_for(lambda: len(platform.service.owners.links) == 2, owners.UNPROVEN_MS + 1000)
         for transport in idle:
             transport.abort()
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_whose_tasks_stand_keeps_a_connection_for_their_releases(
@@ -470,64 +484,64 @@
     monkeypatch.setattr(service, "TICK_MS", 50.0)
     idle = settings(policy_limits={**settings()["policy_limits"], "keepalive": 400.0})
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start(settings=idle, limits={"memory_mb": 64, "sockets": 12})
-        links = day.service.owners.links
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start(settings=idle, limits={"memory_mb": 64, "sockets": 12})
+        links = platform.service.owners.links
 
         def ends(sid: str) -> None:
-            next(link for link in host.links if not link.ended).say(MessageType.CLOSE, sid, code=16)
+            next(link for link in host.links if not link.ended).send(MessageType.CLOSE, sid, code=16)
 
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[0])
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[0])
         yield from sleep(900)
         assert not owner.ended, "idle, but its task stands"
         task = yield from current()
         for _ in range(12):  # more than there is room for
-            yield from connect(day.loop, task, day.service.config.listen, 1000.0)
+            yield from connect(platform.loop, task, platform.service.config.listen, 1000.0)
         yield from sleep(100)
         assert not owner.ended and len(links) <= 6, "those who say nothing go first"
         yield from wait_for(lambda: len(links) == 1, 1500)
         ends(SIDS[0])
-        yield from heard(owner, SIDS[0], Kind.RELEASE)
+        yield from wait_for_message(owner, SIDS[0], Kind.RELEASE)
         yield from wait_for(lambda: owner.ended, 1500)  # nothing stands: idle is idle
-        assert not day.service.counters["releases_waiting"]
+        assert not platform.service.counters["releases_waiting"]
 
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[1])
-        yield from placed(day, owner, SIDS[2])
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[1])
+        yield from placed(platform, owner, SIDS[2])
         owner.transport.abort()  # it breaks by itself
         yield from wait_for(lambda: not links)
         ends(SIDS[1])
-        yield from wait_for(lambda: day.service.counters["releases_waiting"] == 1)
-        again = yield from day.owner()
+        yield from wait_for(lambda: platform.service.counters["releases_waiting"] == 1)
+        again = yield from platform.owner()
         again.transport.write(setup(SIDS[3], CLASS="nobody"))  # says something, but nothing that could be taken
-        yield from heard(again, SIDS[1], Kind.RELEASE)
+        yield from wait_for_message(again, SIDS[1], Kind.RELEASE)
         yield from sleep(900)
         assert not again.ended, "unproven and idle, but the only one of an owner whose task stands"
         ends(SIDS[2])
-        yield from heard(again, SIDS[2], Kind.RELEASE)
+        yield from wait_for_message(again, SIDS[2], Kind.RELEASE)
         yield from wait_for(lambda: again.ended, 1500)
-        assert not day.service.owners.held
+        assert not platform.service.owners.held
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_where_all_connections_are_needed_the_newcomer_is_turned_away(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        day.host("s-1")
-        day.start(limits={"memory_mb": 64, "sockets": 12})
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1")
+        platform.start(limits={"memory_mb": 64, "sockets": 12})
         needed = []
         for sid in SIDS[:6]:
-            needed.append((yield from day.owner()))
-            yield from placed(day, needed[-1], sid, FIGURES=f"cores:1;memory:1;service:{sid}")
+            needed.append((yield from platform.owner()))
+            yield from placed(platform, needed[-1], sid, FIGURES=f"cores:1;memory:1;service:{sid}")
         with contextlib.suppress(ConnectionError):  # it may hear of it while it still connects
-            newcomer = yield from day.owner()
+            newcomer = yield from platform.owner()
             yield from wait_for(lambda: newcomer.ended)
-        yield from wait_for(lambda: day.service.counters["owners_turned_away"])
-        assert not any(owner.ended for owner in needed) and day.service.counters["owners_turned_away"] == 1
+        yield from wait_for(lambda: platform.service.counters["owners_turned_away"])
+        assert not any(owner.ended for owner in needed) and platform.service.counters["owners_turned_away"] == 1
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_an_owner_that_does_not_read_is_dropped_after_the_batch_that_answers_it(
@@ -536,74 +550,76 @@
     """Dropped within the batch, its other set-ups were over when the module's answers to them came."""
     monkeypatch.setattr(owners, "UNREAD_MOST", 0)
 
-    def body(day: Day) -> Co[None]:
-        day.paper.tell(everything=True)
-        day.start()
-        owner = yield from day.owner()
+    def body(platform: Platform) -> Co[None]:
+        platform.bulletin.publish(everything=True)
+        platform.start()
+        owner = yield from platform.owner()
         # With so little time left each is refused in the batch in which the module hears of it.
         owner.transport.write(b"".join(setup(sid, LEFT="3") for sid in SIDS[: tasks.BATCH_MOST]))
         yield from wait_for(lambda: owner.ended)
-        assert day.service.counters["owner_unread"] == 1 and day.service.tasks.ledger.open == 0
-        assert day.service.counters["refused"] == tasks.BATCH_MOST
+        assert platform.service.counters["owner_unread"] == 1 and platform.service.tasks.ledger.open == 0
+        assert platform.service.counters["refused"] == tasks.BATCH_MOST
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_the_bulletin_breaks_off_falls_silent_and_moves(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(feed, "LONG_POLL_MS", 200.0)
     monkeypatch.setattr(feed, "ANSWER_GRACE_MS", 100.0)
 
-    def body(day: Day) -> Co[None]:
-        first, second = day.host("s-1"), day.host("s-2")
-        day.start()
-        seen = day.service.tasks.closed
-        yield from wait_for(lambda: day.paper.asked)
-        day.paper.mode = "breaks"
-        day.paper.tell(first.entry(state="DRAINING"))
-        yield from wait_for(lambda: day.paper.asked.count(1) > 2)
-        assert "s-1" not in seen and day.service.feed.bulletin.last_number == 1
-        day.paper.mode = "answers"
+    def body(platform: Platform) -> Co[None]:
+        first, second = platform.host("s-1"), platform.host("s-2")
+        platform.start()
+        seen = platform.service.tasks.closed
+        yield from wait_for(lambda: platform.bulletin.requests)
+        platform.bulletin.mode = "breaks"
+        platform.bulletin.publish(first.entry(state="DRAINING"))
+        yield from wait_for(lambda: platform.bulletin.requests.count(1) > 2)
+        assert "s-1" not in seen and platform.service.feed.bulletin.last_number == 1
+        platform.bulletin.mode = "answers"
         yield from wait_for(lambda: "s-1" in seen, 1500)
-        day.paper.mode = "silent"
-        day.paper.tell(first.entry(), second.entry(state="DRAINING"))
+        platform.bulletin.mode = "silent"
+        platform.bulletin.publish(first.entry(), second.entry(state="DRAINING"))
         yield from sleep(400)
-        day.paper.mode = "answers"
+        platform.bulletin.mode = "answers"
         yield from wait_for(lambda: seen == {"s-2"}, 1500)
-        owner = yield from day.owner()
+        owner = yield from platform.owner()
         for sid in SIDS[:8]:
-            yield from placed(day, owner, sid, FIGURES=f"cores:1;memory:1;service:{sid}")
+            yield from placed(platform, owner, sid, FIGURES=f"cores:1;memory:1;service:{sid}")
         assert not second.lines(MessageType.OPEN)
 
-        old, day.paper = day.paper, type(day.paper)(day)
-        day.paper.items = list(old.items)
-        environment = day.service._environment
+        old, platform.bulletin = platform.bulletin, type(platform.bulletin)(platform)
+        platform.bulletin.items = list(old.items)
+        environment = platform.service._environment
         good = Path(environment["BALANCER_CONFIG"]).read_text()
         Path(environment["BALANCER_CONFIG"]).write_text(good[:-9])
-        day.service.reload()
-        assert day.service.feed.address == day.service.config.bulletin
-        Path(environment["BALANCER_CONFIG"]).write_text(json.dumps({**json.loads(good), "bulletin": day.paper.address}))
-        day.service.reload()
-        yield from wait_for(lambda: day.paper.asked)
-        assert day.paper.asked[0] == 3, "the numbers go on"
-        day.paper.tell(second.entry())
+        platform.service.reload()
+        assert platform.service.feed.address == platform.service.config.bulletin
+        Path(environment["BALANCER_CONFIG"]).write_text(
+            json.dumps({**json.loads(good), "bulletin": platform.bulletin.address})
+        )
+        platform.service.reload()
+        yield from wait_for(lambda: platform.bulletin.requests)
+        assert platform.bulletin.requests[0] == 3, "the numbers go on"
+        platform.bulletin.publish(second.entry())
         yield from wait_for(lambda: not seen)
-        assert [json.loads(line)["event"] for line in day.lines].count("reload_refused") == 1
+        assert [json.loads(line)["event"] for line in platform.lines].count("reload_refused") == 1
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_hasty_bulletin_keeps_nobody_busy_and_a_fault_is_told_once(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        yield from wait_for(lambda: day.paper.asked)
-        day.paper.mode = "hasty"
-        day.paper.tell(host.entry(az="attic"))
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        yield from wait_for(lambda: platform.bulletin.requests)
+        platform.bulletin.mode = "hasty"
+        platform.bulletin.publish(host.entry(az="attic"))
         yield from sleep(500)
-        assert 2 <= len(day.paper.asked) <= 15
-        assert [json.loads(line)["event"] for line in day.lines].count("bulletin_unreadable") == 1
+        assert 2 <= len(platform.bulletin.requests) <= 15
+        assert [json.loads(line)["event"] for line in platform.lines].count("bulletin_unreadable") == 1
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_stop_answers_all_that_was_taken_and_refuses_what_comes_late(
@@ -611,30 +627,30 @@
 ) -> None:
     monkeypatch.setattr(service, "LEAVE_MS", 300.0)
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
-        yield from placed(day, owner, SIDS[0])
-        day.service.leave()
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
+        yield from placed(platform, owner, SIDS[0])
+        platform.service.leave()
         owner.transport.write(binary.encode(Kind.TEST, SIDS[9], [(Code.CAUSE, b"\0")]))
-        assert (yield from heard(owner, SIDS[9], Kind.TESTED)).cause == 0
-        yield from placed(day, owner, SIDS[1])
-        second = yield from day.owner()
-        yield from placed(day, second, SIDS[2])
+        assert (yield from wait_for_message(owner, SIDS[9], Kind.TESTED)).cause == 0
+        yield from placed(platform, owner, SIDS[1])
+        second = yield from platform.owner()
+        yield from placed(platform, second, SIDS[2])
         slow: list[Link] = []
         host.on_open = lambda link, line: slow.append(link)
         owner.transport.write(setup(SIDS[3]))
         yield from sleep(400)
-        assert not day.service.ended
+        assert not platform.service.ended
         owner.transport.write(setup(SIDS[4]))
-        assert (yield from heard(owner, SIDS[4], Kind.RELEASE)).cause == 34
-        slow[-1].say(MessageType.READY, SIDS[3], text="late")
-        yield from heard(owner, SIDS[3], Kind.ANSWER)
-        yield from wait_for(lambda: day.service.ended, 1000)
+        assert (yield from wait_for_message(owner, SIDS[4], Kind.RELEASE)).cause == 34
+        slow[-1].send(MessageType.READY, SIDS[3], text="late")
+        yield from wait_for_message(owner, SIDS[3], Kind.ANSWER)
+        yield from wait_for(lambda: platform.service.ended, 1000)
         assert not [line for line in host.lines(MessageType.CLOSE) if line.sid != SIDS[3]], "standing tasks run on"
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 # Runs the program as `run` does, and tells at its end what it has loaded and which refused calls it has made.
@@ -659,10 +675,10 @@
 def test_the_program_is_lean_serves_alone_survives_sighup_and_ends_well(tmp_path: Path) -> None:
     """Other programs, fork and Unix sockets are refused where the fleet's days are played."""
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.paper.tell(host.entry(), everything=True)
-        environment = dict(day.environment())
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.bulletin.publish(host.entry(), everything=True)
+        environment = dict(platform.environment())
         listen = json.loads((tmp_path / "config.json").read_text())["listen"].split(":")
         with subprocess.Popen(
             [sys.executable, "-c", WATCHED], env=environment, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
@@ -671,11 +687,11 @@
             ready = json.loads(process.stdout.readline())
             assert (ready["event"], ready["pid"]) == ("ready", process.pid)
             task = yield from current()
-            transport = yield from connect(day.loop, task, (listen[0], int(listen[1])), 3000.0)
+            transport = yield from connect(platform.loop, task, (listen[0], int(listen[1])), 3000.0)
             owner = Link(transport, binary.Decoder(), lambda link, message: None)
-            yield from placed(day, owner, SIDS[0])
-            host.links[0].say(MessageType.CLOSE, SIDS[0], code=16)
-            yield from heard(owner, SIDS[0], Kind.RELEASE)
+            yield from placed(platform, owner, SIDS[0])
+            host.links[0].send(MessageType.CLOSE, SIDS[0], code=16)
+            yield from wait_for_message(owner, SIDS[0], Kind.RELEASE)
             process.send_signal(signal.SIGHUP)
             events = (json.loads(line)["event"] for line in process.stdout)
             assert next(event for event in events if event not in ("task", "host")) == "reloaded"
@@ -686,7 +702,7 @@
         assert "h11" in loaded and refused == "refused: []"
         assert not [name for name in ("google", "h2", "msgspec", "click", "structlog") if f"'{name}'" in loaded]
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_placer_that_cannot_start_says_why_in_one_line(tmp_path: Path) -> None:
--- a/tests/node/test_signals_all_the_way.py
+++ b/tests/node/test_signals_all_the_way.py
@@ -12,7 +12,7 @@
 
 from sprucepost.loop import Co, connect, current, sleep
 from sprucepost.node.config import read_config
-from tests.node.platform import Day, play
+from tests.node.platform import Platform, run_on_platform
 
 ROOT = Path(__file__).parent.parent.parent
 BETWEEN_S = 0.001
@@ -41,10 +41,10 @@
 
 # Guards against a placer that ends, or says that it has failed, since a reload met its start or its end.
 def test_a_reload_at_any_moment_ends_nothing(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        day.host("s-1")
-        day.paper.tell(day.hosts["s-1"].entry(), everything=True)
-        environment = day.environment()
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1")
+        platform.bulletin.publish(platform.hosts["s-1"].entry(), everything=True)
+        environment = platform.environment()
         log = (tmp_path / "log").open("w")
         process = subprocess.Popen(
             command(), shell=True, cwd=ROOT, stdout=log, stderr=log, env={**os.environ, **environment}
@@ -58,7 +58,7 @@
             while not up and process.poll() is None and time.monotonic() < until:
                 process.send_signal(signal.SIGHUP)
                 try:
-                    yield from connect(day.loop, task, read_config(environment).listen, 100.0)
+                    yield from connect(platform.loop, task, read_config(environment).listen, 100.0)
                     up = True
                 except OSError:
                     yield from sleep(1)
@@ -74,4 +74,4 @@
             process.wait(10)
             log.close()
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
--- a/tests/node/test_silent_hosts.py
+++ b/tests/node/test_silent_hosts.py
@@ -11,8 +11,8 @@
 from sprucepost.node.binary import Kind
 from sprucepost.node.jsonl import MessageType
 from sprucepost.node.tasks import LATE_MS
-from tests.node.platform import Day, heard, play, setup
-from tests.node.virtual import LISTEN, Placer, host_address, play_virtual
+from tests.node.platform import Platform, run_on_platform, setup, wait_for_message
+from tests.node.virtual import LISTEN, Placer, host_address, run_virtual
 from tests.wire.support import wait_for
 
 TASK = "c0255aa5c7e00001"
@@ -24,17 +24,17 @@
     monkeypatch.setattr(health, "CHECK_TIMEOUT_MS", 10_000.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
         owner.transport.write(setup(TASK))
-        yield from heard(owner, TASK, Kind.ANSWER)
+        yield from wait_for_message(owner, TASK, Kind.ANSWER)
         yield from wait_for(lambda: len(host.lines(MessageType.PROBE)) >= 3)
         assert len(host.links) == 1
-        assert day.standing() == 1 and len(owner.got) == 1
+        assert platform.standing() == 1 and len(owner.received) == 1
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 # Guards against a call that is over for 8 s and whose caller is not told, since its host's last words were read late.
@@ -55,4 +55,4 @@
         yield from sleep(died + LATE_MS - placer.loop.time)
         assert [message.kind for message in binary.Decoder().feed(bytes(client.sent))] == [Kind.ANSWER, Kind.RELEASE]
 
-    play_virtual(tmp_path, body)
+    run_virtual(tmp_path, body)
--- a/tests/node/test_stop.py
+++ b/tests/node/test_stop.py
@@ -20,10 +20,10 @@
 from sprucepost.node.binary import Code, Kind
 from sprucepost.node.bounds import LINGER_MS
 from sprucepost.node.jsonl import MessageType
-from tests.node.platform import Day, answers, heard, play, settings, setup
+from tests.node.platform import Platform, messages_for, run_on_platform, settings, setup, wait_for_message
 from tests.node.test_crossings import BEGUN, OTHER, Raw, begin, opened, release, warm
 from tests.node.test_process import owner as connected
-from tests.node.virtual import LISTEN, Placer, play_virtual
+from tests.node.virtual import LISTEN, Placer, run_virtual
 from tests.wire.support import wait_for
 
 SIDS = [f"57095aa5c7e{n:05x}" for n in range(400)]
@@ -39,14 +39,14 @@
 
 
 def test_connections_not_yet_accepted_when_the_listener_closes_are_answered(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host, _ = yield from begin(day)
-        day.service.leave()
-        owners = [Raw(day) for _ in range(100)]  # more than are taken in one turn
+    def body(platform: Platform) -> Co[None]:
+        host, _ = yield from begin(platform)
+        platform.service.leave()
+        owners = [Raw(platform) for _ in range(100)]  # more than are taken in one turn
         for n, owner in enumerate(owners):
             owner.send(setup(SIDS[1 + n], FIGURES=OTHER))
-        day.service._refuse()
-        assert not day.service.counters["owners_turned_away"], "though only 32 can be open at a time"
+        platform.service._refuse()
+        assert not platform.service.counters["owners_turned_away"], "though only 32 can be open at a time"
         for owner in owners:
             message = yield from owner.message()
             assert message.kind == Kind.RELEASE and message.cause == 34
@@ -54,32 +54,32 @@
         for owner in owners:
             owner.sock.close()
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 @pytest.mark.parametrize("unread", ["a set-up", "half a set-up", "a set-up and half of another", "a release"])
 def test_what_lies_unread_at_the_end_is_refused_and_no_connection_is_reset(tmp_path: Path, unread: str) -> None:
-    def body(day: Day) -> Co[None]:
-        host, _ = yield from begin(day)
-        owner = Raw(day)
+    def body(platform: Platform) -> Co[None]:
+        host, _ = yield from begin(platform)
+        owner = Raw(platform)
         owner.send(setup(SIDS[1]))
         yield from owner.message()
-        day.service.leave()
-        day.service._refuse()
+        platform.service.leave()
+        platform.service._refuse()
         data = {
             "a set-up": setup(SIDS[2]),
             "half a set-up": setup(SIDS[2])[:40],
             "a set-up and half of another": setup(SIDS[2]) + setup(SIDS[3])[:40],
             "a release": release(SIDS[1]),
         }[unread]
-        abandon = day.service.tasks.abandon
+        abandon = platform.service.tasks.abandon
 
         def at_the_last_moment() -> None:  # after the sockets were looked at for the last time in a turn
             owner.send(data)
             abandon()
 
-        day.service.tasks.abandon = at_the_last_moment  # type: ignore[method-assign]
-        day.service._end()
+        platform.service.tasks.abandon = at_the_last_moment  # type: ignore[method-assign]
+        platform.service._end()
         found: list[binary.Message] = []
         yield from wait_for(lambda: everything(owner, found), 2000)
         assert [m.cause for m in found if m.task == SIDS[2]] == ([34] if unread.startswith("a set-up") else [])
@@ -88,63 +88,63 @@
         assert len(opened(host)) == 2
         owner.close()
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 @pytest.mark.parametrize("crossing", [False, True])
 def test_what_is_out_at_a_host_when_time_is_up_gets_one_whole_answer(tmp_path: Path, crossing: bool) -> None:
     """The host's answer may come in that very moment."""
 
-    def body(day: Day) -> Co[None]:
-        host, owner = yield from begin(day)
+    def body(platform: Platform) -> Co[None]:
+        host, owner = yield from begin(platform)
         host.on_open = lambda link, line: None
         owner.transport.write(setup(SIDS[1], FIGURES=OTHER))
         yield from wait_for(lambda: SIDS[1] in opened(host))
         if crossing:
-            [link] = [link for link in host.links if any(line.sid == SIDS[1] for line in link.got)]
-            link.say(MessageType.READY, SIDS[1], text="at the last moment")
+            [link] = [link for link in host.links if any(line.sid == SIDS[1] for line in link.received)]
+            link.send(MessageType.READY, SIDS[1], text="at the last moment")
             link.transport._flush()
-        day.service._end()
+        platform.service._end()
         yield from wait_for(lambda: owner.ended, 2000)
-        [message] = answers(owner, SIDS[1])
+        [message] = messages_for(owner, SIDS[1])
         if message.kind == Kind.RELEASE:
             assert message.cause == 41, "it may run: failed, not refused"
             yield from wait_for(lambda: [line.sid for line in host.lines(MessageType.CLOSE)] == [SIDS[1]])
-        assert day.service.tasks.ledger.open == 0
+        assert platform.service.tasks.ledger.open == 0
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_client_that_does_not_read_holds_the_end_up_no_longer_than_it_may(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        day.host("s-1")
-        day.start()
-        reader = yield from warm(day, SIDS[0])
-        owner = Raw(day)
+    def body(platform: Platform) -> Co[None]:
+        platform.host("s-1")
+        platform.start()
+        reader = yield from warm(platform, SIDS[0])
+        owner = Raw(platform)
         owner.send(setup(SIDS[1]))
         yield from owner.message()
-        link = owner.taken(day)
+        link = owner.taken(platform)
         while not link.transport.blocked:
             link.transport.write(bytes(1 << 20))
             yield from sleep(0)
-        began = day.loop.now()
+        began = platform.loop.now()
         reader.transport.write(setup(SIDS[2]))
-        day.service._end()
-        yield from wait_for(lambda: any('"end"' in line for line in day.lines), 5000)
-        assert day.loop.now() - began < LINGER_MS + 1000 and link.transport.gone
+        platform.service._end()
+        yield from wait_for(lambda: any('"end"' in line for line in platform.lines), 5000)
+        assert platform.loop.now() - began < LINGER_MS + 1000 and link.transport.gone
         yield from wait_for(lambda: reader.ended)
-        assert [m.kind for m in answers(reader, SIDS[2])] == [Kind.RELEASE]
+        assert [m.kind for m in messages_for(reader, SIDS[2])] == [Kind.RELEASE]
         owner.close()
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_flood_that_is_taken_back_at_once_keeps_the_usual_clients_served(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start(limits={"cores": 1.0, "memory_mb": 512, "sockets": 64})
-        usual = yield from warm(day, SIDS[0])
-        loud = yield from day.owner()
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start(limits={"cores": 1.0, "memory_mb": 512, "sockets": 64})
+        usual = yield from warm(platform, SIDS[0])
+        loud = yield from platform.owner()
         flood = [f"f100d{n:011x}" for n in range(2000)]
         figures = "cores:0.001;memory:0.001;service:f100d"
         loud.transport.write(b"".join(setup(sid, FIGURES=figures) for sid in flood))
@@ -152,25 +152,25 @@
         for n in range(1, 21):
             usual.transport.write(setup(SIDS[n], FIGURES="cores:0.1;memory:0.1;service:usual"))
             yield from sleep(10)
-        yield from wait_for(lambda: all(answers(usual, sid) for sid in SIDS[1:21]), 10_000)
-        assert all([m.kind for m in answers(usual, sid)] == [Kind.ANSWER] for sid in SIDS[1:21])
-        yield from wait_for(lambda: day.service.tasks.ledger.open == 0, 10_000)
+        yield from wait_for(lambda: all(messages_for(usual, sid) for sid in SIDS[1:21]), 10_000)
+        assert all([m.kind for m in messages_for(usual, sid)] == [Kind.ANSWER] for sid in SIDS[1:21])
+        yield from wait_for(lambda: platform.service.tasks.ledger.open == 0, 10_000)
         yield from sleep(350)
         sent = [sid for sid in opened(host) if sid in set(flood)]
         closed = [line.sid for line in host.lines(MessageType.CLOSE)]
         assert len(sent) < 2000 and sorted(sent) == sorted(closed), "what was sent on has been taken back"
-        assert not any(link.open for link in day.service.owners.links)
+        assert not any(link.open for link in platform.service.owners.links)
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 # Signals to the program itself
 
 
 @contextmanager
-def program(day: Day, code: str = "") -> Iterator[subprocess.Popen[bytes]]:
+def program(platform: Platform, code: str = "") -> Iterator[subprocess.Popen[bytes]]:
     """The program with something of its own done before, until it has ended or is ended."""
-    environment = dict(day.environment())
+    environment = dict(platform.environment())
     script = f"import os, signal, sys\nfrom sprucepost.node import service\n{code}\nsys.exit(service.main())"
     with subprocess.Popen([sys.executable, "-c", script], env=environment, stdout=subprocess.PIPE) as process:
         try:
@@ -218,68 +218,68 @@
 
 
 def test_sighup_during_the_start_is_heeded_once_there_is_somebody_to_take_it(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        day.paper.tell(day.host("s-1").entry(), everything=True)
-        with program(day, SIGNALLED.format(signal="signal.SIGHUP")) as process:
+    def body(platform: Platform) -> Co[None]:
+        platform.bulletin.publish(platform.host("s-1").entry(), everything=True)
+        with program(platform, SIGNALLED.format(signal="signal.SIGHUP")) as process:
             assert events(process, "reloaded") == ["ready", "reloaded"]
             assert process.poll() is None
         yield from sleep(0)
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_sigterm_during_the_start_ends_it_in_order(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        day.paper.tell(day.host("s-1").entry(), everything=True)
-        with program(day, SIGNALLED.format(signal="signal.SIGTERM")) as process:
+    def body(platform: Platform) -> Co[None]:
+        platform.bulletin.publish(platform.host("s-1").entry(), everything=True)
+        with program(platform, SIGNALLED.format(signal="signal.SIGTERM")) as process:
             assert (yield from ended(process)) == 0
             assert [name for name in events(process, "end") if name != "counts"] == ["ready", "leaving", "end"]
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_sigterm_twice_and_together_with_sighup_answers_what_is_out(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.paper.tell(host.entry(), everything=True)
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.bulletin.publish(host.entry(), everything=True)
         late: list[Any] = []
         host.on_open = lambda link, line: late.append((link, line))
-        with program(day) as process:
+        with program(platform) as process:
             assert events(process, "ready")
             listen = json.loads((tmp_path / "config.json").read_text())["listen"].split(":")
-            link = yield from connected(day, (listen[0], int(listen[1])))
+            link = yield from connected(platform, (listen[0], int(listen[1])))
             link.transport.write(setup(SIDS[0]))
             yield from wait_for(lambda: late)
             for test in SIDS[8:10]:  # once it has heeded the first two, again: pending signals of a kind are one
                 os.kill(process.pid, signal.SIGTERM)
                 os.kill(process.pid, signal.SIGHUP)
                 link.transport.write(binary.encode(Kind.TEST, test, [(Code.CAUSE, b"\0")]))
-                yield from heard(link, test, Kind.TESTED)
+                yield from wait_for_message(link, test, Kind.TESTED)
             link.transport.write(setup(SIDS[1], FIGURES=OTHER))  # still placed, so soon after
             yield from wait_for(lambda: len(late) == 2)
             for at, line in late:
-                at.say(MessageType.READY, line.sid, text="x")
+                at.send(MessageType.READY, line.sid, text="x")
             for sid in SIDS[:2]:
-                yield from heard(link, sid, Kind.ANSWER)
+                yield from wait_for_message(link, sid, Kind.ANSWER)
             assert (yield from ended(process)) == 0
             yield from wait_for(lambda: link.ended)
             assert events(process, "end").count("leaving") == 1
             assert not host.lines(MessageType.CLOSE), "standing tasks run on"
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_ready_at_once_with_many_hosts_on_a_core_that_others_use(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-0")
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-0")
         entries = [host.entry(), *(host.entry(uid=f"s-{n}", endpoint=f"127.0.0.1:{n}") for n in range(1, 600))]
-        day.paper.tell(*entries, everything=True)
+        platform.bulletin.publish(*entries, everything=True)
         core = min(os.sched_getaffinity(0))
         spin = f"import os, time\nos.sched_setaffinity(0, {{{core}}})\nend = time.time() + 15\nwhile time.time() < end: pass"
         busy = [subprocess.Popen([sys.executable, "-c", spin]) for _ in range(2)]
         try:
             began = time.monotonic()
-            with program(day, f"os.sched_setaffinity(0, {{{core}}})") as process:
+            with program(platform, f"os.sched_setaffinity(0, {{{core}}})") as process:
                 assert events(process, "ready") == ["ready"]
                 assert time.monotonic() - began < 10.0
         finally:
@@ -288,7 +288,7 @@
                 process.wait()
         yield from sleep(0)
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 # Guards against a request that SIGKILL finds unanswered since the process took its longest deadline for the time it has.
@@ -309,4 +309,4 @@
         [message] = binary.Decoder().feed(bytes(client.sent))
         assert message.kind == Kind.RELEASE
 
-    play_virtual(tmp_path, body, settings=settings(classes=classes))
+    run_virtual(tmp_path, body, settings=settings(classes=classes))
--- a/tests/node/test_wall_clock_steps.py
+++ b/tests/node/test_wall_clock_steps.py
@@ -9,7 +9,7 @@
 from sprucepost.loop import Co, sleep
 from sprucepost.loop.epoll import EpollLoop
 from sprucepost.node.binary import Kind
-from tests.node.platform import Day, heard, play, setup
+from tests.node.platform import Platform, run_on_platform, setup, wait_for_message
 from tests.wire.support import wait_for
 
 TASK = "c0455aa5c7e00001"
@@ -33,20 +33,20 @@
 def test_a_restart_that_the_list_tells_of_ends_what_stood_before_it(tmp_path: Path, step: float, stands: str) -> None:
     loop = SteppingLoop()
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
         if stands == "after the step":
             loop.step = step
         owner.transport.write(setup(TASK))
-        yield from heard(owner, TASK, Kind.ANSWER)
+        yield from wait_for_message(owner, TASK, Kind.ANSWER)
         loop.step = step
         yield from sleep(20)
-        day.paper.tell(host.entry(boot_ms=loop.wall() - step))
-        yield from heard(owner, TASK, Kind.RELEASE)
+        platform.bulletin.publish(host.entry(boot_ms=loop.wall() - step))
+        yield from wait_for_message(owner, TASK, Kind.RELEASE)
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
 
 
 # Guards against a caller that is told of an end while its call runs, since our clock was set back.
@@ -57,21 +57,21 @@
 ) -> None:
     loop = SteppingLoop()
 
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
         started = loop.wall()
         yield from sleep(20)
-        owner = yield from day.owner()
+        owner = yield from platform.owner()
         if stands == "after the step":
             loop.step = step
         owner.transport.write(setup(TASK))
-        yield from heard(owner, TASK, Kind.ANSWER)
+        yield from wait_for_message(owner, TASK, Kind.ANSWER)
         loop.step = step
-        lists = day.service.counters["lists"]
-        day.paper.tell(host.entry(boot_ms=started))
-        yield from wait_for(lambda: day.service.counters["lists"] > lists)
+        lists = platform.service.counters["lists"]
+        platform.bulletin.publish(host.entry(boot_ms=started))
+        yield from wait_for(lambda: platform.service.counters["lists"] > lists)
         yield from sleep(50)
-        assert day.standing() == 1
+        assert platform.standing() == 1
 
-    play(tmp_path, body, loop)
+    run_on_platform(tmp_path, body, loop)
--- a/tests/node/test_words_on_another_connection.py
+++ b/tests/node/test_words_on_another_connection.py
@@ -13,7 +13,7 @@
 from sprucepost.node.attempt import Attempt
 from sprucepost.node.binary import Kind
 from sprucepost.node.jsonl import Line, MessageType
-from tests.node.platform import Day, Host, Link, answers, heard, play, setup
+from tests.node.platform import Host, Link, Platform, messages_for, run_on_platform, setup, wait_for_message
 from tests.node.test_crossings import SIDS, two_connections, warm
 from tests.node.test_tasks import SID, Around
 from tests.wire.support import wait_for
@@ -22,11 +22,11 @@
 NOTE = {"note": "cores", "value": "0.5"}
 
 
-def out_on_one_of_two(day: Day) -> Co[tuple[Host, Link, Link, Link]]:
+def out_on_one_of_two(platform: Platform) -> Co[tuple[Host, Link, Link, Link]]:
     """A host with two connections, the owner of a task that is out on one of them, that connection, and the other."""
-    host = day.host("s-1")
-    day.start()
-    owner = yield from two_connections(day, host)
+    host = platform.host("s-1")
+    platform.start()
+    owner = yield from two_connections(platform, host)
     carried: list[Link] = []
 
     def leave_out(link: Link, line: Line) -> None:
@@ -42,31 +42,33 @@
 # Guards against a call that was over at its host and whose caller was never told, since the word came on a connection
 # that did not carry its set-up (incident 8).
 def test_a_release_on_another_connection_before_the_answer_is_passed_on(tmp_path: Path) -> None:
-    def body(day: Day, noted: bool, cause: int) -> Co[None]:
-        _, owner, carrying, other = yield from out_on_one_of_two(day)
+    def body(platform: Platform, noted: bool, cause: int) -> Co[None]:
+        _, owner, carrying, other = yield from out_on_one_of_two(platform)
         if noted:
-            other.say(MessageType.EVENT, TASK, NOTE)
-        other.say(MessageType.CLOSE, TASK, code=cause)
-        assert (yield from heard(owner, TASK, Kind.RELEASE, 1000)).cause == 41
-        carrying.say(MessageType.READY, TASK, text="late")
+            other.send(MessageType.EVENT, TASK, NOTE)
+        other.send(MessageType.CLOSE, TASK, code=cause)
+        assert (yield from wait_for_message(owner, TASK, Kind.RELEASE, 1000)).cause == 41
+        carrying.send(MessageType.READY, TASK, text="late")
         yield from sleep(100)
-        assert len(answers(owner, TASK)) == 1 and day.standing() == 2 and not day.service.tasks.ledger.open
+        assert (
+            len(messages_for(owner, TASK)) == 1 and platform.standing() == 2 and not platform.service.tasks.ledger.open
+        )
 
     for noted, cause in itertools.product([True, False], [41, 16, 31]):
-        play(tmp_path, functools.partial(body, noted=noted, cause=cause))
+        run_on_platform(tmp_path, functools.partial(body, noted=noted, cause=cause))
 
 
 # Guards against a task that is offered again though its note, on another connection, has told that it stood.
 def test_a_note_on_another_connection_tells_that_a_release_is_of_a_task_that_stood(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host, owner, carrying, other = yield from out_on_one_of_two(day)
-        other.say(MessageType.EVENT, TASK, NOTE)
+    def body(platform: Platform) -> Co[None]:
+        host, owner, carrying, other = yield from out_on_one_of_two(platform)
+        other.send(MessageType.EVENT, TASK, NOTE)
         yield from sleep(50)
-        carrying.say(MessageType.CLOSE, TASK, code=41)
-        assert (yield from heard(owner, TASK, Kind.RELEASE, 1000)).cause == 41
+        carrying.send(MessageType.CLOSE, TASK, code=41)
+        assert (yield from wait_for_message(owner, TASK, Kind.RELEASE, 1000)).cause == 41
         assert sum(line.sid == TASK for line in host.lines(MessageType.OPEN)) == 1
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def withdrawn_at_its_host(noted: bool) -> tuple[Around, Attempt]:
@@ -105,30 +107,30 @@
 # Guards against a caller that is told of an end, or never told of one, by a host's answer to an earlier taking back there.
 @pytest.mark.parametrize("cause", [16, 31])
 def test_an_answer_to_taking_back_ends_no_task_that_stands_by_a_later_attempt(tmp_path: Path, cause: int) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from warm(day, SIDS[0])
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from warm(platform, SIDS[0])
         carrying: list[Link] = []
 
         def hold_the_first(link: Link, line: Line) -> None:
             carrying.append(link)
             link.transport.on_end = lambda: None  # it may still say something there
             if len(carrying) > 1:
-                link.say(MessageType.READY, line.sid, text="x")
+                link.send(MessageType.READY, line.sid, text="x")
 
         host.on_open = hold_the_first
         owner.transport.write(setup(TASK))
-        yield from heard(owner, TASK, Kind.ANSWER)
-        carrying[0].say(
+        yield from wait_for_message(owner, TASK, Kind.ANSWER)
+        carrying[0].send(
             MessageType.CLOSE, TASK, code=cause
         )  # on the connection that was taken back, which is still read
         yield from sleep(50)
-        assert day.standing() == 2 and len(answers(owner, TASK)) == 1
-        carrying[1].say(MessageType.CLOSE, TASK, code=41)
-        yield from heard(owner, TASK, Kind.RELEASE)
+        assert platform.standing() == 2 and len(messages_for(owner, TASK)) == 1
+        carrying[1].send(MessageType.CLOSE, TASK, code=41)
+        yield from wait_for_message(owner, TASK, Kind.RELEASE)
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 # Guards against the end of a set-up that broke on its way being taken for that of the next host's.
--- a/tests/node/virtual.py
+++ b/tests/node/virtual.py
@@ -122,7 +122,7 @@
     return f"10.0.{number // 250}.{number % 250 + 1}", 2905
 
 
-def known(hosts: int) -> dict[str, Any]:
+def known_hosts(hosts: int) -> dict[str, Any]:
     """What a configuration tells of so many hosts: one whole list."""
     entries = [
         {
@@ -144,7 +144,7 @@
         self.document: dict[str, Any] = {
             "name": "n0", "listen": "{}:{}".format(*LISTEN), "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64}, "bulletin": "{}:{}".format(*DISCOVERY),
-            "known": known(1), "settings": settings(), **changes,
+            "known": known_hosts(1), "settings": settings(), **changes,
         }  # fmt: skip
         self.path.write_text(json.dumps(self.document))
         environment = {"BALANCER_CONFIG": str(self.path)}
@@ -169,7 +169,7 @@
                     sock.inbox.append(jsonl.encode(MessageType.CLOSE, line.sid, code=16))
 
 
-def play_virtual(folder: Path, body: Callable[[Placer], Co[None]], **changes: Any) -> None:
+def run_virtual(folder: Path, body: Callable[[Placer], Co[None]], **changes: Any) -> None:
     """Run a test's coroutine beside a placer whose configuration has these changes."""
     loop = SocketLoop()
 
