--- a/tests/node/test_tasks.py
+++ b/tests/node/test_tasks.py
@@ -11,7 +11,7 @@
 from sprucepost.adapter import settings_from
 from sprucepost.node import binary, jsonl, parsing
 from sprucepost.node.attempt import Attempt, SetUpResult
-from sprucepost.node.jsonl import Line, Word
+from sprucepost.node.jsonl import Line, MessageType
 from sprucepost.node.parsing import InvalidSetUp, SetUp, SetUpParser
 from sprucepost.node.tasks import Tasks
 from sprucepost.placing.desk import Desk
@@ -110,7 +110,7 @@
         self.loop.pass_ms(1)
 
     def say(
-        self, word: Word, attrs: dict[str, str] | None = None, code: int | None = None, text: str | None = None
+        self, word: MessageType, attrs: dict[str, str] | None = None, code: int | None = None, text: str | None = None
     ) -> None:
         """The host that has the latest offer says something on its connection."""
         out = self.outs()[-1]
@@ -130,7 +130,7 @@
 def standing(**changes: Any) -> TaskHarness:
     harness = TaskHarness()
     harness.ask(**changes)
-    harness.say(Word.READY, text="made")
+    harness.say(MessageType.READY, text="made")
     return harness
 
 
@@ -140,13 +140,13 @@
     [(_, out, line)] = harness.events
     assert line.attrs["class"] == "bill" and line.attrs["idem"] == "k" * 32 and line.attrs["key"] == f"task-{SID[-4:]}"
     assert float(line.attrs["left"]) <= out.deadline - out.offered_at and line.text.startswith(SID)
-    harness.say(Word.READY, text="made")
+    harness.say(MessageType.READY, text="made")
     assert harness.events[-1] == ("answer", SID, "made") and harness.last(i.Accepted).request == out.entry.request
     assert out.entry.ask.setup.description == "", "a standing task keeps no description"
-    harness.tasks.handle_message(out.machine, Line(Word.EVENT, SID, {"note": "cores", "value": "0.5"}))
+    harness.tasks.handle_message(out.machine, Line(MessageType.EVENT, SID, {"note": "cores", "value": "0.5"}))
     harness.loop.pass_ms(1)
     assert harness.last(i.StatusNote) == i.StatusNote(out.entry.request, 0, i.StatusKind.CORES_USED, 0.5)
-    harness.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {"load": "x0:3;x1:4;other:x"}, 16))
+    harness.tasks.handle_message(out.machine, Line(MessageType.CLOSE, SID, {"load": "x0:3;x1:4;other:x"}, 16))
     harness.loop.pass_ms(1)
     assert harness.events[-1] == ("release", SID, 16) and harness.last(i.Outcome).report == i.LoadReport(3.0, 4.0)
     assert not harness.tasks.placed and len(harness.tasks.ledger) == 0
@@ -159,7 +159,7 @@
 def test_what_a_cause_before_the_answer_means(code: int | None, ending: str) -> None:
     harness = TaskHarness()
     harness.ask()
-    harness.say(Word.CLOSE, {"note": "no_memory"}, code)
+    harness.say(MessageType.CLOSE, {"note": "no_memory"}, code)
     outcome = next(event for event in harness.told if isinstance(event, i.Outcome))
     assert (outcome.ending.value, outcome.closed, outcome.reason) == (ending, False, i.Reason.NO_MEMORY)
 
@@ -169,7 +169,7 @@
     harness = TaskHarness()
     harness.ask()
     [out] = harness.outs()
-    harness.tasks.handle_answer(out, Line(Word.CLOSE, SID, {}, 16, "made by m0"))
+    harness.tasks.handle_answer(out, Line(MessageType.CLOSE, SID, {}, 16, "made by m0"))
     harness.loop.pass_ms(50)
     assert [event[0] for event in harness.events] == ["open", "answer", "release"]
     assert harness.events[1][1:] == (SID, "made by m0") and harness.events[2][1:] == (SID, 16)
@@ -181,7 +181,7 @@
 @pytest.mark.parametrize("code, released", [(16, 16), (41, 41), (99, 41), (31, None)])
 def test_what_a_cause_after_the_answer_means(code: int, released: int | None) -> None:
     harness = standing()
-    harness.tasks.handle_message(harness.outs()[0].machine, Line(Word.CLOSE, SID, {}, code))
+    harness.tasks.handle_message(harness.outs()[0].machine, Line(MessageType.CLOSE, SID, {}, code))
     harness.loop.pass_ms(1)
     found = [event for event in harness.events if event[0] == "release"]
     assert found == ([("release", SID, released)] if released else [])
@@ -193,7 +193,7 @@
     harness = TaskHarness()
     harness.ask()
     for _ in range(3):
-        harness.say(Word.CLOSE, {}, 47)
+        harness.say(MessageType.CLOSE, {}, 47)
     assert harness.events[-1][:3] == ("refuse", SID, 34) and harness.loop.now() < 1_000_000.0 + 500.0
     harness.loop.pass_ms(4000)
     assert harness.kinds().count("refuse") == 1
@@ -264,9 +264,9 @@
     harness.ask(FIGURES="cores:1;memory:2;service:s;at:m1", LEFT="4294967")
     harness.ask(FIGURES="cores:1;memory:2;service:s;at:m1")  # named again, though it is held
     assert harness.events == [] and harness.last(i.TaskFound).machine == "m1" and harness.counters["found"] == 1
-    harness.tasks.handle_message("m0", Line(Word.CLOSE, SID, {}, 16))  # another host's word on it
+    harness.tasks.handle_message("m0", Line(MessageType.CLOSE, SID, {}, 16))  # another host's word on it
     assert harness.events == [] and harness.counters["late_words"] == 1
-    harness.tasks.handle_message("m1", Line(Word.CLOSE, SID, {}, 16))
+    harness.tasks.handle_message("m1", Line(MessageType.CLOSE, SID, {}, 16))
     assert harness.events == [("release", SID, 16)]
 
 
@@ -274,7 +274,7 @@
     harness = TaskHarness()
     harness.ask()
     assert harness.tasks.admit(read(DESCRIPTION="another"), harness, 0.0) is SetUpResult.DUPLICATE_ID
-    harness.say(Word.READY, text="made")
+    harness.say(MessageType.READY, text="made")
     assert harness.tasks.admit(read(), harness, 0.0) is SetUpResult.DUPLICATE_ID
     assert len(harness.outs()) == 1
 
@@ -283,15 +283,15 @@
     harness = standing()
     out = harness.outs()[0]
     for line in (
-        Line(Word.READY, SID, text="again"),
-        Line(Word.READY, "0" * 15 + "1", text="whose"),
-        Line(Word.CLOSE, "f" * 16, {}, 16),
+        Line(MessageType.READY, SID, text="again"),
+        Line(MessageType.READY, "0" * 15 + "1", text="whose"),
+        Line(MessageType.CLOSE, "f" * 16, {}, 16),
     ):
         harness.tasks.handle_message(out.machine, line)
     harness.tasks.end_attempt(out, i.Ending.RESET)
     assert harness.kinds() == ["open", "answer"] and harness.counters["late_words"] == 3
-    harness.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {}, 16))
-    harness.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {}, 16))
+    harness.tasks.handle_message(out.machine, Line(MessageType.CLOSE, SID, {}, 16))
+    harness.tasks.handle_message(out.machine, Line(MessageType.CLOSE, SID, {}, 16))
     assert harness.kinds().count("release") == 1
 
 
@@ -310,8 +310,8 @@
         sid = f"{n + 1:016x}"
         harness.ask(sid, FIGURES=f"cores:1;memory:2;service:{n:x}")
         if n % 3:
-            harness.say(Word.READY, text="made")
-            harness.tasks.handle_message(harness.outs()[-1].machine, Line(Word.CLOSE, sid, {}, 16))
+            harness.say(MessageType.READY, text="made")
+            harness.tasks.handle_message(harness.outs()[-1].machine, Line(MessageType.CLOSE, sid, {}, 16))
         else:
             harness.tasks.owner_cancelled(sid)
         harness.loop.pass_ms(20)
