--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -1182,7 +1182,9 @@
         asked = len(platform.bulletin.requests)
         platform.bulletin.publish(first.entry(state="DRAINING"))
         platform.service.feed.change_address(now)
-        yield from wait_for(lambda: len(platform.bulletin.requests) > asked and "s-1" in platform.service.tasks.closed_hosts)
+        yield from wait_for(
+            lambda: len(platform.bulletin.requests) > asked and "s-1" in platform.service.tasks.closed_hosts
+        )
         owner = yield from platform.owner()
         owner.transport.write(setup(SIDS[0]))
         yield from wait_for_message(owner, SIDS[0], Kind.ANSWER)
