--- a/sprucepost/admission/admission.py
+++ b/sprucepost/admission/admission.py
@@ -6,12 +6,12 @@
 from typing import Generic, TypeVar
 
 from sprucepost.admission.credit import Credit
-from sprucepost.admission.drain import REFUSAL, Drain
-from sprucepost.admission.line import Line, Waiting
-from sprucepost.admission.reading import Reading
+from sprucepost.admission.open_task_limit import FULL, Room
+from sprucepost.admission.overload import Standing
+from sprucepost.admission.read_pauses import Reading
 from sprucepost.admission.retries import RetryBudget
-from sprucepost.admission.room import FULL, Room
-from sprucepost.admission.standing import Standing
+from sprucepost.admission.service_time import REFUSAL, Drain
+from sprucepost.admission.weighted_fair_queue import Line, Waiting
 
 T = TypeVar("T")
 KEPT = 1024  # owners whose retry budget is remembered; the longest quiet is forgotten first
--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -43,7 +43,7 @@
 from sprucepost.node.owners import Owners
 from sprucepost.node.start_times import StartTimes
 from sprucepost.node.tasks import Tasks
-from sprucepost.placing.desk import Desk
+from sprucepost.placing.scheduler_driver import Desk
 
 SIGNALS = (signal.SIGHUP, signal.SIGTERM)
 TICK_MS = 250.0  # between looks at connections and hosts
--- a/sprucepost/node/tasks.py
+++ b/sprucepost/node/tasks.py
@@ -62,8 +62,8 @@
 from sprucepost.node.jsonl import Line, Word, encode
 from sprucepost.node.queue import FairQueue
 from sprucepost.node.words import SetUp
-from sprucepost.placing.desk import Desk
 from sprucepost.placing.ledger import Entry, Ledger, Outcome
+from sprucepost.placing.scheduler_driver import Desk
 
 REFUSED, FAILED, BROKEN, ENDED = 34, 41, 41, 16  # causes that owners hear
 # A host's causes that may answer our own taking back, seen up to 26 ms later: nobody is owed these.
--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -13,15 +13,15 @@
 from sprucepost.admission import Admission
 from sprucepost.loop import Loop
 from sprucepost.membership import Generation
-from sprucepost.placing.answers import LATE_MS, Answers
 from sprucepost.placing.attempts import Attempts
+from sprucepost.placing.fleet_driver import SeatedDesk
 from sprucepost.placing.intake import Intake
-from sprucepost.placing.late import LateWords
+from sprucepost.placing.late_messages import LateWords
 from sprucepost.placing.ledger import Entry, Ledger
+from sprucepost.placing.outcome_reporter import LATE_MS, Answers
 from sprucepost.placing.ports import Key, MachinesPort, OwnersPort, SessionPort
 from sprucepost.placing.roster import Roster
-from sprucepost.placing.seat import SeatedDesk
-from sprucepost.placing.tasks import Tasks
+from sprucepost.placing.task_catalog import Tasks
 from sprucepost.settings import Cluster, PlacerOptions
 from sprucepost.v1 import machine_pb2
 from sprucepost.v1 import placer_pb2 as pb
--- a/sprucepost/placing/attempts.py
+++ b/sprucepost/placing/attempts.py
@@ -14,10 +14,10 @@
 
 from sprucepost import interface as i
 from sprucepost.loop import Loop, Timer
-from sprucepost.placing.answers import Answers
-from sprucepost.placing.desk import Desk
 from sprucepost.placing.ledger import Entry, Outcome
+from sprucepost.placing.outcome_reporter import Answers
 from sprucepost.placing.ports import Key, MachinesPort
+from sprucepost.placing.scheduler_driver import Desk
 from sprucepost.v1 import common_pb2, machine_pb2
 from sprucepost.v1 import placer_pb2 as pb
 
--- a/sprucepost/placing/seat.py
+++ b/sprucepost/placing/fleet_driver.py
@@ -11,7 +11,7 @@
 from sprucepost import interface as i
 from sprucepost.loop import Loop, Timer
 from sprucepost.membership import ClockGuard, Generation, Side, Stance, stance
-from sprucepost.placing.desk import Desk
+from sprucepost.placing.scheduler_driver import Desk
 
 
 class SeatedDesk(Desk):
--- a/sprucepost/placing/intake.py
+++ b/sprucepost/placing/intake.py
@@ -6,12 +6,12 @@
 
 from sprucepost.admission import Admission, Ask
 from sprucepost.loop import Loop
-from sprucepost.placing.answers import Answers
 from sprucepost.placing.attempts import Attempts
-from sprucepost.placing.desk import Desk
 from sprucepost.placing.ledger import Entry, Ledger, Outcome
+from sprucepost.placing.outcome_reporter import Answers
 from sprucepost.placing.ports import SessionPort
-from sprucepost.placing.tasks import Tasks
+from sprucepost.placing.scheduler_driver import Desk
+from sprucepost.placing.task_catalog import Tasks
 from sprucepost.v1 import placer_pb2 as pb
 
 NO_TIME = "no time is left to place it"
--- a/sprucepost/placing/late.py
+++ b/sprucepost/placing/late_messages.py
@@ -8,12 +8,12 @@
 
 from sprucepost import interface as i
 from sprucepost.loop import Loop
-from sprucepost.placing.answers import Answers
 from sprucepost.placing.attempts import Attempts
-from sprucepost.placing.desk import Desk
 from sprucepost.placing.ledger import Entry, LateWord, Ledger, Outcome, late_word
+from sprucepost.placing.outcome_reporter import Answers
 from sprucepost.placing.ports import MachinesPort, SessionPort
-from sprucepost.placing.tasks import Tasks
+from sprucepost.placing.scheduler_driver import Desk
+from sprucepost.placing.task_catalog import Tasks
 from sprucepost.v1 import common_pb2, machine_pb2
 from sprucepost.v1 import placer_pb2 as pb
 
--- a/sprucepost/placing/answers.py
+++ b/sprucepost/placing/outcome_reporter.py
@@ -8,9 +8,9 @@
 
 from sprucepost import interface as i
 from sprucepost.admission import Admission
-from sprucepost.placing.desk import Desk
 from sprucepost.placing.ledger import Entry, Ledger, Outcome
 from sprucepost.placing.ports import OwnersPort
+from sprucepost.placing.scheduler_driver import Desk
 from sprucepost.settings import Cluster, TaskClass
 from sprucepost.v1 import placer_pb2 as pb
 
--- a/sprucepost/placing/roster.py
+++ b/sprucepost/placing/roster.py
@@ -11,10 +11,10 @@
 from sprucepost import interface as i
 from sprucepost.loop import Loop
 from sprucepost.placing.attempts import Attempts
-from sprucepost.placing.desk import Desk
-from sprucepost.placing.late import LateWords
+from sprucepost.placing.late_messages import LateWords
+from sprucepost.placing.pause_recovery import Wake
 from sprucepost.placing.ports import MachinesPort
-from sprucepost.placing.wake import Wake
+from sprucepost.placing.scheduler_driver import Desk
 from sprucepost.settings import Cluster
 
 
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from sprucepost.admission import Admission, Ask, RetryBudget
-from sprucepost.admission.drain import Drain
-from sprucepost.admission.line import Line, Waiting
-from sprucepost.admission.room import Room
-from sprucepost.admission.standing import Standing
+from sprucepost.admission.open_task_limit import Room
+from sprucepost.admission.overload import Standing
+from sprucepost.admission.service_time import Drain
+from sprucepost.admission.weighted_fair_queue import Line, Waiting
 
 AIM = 400.0
 LAST = -1
--- a/tests/admission/test_credit.py
+++ b/tests/admission/test_credit.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from sprucepost.admission.credit import Credit, level
-from sprucepost.admission.reading import Reading
+from sprucepost.admission.read_pauses import Reading
 
 
 @settings(deadline=None)
--- a/tests/node/test_newcomers.py
+++ b/tests/node/test_newcomers.py
@@ -16,7 +16,7 @@
 from sprucepost.node.log import Log
 from sprucepost.node.owners import ARRIVAL_MS, Owners
 from sprucepost.node.tasks import Tasks
-from sprucepost.placing.desk import Desk
+from sprucepost.placing.scheduler_driver import Desk
 from tests.node.platform import settings, setup
 from tests.node.test_crossings import release
 from tests.node.virtual import DISCOVERY, LISTEN, Placer, SocketLoop, VirtualSock, known, play_virtual
--- a/tests/node/test_tasks.py
+++ b/tests/node/test_tasks.py
@@ -14,7 +14,7 @@
 from sprucepost.node.jsonl import Line, Word
 from sprucepost.node.tasks import Tasks
 from sprucepost.node.words import Refused, SetUp, Words
-from sprucepost.placing.desk import Desk
+from sprucepost.placing.scheduler_driver import Desk
 from tests.node.platform import settings, setup
 from tests.placing.support import VirtualLoop
 
--- a/tests/placing/test_wake.py
+++ b/tests/placing/test_pause_recovery.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from sprucepost import interface as i
-from sprucepost.placing.wake import Wake
+from sprucepost.placing.pause_recovery import Wake
 from sprucepost.v1 import machine_pb2
 from tests.placing.support import VirtualLoop, Walk
 
