--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from sprucepost import interface as i
-from sprucepost.admission import Admission, Ask
+from sprucepost.admission import Admission, AdmissionRequest
 from sprucepost.brain import Scheduler
 from sprucepost.placing.ledger import Ledger, Outcome
 from tests.support import entry, full_list, settings
@@ -61,12 +61,12 @@
                 ledger.end(found)
         owner = f"owner-{n}"
         taken = None
-        ask = Ask(owner, 1.0, 8000.0, 400.0, n % 7 == 0)
-        if not gate.ask(ask, now).why:
-            gate.wait(n, ask, now)
-            gate.take(now)
+        ask = AdmissionRequest(owner, 1.0, 8000.0, 400.0, n % 7 == 0)
+        if not gate.decide(ask, now).why:
+            gate.enqueue(n, ask, now)
+            gate.dequeue(now)
             taken = ledger.take(f"task-{n}", 0, f"service-{n}", now)
-            gate.room.opened(owner)
+            gate.open_tasks.opened(owner)
             events.append(i.TaskRequest(taken.request, 0, f"service-{n}", 0.5, 0.5, 8000.0, task=taken.name))
         todo = scheduler.handle(now, events)
         while todo:
@@ -79,13 +79,13 @@
                     found = ledger.by_request(action.request)
                     assert found is not None
                     ledger.settle(found, Outcome.PLACED, now)
-                    gate.room.closed(f"owner-{found.name.removeprefix('task-')}")
+                    gate.open_tasks.closed(f"owner-{found.name.removeprefix('task-')}")
                     running.append((now + 4000.0, action.request, 0))
                 elif isinstance(action, (i.Refuse, i.Fail)):
                     found = ledger.by_request(action.request)
                     if found is not None and found.outcome is Outcome.OPEN:
                         ledger.settle(found, Outcome.REFUSED, now)
-                        gate.room.closed(f"owner-{found.name.removeprefix('task-')}")
+                        gate.open_tasks.closed(f"owner-{found.name.removeprefix('task-')}")
             todo = scheduler.handle(now, more) if more else []
         if n % 1000 == 0:
             ledger.forget(now - 60_000.0)
--- a/sprucepost/admission/__init__.py
+++ b/sprucepost/admission/__init__.py
@@ -6,8 +6,8 @@
 stream is left unread for a while.
 """
 
-from sprucepost.admission.admission import Admission, Ask, Verdict
+from sprucepost.admission.admission import Admission, AdmissionRequest, Verdict
 from sprucepost.admission.retries import RetryBudget
-from sprucepost.admission.sessions import SessionBook
+from sprucepost.admission.sessions import SessionTable
 
-__all__ = ["Admission", "Ask", "RetryBudget", "SessionBook", "Verdict"]
+__all__ = ["Admission", "AdmissionRequest", "RetryBudget", "SessionTable", "Verdict"]
--- a/sprucepost/admission/admission.py
+++ b/sprucepost/admission/admission.py
@@ -6,23 +6,23 @@
 from typing import Generic, TypeVar
 
 from sprucepost.admission.credit import Credit
-from sprucepost.admission.open_task_limit import FULL, Room
-from sprucepost.admission.overload import Standing
-from sprucepost.admission.read_pauses import Reading
+from sprucepost.admission.open_task_limit import TOO_MANY_OPEN, OpenTaskLimit
+from sprucepost.admission.overload import OverloadDetector
+from sprucepost.admission.read_pauses import ReadPauses
 from sprucepost.admission.retries import RetryBudget
-from sprucepost.admission.service_time import REFUSAL, Drain
-from sprucepost.admission.weighted_fair_queue import Line, Waiting
+from sprucepost.admission.service_time import REFUSAL_COST_SHARE, ServiceTime
+from sprucepost.admission.weighted_fair_queue import QueuedRequest, WeightedFairQueue
 
 T = TypeVar("T")
-KEPT = 1024  # owners whose retry budget is remembered; the longest quiet is forgotten first
-GOLDEN = 0.6180339887498949  # steps of it fill the unit interval evenly, whoever counts
-FIRST = 16  # asks taken up in one turn before their cost is known: few, so that it is known soon
-TOO_LONG = "too much waits here already"
-SMOOTH = 0.125  # of a new answer time, RFC 6298
+MAX_OWNERS_KEPT = 1024  # owners whose retry budget is remembered; the longest quiet is forgotten first
+GOLDEN_RATIO_STEP = 0.6180339887498949  # steps of it fill the unit interval evenly, whoever counts
+FIRST_QUOTA = 16  # asks taken up in one turn before their cost is known: few, so that it is known soon
+QUEUE_TOO_LONG = "too much waits here already"
+PLACEMENT_TIME_GAIN = 0.125  # of a new answer time, RFC 6298
 
 
 @dataclass(slots=True)
-class Ask:
+class AdmissionRequest:
     """One submission. ``worth``: of its class, relative to the dearest, 0 to 1; ``left_ms`` until it must have been taken up
     and answered; ``aim_ms`` of its class."""
 
@@ -41,7 +41,7 @@
     retry_after_ms: float = 0.0
 
 
-LET_IN = Verdict()
+ADMITTED = Verdict()
 
 
 class Admission(Generic[T]):
@@ -61,165 +61,175 @@
     In this order, the cheapest first; what is refused spends no budget.
     """
 
-    def __init__(
-        self, now: float, most_open: int, shortest_aim_ms: float, turn_ms: float, most_retry_ms: float
-    ) -> None:
-        self.room, self.line, self.drain = Room(most_open), Line[T](), Drain()
-        self.standing = Standing(shortest_aim_ms / 8.0, shortest_aim_ms)  # half of what a line that stands bears
+    def __init__(self, now: float, max_open: int, shortest_aim_ms: float, turn_ms: float, max_retry_ms: float) -> None:
+        self.open_tasks, self.queue, self.service_time = OpenTaskLimit(max_open), WeightedFairQueue[T](), ServiceTime()
+        self.overload = OverloadDetector(
+            shortest_aim_ms / 8.0, shortest_aim_ms
+        )  # half of what a line that stands bears
         self.credit = Credit()
-        self._was_empty = True  # the line, since the last look at the credit
-        self._turned_away = 0  # by the line, since then
-        self.reading: Reading[bytes] = Reading(shortest_aim_ms / 4.0)
-        self.most_retry_ms, self._aim = most_retry_ms, shortest_aim_ms
-        # No more than half of what a line that stands bears: each ask waits for a turn besides.
+        self._queue_was_empty = True  # the line, since the last look at the credit
+        self._queue_refusals = 0  # by the line, since then
+        self.read_pauses: ReadPauses[bytes] = ReadPauses(shortest_aim_ms / 4.0)
+        self.max_retry_ms, self._shortest_aim_ms = max_retry_ms, shortest_aim_ms
+        # No more than half of what a line that stands max_wait_ms: each ask waits for a turn besides.
         self._turn_ms = min(turn_ms, shortest_aim_ms / 8.0)
         self._retries = RetryBudget(now, burst=200.0, per_s=10.0)
-        self._owners: dict[str, RetryBudget] = {}
+        self._owner_retries: dict[str, RetryBudget] = {}
         # Owners for whose asks the line was too long: of what worth and aim at the most, and until when that counts.
-        self._turned: dict[str, tuple[float, float, float]] = {}
-        self._at_once: list[T] = []  # let in this turn while nobody waited
-        self._answer_ms = 0.0
-        self._phase = 0.0
-        self._refused: list[float] = [0.0, now]  # how many of late, as of when
+        self._recent_refusals: dict[str, tuple[float, float, float]] = {}
+        self._immediate: list[T] = []  # let in this turn while nobody waited
+        self._placement_ms = 0.0
+        self._spread_phase = 0.0
+        self._refusal_rate: list[float] = [0.0, now]  # how many of late, as of when
 
-    def full(self) -> tuple[str, float] | None:
+    def refusal_if_full(self) -> tuple[str, float] | None:
         """Why, whatever an ask is like, it is refused now, and its retry time; None where that depends on the ask. Under
         the worst most asks end here, so this costs next to nothing."""
-        if self.room.total < self.room.most:
+        if self.open_tasks.total < self.open_tasks.max_open:
             return None
-        return FULL, self._spread(2.0 * self.most_retry_ms)
+        return TOO_MANY_OPEN, self._spread_ms(2.0 * self.max_retry_ms)
 
-    def turned(self, owner: str, worth: float, aim_ms: float, now: float) -> tuple[str, float] | None:
+    def recent_refusal(self, owner: str, worth: float, aim_ms: float, now: float) -> tuple[str, float] | None:
         """The same where, within a turn, an ask of that owner that was worth as much and could wait as long has been
-        refused. Under overload most asks end here: it costs a third of :meth:`ask`, and the line moves by no more than a
+        refused. Under overload most asks end here: it costs a third of :meth:`decide`, and the line moves by no more than a
         turn meanwhile."""
-        before = self._turned.get(owner)
-        if before is None or worth > before[0] or aim_ms > before[1]:
+        previous = self._recent_refusals.get(owner)
+        if previous is None or worth > previous[0] or aim_ms > previous[1]:
             return None
-        if now >= before[2]:
-            del self._turned[owner]
+        if now >= previous[2]:
+            del self._recent_refusals[owner]
             return None
-        self._turn_away(now)
-        return TOO_LONG, self._retry_ms(now)
-
-    def ask(self, ask: Ask, now: float) -> Verdict:
-        """Whether the ask is let in; then call :meth:`wait`."""
-        why = self.room.why_not(ask.owner, ask.worth, now)
-        if why:
-            retry = self._spread(2.0 * self.most_retry_ms)
-            self.room.turned_away(ask.owner, now + 2.0 * retry)
-            return Verdict(why, retry)
-        self.room.let_in(ask.owner)
-        if len(self.line):
-            wait = (self.line.ahead(ask.owner, ask.worth) + 1.0) * self.drain.pace_ms + self._turn_ms
-            bears = ask.aim_ms / 4.0 if self.standing.lately(now) else self._bears(ask)
-            if wait > min(bears, ask.left_ms - self._answer_ms):
-                if wait > bears:  # else it was too late for this one alone
-                    if len(self._turned) >= KEPT:  # an overload may last for hours, with ever new owners
-                        self._turned.clear()
-                    self._turned[ask.owner] = (ask.worth, ask.aim_ms, now + self._turn_ms)
-                self._turn_away(now)
-                return Verdict(TOO_LONG, self._retry_ms(now))
-        if ask.repeat:
-            own = self._budget(ask.owner, now)
-            if not own.repeat(now):
-                return Verdict("too many repeats of this owner", max(own.wait_ms(), self.most_retry_ms))
-            if not self._retries.repeat(now):
-                return Verdict("too many repeats", max(self._retries.wait_ms(), self.most_retry_ms))
+        self._record_queue_refusal(now)
+        return QUEUE_TOO_LONG, self._retry_ms(now)
+
+    def decide(self, request: AdmissionRequest, now: float) -> Verdict:
+        """Whether the ask is let in; then call :meth:`enqueue`."""
+        reason = self.open_tasks.refusal_reason(request.owner, request.worth, now)
+        if reason:
+            retry_ms = self._spread_ms(2.0 * self.max_retry_ms)
+            self.open_tasks.record_refusal(request.owner, now + 2.0 * retry_ms)
+            return Verdict(reason, retry_ms)
+        self.open_tasks.record_admission(request.owner)
+        if len(self.queue):
+            wait_ms = (
+                self.queue.requests_ahead(request.owner, request.worth) + 1.0
+            ) * self.service_time.pace_ms + self._turn_ms
+            max_wait_ms = request.aim_ms / 4.0 if self.overload.recent(now) else self._max_wait_ms(request)
+            if wait_ms > min(max_wait_ms, request.left_ms - self._placement_ms):
+                if wait_ms > max_wait_ms:  # else it was too late for this one alone
+                    if (
+                        len(self._recent_refusals) >= MAX_OWNERS_KEPT
+                    ):  # an overload may last for hours, with ever new owners
+                        self._recent_refusals.clear()
+                    self._recent_refusals[request.owner] = (request.worth, request.aim_ms, now + self._turn_ms)
+                self._record_queue_refusal(now)
+                return Verdict(QUEUE_TOO_LONG, self._retry_ms(now))
+        if request.repeat:
+            own = self._owner_retry_budget(request.owner, now)
+            if not own.try_repeat(now):
+                return Verdict("too many repeats of this owner", max(own.wait_ms(), self.max_retry_ms))
+            if not self._retries.try_repeat(now):
+                return Verdict("too many repeats", max(self._retries.wait_ms(), self.max_retry_ms))
         else:
-            self._budget(ask.owner, now).fresh()
-            self._retries.fresh()
-        return LET_IN
+            self._owner_retry_budget(request.owner, now).record_first()
+            self._retries.record_first()
+        return ADMITTED
 
-    def _turn_away(self, now: float) -> None:
-        self._turned_away += 1
-        self.drain.refused()
-        self.standing.refused(now)
+    def _record_queue_refusal(self, now: float) -> None:
+        self._queue_refusals += 1
+        self.service_time.record_refusal()
+        self.overload.record_refusal(now)
 
-    def _bears(self, ask: Ask) -> float:
+    def _max_wait_ms(self, request: AdmissionRequest) -> float:
         """How long it can wait and still be placed within its aim."""
-        return max(ask.aim_ms - self._answer_ms, ask.aim_ms / 2.0)
+        return max(request.aim_ms - self._placement_ms, request.aim_ms / 2.0)
 
     def _retry_ms(self, now: float) -> float:
         """When the line, and all that was turned away within the last second before it, will have drained."""
-        count, at = self._refused
-        self._refused = [count * max(0.0, 1.0 - (now - at) / 1000.0) + 1.0, now]
-        return self._spread((len(self.line) + self._refused[0]) * self.drain.cost_ms)
+        count, at = self._refusal_rate
+        self._refusal_rate = [count * max(0.0, 1.0 - (now - at) / 1000.0) + 1.0, now]
+        return self._spread_ms((len(self.queue) + self._refusal_rate[0]) * self.service_time.cost_ms)
 
-    def _spread(self, ms: float) -> float:
+    def _spread_ms(self, ms: float) -> float:
         """Within half to one and a half times of it, evenly, and at most twice the longest retry time of the settings: those
         refused together must not come back together."""
-        self._phase = (self._phase + GOLDEN) % 1.0
-        return max(1.0, min(ms, self.most_retry_ms * 4.0 / 3.0) * (0.5 + self._phase))
-
-    def _budget(self, owner: str, now: float) -> RetryBudget:
-        budget = self._owners.pop(owner, None) or RetryBudget(now)
-        self._owners[owner] = budget  # the latest heard of stands last
-        if len(self._owners) > KEPT:
-            del self._owners[next(iter(self._owners))]
+        self._spread_phase = (self._spread_phase + GOLDEN_RATIO_STEP) % 1.0
+        return max(1.0, min(ms, self.max_retry_ms * 4.0 / 3.0) * (0.5 + self._spread_phase))
+
+    def _owner_retry_budget(self, owner: str, now: float) -> RetryBudget:
+        budget = self._owner_retries.pop(owner, None) or RetryBudget(now)
+        self._owner_retries[owner] = budget  # the latest heard of stands last
+        if len(self._owner_retries) > MAX_OWNERS_KEPT:
+            del self._owner_retries[next(iter(self._owner_retries))]
         return budget
 
     # The line
 
-    def wait(self, item: T, ask: Ask, now: float) -> None:
+    def enqueue(self, item: T, request: AdmissionRequest, now: float) -> None:
         """The ask was let in: it stands in line, or, where nobody does and this turn has room, it is taken up at once."""
-        if not len(self.line) and len(self._at_once) < self._quota():
-            self._at_once.append(item)
+        if not len(self.queue) and len(self._immediate) < self._quota():
+            self._immediate.append(item)
             return
-        self.line.put(Waiting(item, ask.owner, ask.worth, now + ask.left_ms, now + ask.aim_ms / 2.0))
+        self.queue.push(
+            QueuedRequest(item, request.owner, request.worth, now + request.left_ms, now + request.aim_ms / 2.0)
+        )
 
     @property
-    def waiting(self) -> bool:
-        """Whether :meth:`take` has anything to give."""
-        return bool(self._at_once) or len(self.line) > 0
+    def has_queued(self) -> bool:
+        """Whether :meth:`dequeue` has anything to give."""
+        return bool(self._immediate) or len(self.queue) > 0
 
     def _quota(self) -> int:
         """How many one turn takes up."""
-        cost = self.drain.cost_ms
-        return max(1, int(self._turn_ms / cost)) if cost else FIRST
+        cost = self.service_time.cost_ms
+        return max(1, int(self._turn_ms / cost)) if cost else FIRST_QUOTA
 
-    def take(self, now: float) -> tuple[list[T], list[T]]:
+    def dequeue(self, now: float) -> tuple[list[T], list[T]]:
         """Those to be taken up in this turn, and those whose time is over instead.
 
         While the line stands, what has waited for half of its aim is over too: dearer asks have overtaken it, and it would
         take the time of one that can still be placed within its aim. A line that drains has time for it.
         """
-        if not len(self.line):
-            self._turned.clear()
-        over = [waiting.item for waiting in self.line.expire(now, self.standing.lately(now))]
+        if not len(self.queue):
+            self._recent_refusals.clear()
+        expired = [queued.item for queued in self.queue.expire(now, self.overload.recent(now))]
         quota = self._quota()
-        chosen, self._at_once = self._at_once, []
-        while len(chosen) < quota and (waiting := self.line.pop()) is not None:
-            chosen.append(waiting.item)
-        self.drain.served(now, len(chosen), len(self.line))
-        self.standing.look(now, len(self.line) * self.drain.pace_ms)
-        self._was_empty = self._was_empty or not len(self.line)
-        return chosen, over
-
-    def placed(self, ms: float) -> None:
+        chosen, self._immediate = self._immediate, []
+        while len(chosen) < quota and (queued := self.queue.pop()) is not None:
+            chosen.append(queued.item)
+        self.service_time.record_dequeued(now, len(chosen), len(self.queue))
+        self.overload.update(now, len(self.queue) * self.service_time.pace_ms)
+        self._queue_was_empty = self._queue_was_empty or not len(self.queue)
+        return chosen, expired
+
+    def record_placement(self, ms: float) -> None:
         """A task that was taken up so long ago has been placed."""
-        self._answer_ms += SMOOTH * (ms - self._answer_ms) if self._answer_ms else ms
+        self._placement_ms += PLACEMENT_TIME_GAIN * (ms - self._placement_ms) if self._placement_ms else ms
 
     # What owners are told, and whose streams are left unread
 
-    def look_at_credit(self, now: float) -> None:
+    def update_credit(self, now: float) -> None:
         """To be called at intervals while owners ask, or are bound."""
         # What counts is that the line refuses: as it is bounded then, a turn takes up most of it, and at the moment of
         # the look it is as likely short as long.
-        refuses = self.standing.lately(now) and self._turned_away > 0
-        self._turned_away = 0
-        empty, self._was_empty = self._was_empty or not len(self.line), False
-        pace = self.drain.pace_ms
+        refuses = self.overload.recent(now) and self._queue_refusals > 0
+        self._queue_refusals = 0
+        empty, self._queue_was_empty = self._queue_was_empty or not len(self.queue), False
+        pace_ms = self.service_time.pace_ms
         # What a line that stands bears, and what machines look at meanwhile. With the turn in it, or at the pace without
         # refusals, owners were let ask for a third more than the line then took.
-        fits = (self._aim / 4.0 - self._turn_ms + self._answer_ms) / pace if pace else self.room.most
-        self.credit.look(refuses, empty, fits, self.room.most)
-
-    def unread_ms(self, session: bytes, now: float) -> float:
+        affordable = (
+            (self._shortest_aim_ms / 4.0 - self._turn_ms + self._placement_ms) / pace_ms
+            if pace_ms
+            else self.open_tasks.max_open
+        )
+        self.credit.update(refuses, empty, affordable, self.open_tasks.max_open)
+
+    def read_pause_ms(self, session: bytes, now: float) -> float:
         """An ask of that session has been refused: for how long nothing more of its stream should be read."""
-        return self.reading.refused(session, now, REFUSAL * self.drain.cost_ms)
+        return self.read_pauses.record_refusal(session, now, REFUSAL_COST_SHARE * self.service_time.cost_ms)
 
     # A reload
 
-    def bound(self, most_open: int) -> None:
-        self.room.most = most_open
+    def set_max_open(self, max_open: int) -> None:
+        self.open_tasks.max_open = max_open
--- a/sprucepost/admission/credit.py
+++ b/sprucepost/admission/credit.py
@@ -5,17 +5,17 @@
 from collections.abc import Sequence
 
 
-def level(wants: Sequence[float], total: float) -> float:
+def max_min_bound(wants: Sequence[float], total: float) -> float:
     """Max-min fairness: the bound for each under which they take ``total`` together; inf where all they want fits.
 
     Who wants less than the bound gets what it wants, and what it leaves goes to the others evenly.
     """
-    left = total
+    remaining = total
     for n, want in enumerate(sorted(wants)):
-        share = left / (len(wants) - n)
+        share = remaining / (len(wants) - n)
         if want > share:
             return share
-        left -= want
+        remaining -= want
     return float("inf")
 
 
@@ -37,21 +37,21 @@
     def __init__(self) -> None:
         self.total = 0
 
-    def look(self, refuses: bool, empty: bool, fits: float, most: int) -> None:
-        """``empty``: the line was, at some moment since the last look. ``fits``: as many as are answered in a bearable time,
-        at the pace of now. ``most`` may be open in all."""
+    def update(self, refuses: bool, was_empty: bool, affordable: float, max_open: int) -> None:
+        """``was_empty``: the line was, at some moment since the last look. ``affordable``: as many as are answered in
+        a bearable time, at the pace of now. ``max_open`` may be open in all."""
         if refuses:
-            self.total = max(1, min(int(fits), most))
-        elif self.total and empty:
+            self.total = max(1, min(int(affordable), max_open))
+        elif self.total and was_empty:
             self.total += max(1, self.total // 4)
-            if self.total >= most:
+            if self.total >= max_open:
                 self.total = 0
 
-    def each(self, open_asks: Sequence[int], told: int) -> int:
+    def per_owner_bound(self, open_asks: Sequence[int], previous: int) -> int:
         """The bound for each owner, of those that have asks open, where ``told`` was it so far; 0: no bound. Who is at its
         bound may want any number more."""
         if not self.total:
             return 0
-        wants = [float("inf") if not told or count >= told else float(count) for count in open_asks]
-        found = level(wants, float(self.total))
-        return max(1, self.total if found == float("inf") else int(found))
+        wants = [float("inf") if not previous or count >= previous else float(count) for count in open_asks]
+        bound = max_min_bound(wants, float(self.total))
+        return max(1, self.total if bound == float("inf") else int(bound))
--- a/sprucepost/admission/open_task_limit.py
+++ b/sprucepost/admission/open_task_limit.py
@@ -4,12 +4,12 @@
 
 from collections import Counter
 
-FULL = "too many open tasks"
-SCARCE = 0.8  # of the room: beyond, worth and shares count
+TOO_MANY_OPEN = "too many open tasks"
+SCARCE_SHARE = 0.8  # of the room: beyond, worth and shares count
 
 
-class Room:
-    """``most`` open tasks, a bound on memory; ``opened`` and ``closed`` keep the books.
+class OpenTaskLimit:
+    """``max_open`` open tasks, a bound on memory; ``opened`` and ``closed`` keep the books.
 
     ================  ==============================================================================
     all taken         refused, whatever it is worth
@@ -18,35 +18,35 @@
     ================  ==============================================================================
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_open: int) -> None:
+        self.max_open = max_open
         self.open: Counter[str] = Counter()
         self.total = 0
-        self._waiting: dict[str, float] = {}  # owners turned away, until when they count as waiting
+        self._refused_until: dict[str, float] = {}  # owners turned away, until when they count as waiting
 
-    def why_not(self, owner: str, worth: float, now: float) -> str:
+    def refusal_reason(self, owner: str, worth: float, now: float) -> str:
         """Why this ask finds no room; empty where it does."""
-        full = self.total / self.most
-        if full >= 1.0:
-            return FULL
-        if full < SCARCE:
+        used_share = self.total / self.max_open
+        if used_share >= 1.0:
+            return TOO_MANY_OPEN
+        if used_share < SCARCE_SHARE:
             return ""
-        if worth < (full - SCARCE) / (1.0 - SCARCE):
+        if worth < (used_share - SCARCE_SHARE) / (1.0 - SCARCE_SHARE):
             return "too many open tasks for its worth"
         # Who was just turned away has a share too: else one that holds everything is alone and keeps it.
-        while self._waiting and next(iter(self._waiting.values())) < now:
-            del self._waiting[next(iter(self._waiting))]
-        holders = len(self.open.keys() | self._waiting.keys() | {owner})
-        if holders > 1 and self.open[owner] >= self.most / holders:
+        while self._refused_until and next(iter(self._refused_until.values())) < now:
+            del self._refused_until[next(iter(self._refused_until))]
+        holders = len(self.open.keys() | self._refused_until.keys() | {owner})
+        if holders > 1 and self.open[owner] >= self.max_open / holders:
             return "this owner has its share of open tasks"
         return ""
 
-    def turned_away(self, owner: str, until: float) -> None:
-        self._waiting.pop(owner, None)
-        self._waiting[owner] = until
+    def record_refusal(self, owner: str, until: float) -> None:
+        self._refused_until.pop(owner, None)
+        self._refused_until[owner] = until
 
-    def let_in(self, owner: str) -> None:
-        self._waiting.pop(owner, None)
+    def record_admission(self, owner: str) -> None:
+        self._refused_until.pop(owner, None)
 
     def opened(self, owner: str) -> None:
         self.open[owner] += 1
--- a/sprucepost/admission/overload.py
+++ b/sprucepost/admission/overload.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Standing:
+class OverloadDetector:
     """``standing`` once the line has not been shorter than ``target_ms`` for a whole interval, until it is.
 
     A burst, however long its line, is over at some moment; under overload the line never is. The mean, the longest wait or
@@ -19,27 +19,27 @@
     def __init__(self, target_ms: float, interval_ms: float) -> None:
         if not 0 < target_ms < interval_ms:
             raise ValueError("target_ms: must be above 0 and below interval_ms")
-        self._target, self._interval = target_ms, interval_ms
-        self.standing = False
-        self._above = 0.0  # for how long it was longer at every look
-        self._looked = 0.0
-        self._until = -interval_ms  # how long it counts as lately
+        self._target_ms, self._interval_ms = target_ms, interval_ms
+        self.overloaded = False
+        self._above_target_ms = 0.0  # for how long it was longer at every look
+        self._last_update = 0.0
+        self._recent_until = -interval_ms  # how long it counts as lately
 
-    def lately(self, now: float) -> bool:
-        return self.standing or now < self._until
+    def recent(self, now: float) -> bool:
+        return self.overloaded or now < self._recent_until
 
-    def refused(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """The line was too long for an ask."""
-        if self.lately(now):
-            self._until = now + self._interval
+        if self.recent(now):
+            self._recent_until = now + self._interval_ms
 
-    def look(self, now: float, length_ms: float) -> None:
+    def update(self, now: float, drain_ms: float) -> None:
         """The line as it is left after asks were taken up, in ms until it will have drained."""
         # A gap counts for no more than the target: the process stood still, and what the line did meanwhile nobody saw.
-        passed, self._looked = min(now - self._looked, self._target), now
-        if length_ms < self._target:
-            self._above, self.standing = 0.0, False
+        elapsed_ms, self._last_update = min(now - self._last_update, self._target_ms), now
+        if drain_ms < self._target_ms:
+            self._above_target_ms, self.overloaded = 0.0, False
             return
-        self._above += passed
-        if self._above >= (self._interval / 4.0 if self.lately(now) else self._interval):
-            self.standing, self._until = True, now + self._interval
+        self._above_target_ms += elapsed_ms
+        if self._above_target_ms >= (self._interval_ms / 4.0 if self.recent(now) else self._interval_ms):
+            self.overloaded, self._recent_until = True, now + self._interval_ms
--- a/sprucepost/admission/retries.py
+++ b/sprucepost/admission/retries.py
@@ -10,24 +10,24 @@
     once add at most ``burst`` and then ``share`` of what comes anew, while the odd repeat of a quiet owner always passes.
     """
 
-    __slots__ = ("_at", "_burst", "_per_s", "_share", "_tokens")
+    __slots__ = ("_burst", "_per_s", "_refilled_at", "_share", "_tokens")
 
     def __init__(self, now_ms: float, share: float = 0.2, per_s: float = 1.0, burst: float = 20.0) -> None:
         self._share, self._per_s, self._burst = share, per_s, burst
-        self._tokens, self._at = burst, now_ms
+        self._tokens, self._refilled_at = burst, now_ms
 
-    def _fill(self, now_ms: float) -> None:
-        passed = max(0.0, now_ms - self._at)
-        self._tokens = min(self._burst, self._tokens + passed * self._per_s / 1000.0)
-        self._at = max(now_ms, self._at)
+    def _refill(self, now_ms: float) -> None:
+        elapsed_ms = max(0.0, now_ms - self._refilled_at)
+        self._tokens = min(self._burst, self._tokens + elapsed_ms * self._per_s / 1000.0)
+        self._refilled_at = max(now_ms, self._refilled_at)
 
-    def fresh(self) -> None:
+    def record_first(self) -> None:
         """One more that is no repeat. What time has earned is reckoned when a repeat asks for it: every ask passes here."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
-    def repeat(self, now_ms: float) -> bool:
+    def try_repeat(self, now_ms: float) -> bool:
         """Whether one more repeat passes."""
-        self._fill(now_ms)
+        self._refill(now_ms)
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/sprucepost/admission/service_time.py
+++ b/sprucepost/admission/service_time.py
@@ -6,11 +6,11 @@
 from statistics import median
 
 WINDOW_MS = 20.0  # shorter ones say more about the clock than about the work
-KEPT = 9
-REFUSAL = 0.1  # of what an ask costs that is taken up: what refusing may cost at the most
+WINDOWS_KEPT = 9
+REFUSAL_COST_SHARE = 0.1  # of what an ask costs that is taken up: what refusing may cost at the most
 
 
-class Drain:
+class ServiceTime:
     """While asks wait the loop does not rest, so time passed by asks taken up is what one costs: reading, deciding,
     offering and the machines' answers included. Of the latest windows the median counts: a pause of the process lies in
     one of them.
@@ -21,35 +21,35 @@
     """
 
     def __init__(self) -> None:
-        self.cost_ms = self._pace = 0.0
-        self._since: float | None = None
-        self._served = self._refused = 0
-        self._costs: deque[float] = deque(maxlen=KEPT)
-        self._paces: deque[float] = deque(maxlen=KEPT)
+        self.cost_ms = self._pace_ms = 0.0
+        self._window_start: float | None = None
+        self._dequeued = self._refused = 0
+        self._costs: deque[float] = deque(maxlen=WINDOWS_KEPT)
+        self._paces: deque[float] = deque(maxlen=WINDOWS_KEPT)
 
     @property
     def pace_ms(self) -> float:
-        return max(self.cost_ms, self._pace)
+        return max(self.cost_ms, self._pace_ms)
 
-    def refused(self) -> None:
+    def record_refusal(self) -> None:
         self._refused += 1
 
-    def served(self, now: float, count: int, left: int) -> None:
+    def record_dequeued(self, now: float, count: int, left: int) -> None:
         """At ``now`` that many were taken up, and so many still wait."""
-        if self._since is not None and now - self._since >= WINDOW_MS and self._served:
-            passed = now - self._since
-            self._costs.append(passed / (self._served + REFUSAL * self._refused))
-            self._paces.append(passed / self._served)
+        if self._window_start is not None and now - self._window_start >= WINDOW_MS and self._dequeued:
+            elapsed_ms = now - self._window_start
+            self._costs.append(elapsed_ms / (self._dequeued + REFUSAL_COST_SHARE * self._refused))
+            self._paces.append(elapsed_ms / self._dequeued)
             # The first two windows count as well, or an overload that finds a fresh process lets in all that comes for as
             # long as three take; the smaller of the two, since a pause may lie in either.
             self.cost_ms = median(self._costs) if len(self._costs) >= 3 else min(self._costs)
-            self._pace = median(self._paces) if len(self._paces) >= 3 else 0.0
-            self._since = None
+            self._pace_ms = median(self._paces) if len(self._paces) >= 3 else 0.0
+            self._window_start = None
         if not left:
-            self._since = None
+            self._window_start = None
             self._paces.clear()
-            self._pace = 0.0
-        elif self._since is None:
-            self._since, self._served, self._refused = now, count, 0
+            self._pace_ms = 0.0
+        elif self._window_start is None:
+            self._window_start, self._dequeued, self._refused = now, count, 0
         else:
-            self._served += count
+            self._dequeued += count
--- a/sprucepost/admission/sessions.py
+++ b/sprucepost/admission/sessions.py
@@ -1,11 +1,11 @@
-"""How many sessions are kept, and which goes when one more comes. Free of I/O and clock."""
+"""How many sessions are kept, and which is evicted when one more comes. Free of I/O and clock."""
 
 from __future__ import annotations
 
 from collections import Counter
 
 
-class SessionBook:
+class SessionTable:
     """``most`` sessions in all, ``per_peer`` of one peer (a remote host).
 
     A session is *attached* (it has a stream), *owed* (none, but outcomes of it are still to come) or *free*. Where a bound
@@ -26,42 +26,42 @@
     def __len__(self) -> int:
         return len(self._peer_of)
 
-    def enter(self, token: bytes, peer: str) -> tuple[bool, bytes | None]:
+    def add(self, token: bytes, peer: str) -> tuple[bool, bytes | None]:
         """A new session, attached. Whether there is room for it, and the session that has to go for it."""
-        goes: bytes | None = None
+        evicted: bytes | None = None
         if self._of_peer[peer] >= self.per_peer:
-            goes = next(iter(self._free_of.get(peer, ())), None)
-            if goes is None:
+            evicted = next(iter(self._free_of.get(peer, ())), None)
+            if evicted is None:
                 return False, None
         elif len(self) >= self.most:
-            goes = next(iter(self._free), None)
-            if goes is None:
+            evicted = next(iter(self._free), None)
+            if evicted is None:
                 return False, None
-        if goes is not None:
-            self.gone(goes)
+        if evicted is not None:
+            self.remove(evicted)
         self._peer_of[token] = peer
         self._of_peer[peer] += 1
-        return True, goes
+        return True, evicted
 
-    def left(self, token: bytes, owed: bool) -> None:
+    def detach(self, token: bytes, owed: bool) -> None:
         """Its stream has ended."""
         if owed:
             self._owed.add(token)
         else:
             self._set_free(token)
 
-    def settled(self, token: bytes) -> None:
+    def outcomes_delivered(self, token: bytes) -> None:
         """The last outcome that it was owed has been told."""
         if token in self._owed:
             self._owed.discard(token)
             self._set_free(token)
 
-    def back(self, token: bytes) -> None:
+    def attach(self, token: bytes) -> None:
         """It has a stream again."""
         self._owed.discard(token)
         self._not_free(token)
 
-    def gone(self, token: bytes) -> None:
+    def remove(self, token: bytes) -> None:
         """It is forgotten."""
         peer = self._peer_of.pop(token, None)
         if peer is None:
--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -43,7 +43,7 @@
 from sprucepost.node.owners import Owners
 from sprucepost.node.start_times import StartTimes
 from sprucepost.node.tasks import Tasks
-from sprucepost.placing.scheduler_driver import Desk
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 
 SIGNALS = (signal.SIGHUP, signal.SIGTERM)
 TICK_MS = 250.0  # between looks at connections and hosts
@@ -61,17 +61,17 @@
         self.loop, self._environment, self.config, self.log = loop, environment, config, log
         self.counters: Counter[str] = Counter()
         settings = config.settings
-        self.desk = Desk(loop, settings, config.seed, SLEW, lambda: self.feed.start(), log, self.counters)
+        self.driver = SchedulerDriver(loop, settings, config.seed, SLEW, lambda: self.feed.start(), log, self.counters)
         self.tasks = Tasks(
             loop,
-            self.desk,
+            self.driver,
             settings,
             lambda text: words.load(text, config.report_names, config.report_fields),
             self.counters,
         )
         sockets = usable(config.limits.sockets)
         self.descriptors = Descriptors(sockets, lambda: len(self.owners.links) + self.hosts.connections)
-        self.start_times = StartTimes(loop, self.desk.now)
+        self.start_times = StartTimes(loop, self.driver.now)
         self.hosts = Hosts(
             loop,
             scope,
@@ -117,7 +117,7 @@
             else:
                 if told is not None:
                     self._told(told)
-        self.desk.wake()
+        self.driver.schedule_batch()
         self.feed.start()  # whether the settings say that the list is pushed or asked for: the bulletin wants to be asked
         self.log("ready", listen=self.config.listen, hosts=len(self.hosts.hosts), pid=os.getpid())
 
@@ -126,11 +126,11 @@
             self.log("bulletin_unreadable", why=fault)
         moved = self.start_times.hear(told.list, self.feed.heard_at or self._began)
         self.hosts.see(told)
-        self.desk.push(self.start_times.dated(told.list))
+        self.driver.push(self.start_times.dated(told.list))
         if moved:
             self.counters["starts_moved"] += 1
             known = tuple(entry for entry in self.feed.bulletin.entries.values() if entry.started)
-            self.desk.push(self.start_times.dated(i.MachineList(i.ListKind.DELTA, known)))
+            self.driver.push(self.start_times.dated(i.MachineList(i.ListKind.DELTA, known)))
         self.counters["lists"] += 1
 
     def run(self) -> Co[int]:
@@ -157,7 +157,7 @@
 
     def count(self) -> None:
         """What there is now, and what has happened so far."""
-        scheduler = self.desk.scheduler
+        scheduler = self.driver.scheduler
         self.log(
             "counts",
             open=self.tasks.ledger.open,
--- a/sprucepost/node/tasks.py
+++ b/sprucepost/node/tasks.py
@@ -63,7 +63,7 @@
 from sprucepost.node.queue import FairQueue
 from sprucepost.node.words import SetUp
 from sprucepost.placing.ledger import Entry, Ledger, Outcome
-from sprucepost.placing.scheduler_driver import Desk
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 
 REFUSED, FAILED, BROKEN, ENDED = 34, 41, 41, 16  # causes that owners hear
 # A host's causes that may answer our own taking back, seen up to 26 ms later: nobody is owed these.
@@ -89,12 +89,12 @@
     def __init__(
         self,
         loop: Loop,
-        desk: Desk,
+        driver: SchedulerDriver,
         settings: i.Settings,
         report: Callable[[str | None], i.LoadReport | None],
         counters: Counter[str],
     ) -> None:
-        self.loop, self._desk, self._report = loop, desk, report
+        self.loop, self._driver, self._report = loop, driver, report
         self._least = settings.tick
         self._windows = [cls.window if cls.effect is i.Effect.KEYED else None for cls in settings.classes]
         self.ledger = Ledger()
@@ -109,7 +109,7 @@
         self._crossed: set[int] = set()
         self._crossed_before: set[int] = set()
         self._found: set[str] = set()  # services of tasks that stand, read since the last new ones were told
-        desk.carry, desk.before = self._carry, self._tell
+        driver.on_action, driver.before_batch = self._carry, self._tell
 
     # Owners
 
@@ -142,7 +142,7 @@
             entry.machine = setup.at
             self.ledger.settle(entry, Outcome.PLACED, now)
             self._stand(entry)
-            self._desk.push(i.TaskFound(setup.request(entry.request, setup.left), setup.at))
+            self._driver.push(i.TaskFound(setup.request(entry.request, setup.left), setup.at))
             self._found.add(setup.service)
             if not self.hosts.adopt(setup.at, setup.sid):
                 return SetUpResult.UNLISTED
@@ -151,11 +151,11 @@
                 self.heard(*line)
             return SetUpResult.TAKEN
         self.counters["taken"] += 1
-        entry.due = now + max(0.0, setup.left - waited_ms)
+        entry.deadline = now + max(0.0, setup.left - waited_ms)
         self.trace(setup.sid, "taken", left=setup.left, waited=round(waited_ms, 1))
         entry.ask.in_line = True
         self._queue.put(owner, entry, now)
-        self._desk.wake()
+        self._driver.schedule_batch()
         return SetUpResult.TAKEN
 
     def _tell(self) -> None:
@@ -175,7 +175,7 @@
             self._found = set()
             if self._queue and self.loop.now() - self._queue.since < FOUND_FIRST_MS:
                 self.counters["held_for_found"] += 1
-                self.loop.call_soon(self._desk.wake)
+                self.loop.call_soon(self._driver.schedule_batch)
                 return
         now = self.loop.now()
         told = 0
@@ -184,9 +184,9 @@
             if entry.outcome is Outcome.OPEN:
                 told += 1
                 entry.ask.in_line = False
-                self._desk.push(entry.ask.setup.request(entry.request, max(0.0, entry.due - now)))
+                self._driver.push(entry.ask.setup.request(entry.request, max(0.0, entry.deadline - now)))
         if self._queue:
-            self.loop.call_soon(self._desk.wake)
+            self.loop.call_soon(self._driver.schedule_batch)
 
     def owner_released(self, sid: str) -> None:
         """An owner gives its set-up up, or ends its task."""
@@ -217,7 +217,7 @@
         self._settle(entry, Outcome.FAILED)
         self._withdraw(entry)
         if not entry.ask.in_line:
-            self._desk.push(i.Gone(entry.request))
+            self._driver.push(i.Gone(entry.request))
 
     def abandon(self) -> None:
         """The process ends: what is still open has failed, and its owner hears so."""
@@ -234,7 +234,7 @@
         if entry is not None and entry.outcome is not Outcome.OPEN and crossed:
             if isinstance(action, i.Offer):
                 entry.attempts += 1
-                self._desk.push(i.Outcome(entry.request, entry.attempts - 1, i.Ending.MOOT, True))
+                self._driver.push(i.Outcome(entry.request, entry.attempts - 1, i.Ending.MOOT, True))
             return
         if entry is None or entry.outcome is not Outcome.OPEN:
             raise AssertionError(f"{type(action).__name__} for request {action.request}, which is over")
@@ -264,7 +264,7 @@
         now = self.loop.now()
         attempt = Attempt(entry, entry.attempts, action.machine, now, now + action.timeout)
         entry.attempts += 1
-        entry.out = attempt.number
+        entry.pending_attempt = attempt.number
         entry.ask.attempt = attempt
         self.counters["offers"] += 1
         self.trace(entry.name, "offered", host=action.machine, attempt=attempt.number, timeout=round(action.timeout))
@@ -321,7 +321,7 @@
         entry = attempt.entry
         if entry.ask.attempt is not attempt:
             return
-        entry.ask.attempt = entry.out = None
+        entry.ask.attempt = entry.pending_attempt = None
         if attempt.timer is not None:
             attempt.timer.cancel()
         self.counters[f"ended_{ending.value}"] += 1
@@ -329,7 +329,7 @@
         if ending not in (i.Ending.FULL, i.Ending.CONNECT_FAILED, i.Ending.MOOT) and entry.ask.may_run is None:
             entry.ask.may_run = attempt.sent
         closed = entry.outcome is not Outcome.OPEN
-        self._desk.push(i.Outcome(entry.request, attempt.number, ending, closed, reason, report))
+        self._driver.push(i.Outcome(entry.request, attempt.number, ending, closed, reason, report))
 
     def answered(self, attempt: Attempt, line: Line) -> None:
         """What a host says on the connection of an open set-up: an answer, or how the attempt ended."""
@@ -377,7 +377,7 @@
 
     def _accept(self, attempt: Attempt, text: str) -> None:
         entry, now = attempt.entry, self.loop.now()
-        entry.ask.attempt = entry.out = None
+        entry.ask.attempt = entry.pending_attempt = None
         if attempt.timer is not None:
             attempt.timer.cancel()
         entry.machine, entry.attempt = attempt.machine, attempt.number
@@ -387,7 +387,7 @@
         self._hold(entry, entry.ask.owner)
         self.counters["placed"] += 1
         self.trace(entry.name, "stands", host=attempt.machine, attempt=attempt.number)
-        self._desk.push(i.Accepted(entry.request, attempt.number, now - attempt.sent))
+        self._driver.push(i.Accepted(entry.request, attempt.number, now - attempt.sent))
         entry.ask.setup = replace(entry.ask.setup, text="")  # no host will get it again
         entry.ask.owner.answer(entry.name, text)
 
@@ -409,7 +409,7 @@
         elif line.word is Word.EVENT:
             kind, value = words.NOTES.get(line.attrs.get("note", "")), words.figure(line.attrs.get("value"))
             if kind is not None and value is not None:
-                self._desk.push(i.Note(entry.request, entry.attempt, kind, value))
+                self._driver.push(i.Note(entry.request, entry.attempt, kind, value))
         elif line.word is Word.CLOSE:
             ending = {16: i.Ending.OK, 31: i.Ending.CANCELLED}.get(line.code or 0, i.Ending.RESET)
             cause = {i.Ending.OK: ENDED, i.Ending.RESET: BROKEN}.get(ending)
@@ -479,7 +479,7 @@
         self.early.note(entry.name, Early.OVER, self.loop.now())
         self._withdraw(entry)
         if not entry.ask.in_line:
-            self._desk.push(i.Gone(entry.request))
+            self._driver.push(i.Gone(entry.request))
         entry.ask.owner.refuse(entry.name, FAILED, 0.0)
 
     def lost(self, machine: str, why: str, before: float | None = None) -> int:
@@ -508,7 +508,7 @@
         self.early.note(entry.name, Early.OVER, self.loop.now())
         self.counters[f"over_{ending.value}"] += 1
         self.trace(entry.name, "over", host=entry.machine, why=why)
-        self._desk.push(i.Outcome(entry.request, entry.attempt, ending, True, reason, report))
+        self._driver.push(i.Outcome(entry.request, entry.attempt, ending, True, reason, report))
         if entry.ask.held:
             entry.ask.owner.unhold()
         if cause is not None:
--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -6,7 +6,7 @@
 
 from msgspec import structs
 
-from sprucepost.admission import SessionBook
+from sprucepost.admission import SessionTable
 from sprucepost.loop import Address, Co, Listener, Loop, Queue, Scope, Timer, sleep
 from sprucepost.membership import Generation, Side
 from sprucepost.peers import Peers
@@ -69,7 +69,7 @@
             self.incarnation,
             options.resume_ms,
             options.limits.unacknowledged,
-            SessionBook(options.limits.sessions, min(options.limits.sessions, options.limits.sessions_per_peer)),
+            SessionTable(options.limits.sessions, min(options.limits.sessions, options.limits.sessions_per_peer)),
             self.engine.admission,
             self.engine.from_owner,
         )
@@ -187,12 +187,12 @@
             return None
         callbacks = MembershipCallbacks(
             adopt=self._adopt,
-            resize_known=self.engine.desk.hear_fleet,
+            resize_known=self.engine.driver.set_fleet_view,
             number_shared=self._number_shared,
             predecessor=self._predecessor,
             others_heard=self._begin_links,
         )
-        return FleetMembership(self.loop, self.peers.view, self.engine.desk.now, callbacks)
+        return FleetMembership(self.loop, self.peers.view, self.engine.driver.now, callbacks)
 
     def _check_membership(self) -> None:
         if self.fleet_membership is not None:
@@ -212,15 +212,15 @@
     def _run_under(self, generation: Generation) -> None:
         """Who runs when a change is told was there before it; a rollback turns the sides round."""
         if generation.order == self.generation.order:
-            side = self.engine.desk.side  # only its end is new
+            side = self.engine.driver.side  # only its end is new
         elif generation.previous is None:
             side = Side.NEW
         elif generation.rollback:
-            side = Side.OLD if self.engine.desk.side is Side.NEW else Side.NEW
+            side = Side.OLD if self.engine.driver.side is Side.NEW else Side.NEW
         else:
             side = Side.OLD
         self.generation = generation
-        self.engine.desk.set_generation(generation, side)
+        self.engine.driver.set_generation(generation, side)
 
     def _number_shared(self, text: str) -> None:
         """Another process is seen that has our number and was there first; empty: none is any more."""
@@ -261,7 +261,7 @@
             return True
         if self.engine.counters["offers"]:
             return False
-        self.engine.answers.hand_back()
+        self.engine.reporter.refuse_unattempted()
         for session in list(self.owners.sessions.values()):
             self.owners.end(session, RpcError(Code.ABORTED, "this placer begins anew"))
         self.incarnation = (known >> 16) + 1 << 16 | int.from_bytes(self.loop.token(2), "big")
@@ -419,7 +419,7 @@
         """Drain: owners are sent elsewhere, what no attempt waits for is handed back, attempts come to their end."""
         ledger, stop_ms = self.engine.ledger, self.file.placer.stop_ms
         taken = ledger.open
-        until = self.loop.now() + stop_ms if stop_ms is not None else self.engine.answers.last_due() + LEAVE_MS
+        until = self.loop.now() + stop_ms if stop_ms is not None else self.engine.reporter.last_deadline() + LEAVE_MS
         self._stop_at = until
         self._move()
         if self.peers is not None:
@@ -428,9 +428,9 @@
         self.scope.spawn(self.server.drain(until - self.loop.now() + LEAVE_MS), "drain")
         handed_back = 0
         while ledger.open and self.loop.now() < until and not self._hurry:
-            handed_back += self.engine.answers.hand_back()
+            handed_back += self.engine.reporter.refuse_unattempted()
             yield from sleep(10.0)
-        forced = self.engine.answers.answer_all()
+        forced = self.engine.reporter.settle_all()
         self._move()
         yield from sleep(LEAVE_MS)
         self.report = {
--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -14,14 +14,14 @@
 from sprucepost.loop import Loop
 from sprucepost.membership import Generation
 from sprucepost.placing.attempts import Attempts
-from sprucepost.placing.fleet_driver import SeatedDesk
+from sprucepost.placing.fleet_driver import FleetSchedulerDriver
 from sprucepost.placing.intake import Intake
-from sprucepost.placing.late_messages import LateWords
+from sprucepost.placing.late_messages import LateMessages
 from sprucepost.placing.ledger import Entry, Ledger
-from sprucepost.placing.outcome_reporter import LATE_MS, Answers
+from sprucepost.placing.outcome_reporter import SETTLED_RETENTION_MS, OutcomeReporter
 from sprucepost.placing.ports import Key, MachinesPort, OwnersPort, SessionPort
 from sprucepost.placing.roster import Roster
-from sprucepost.placing.task_catalog import Tasks
+from sprucepost.placing.task_catalog import TaskCatalog
 from sprucepost.settings import Cluster, PlacerOptions
 from sprucepost.v1 import machine_pb2
 from sprucepost.v1 import placer_pb2 as pb
@@ -59,69 +59,71 @@
         seed = options.seed if options.seed is not None else int.from_bytes(loop.token(8), "big")
         settings = cluster.to_interface(options.number, options.instances, options.zone, options.answer_margin_ms)
         self._options = options
-        self.tasks = tasks = Tasks(cluster)
+        self.task_catalog = catalog = TaskCatalog(cluster)
         margin = options.answer_margin_ms
-        self.desk = SeatedDesk(
+        self.driver = FleetSchedulerDriver(
             loop, settings, seed, options.clock_slew, cluster.clock_apart_ms, generation, ask_list, log, self.counters
         )
-        self.answers = Answers(self.desk, self.ledger, cluster, self.admission, self.counters)
-        self.attempts = Attempts(loop, self.desk, self.answers, margin, self.counters)
-        self.late = LateWords(loop, self.desk, self.ledger, self.answers, self.attempts, tasks, log, self.counters)
+        self.reporter = OutcomeReporter(self.driver, self.ledger, cluster, self.admission, self.counters)
+        self.attempts = Attempts(loop, self.driver, self.reporter, margin, self.counters)
+        self.late_messages = LateMessages(
+            loop, self.driver, self.ledger, self.reporter, self.attempts, catalog, log, self.counters
+        )
         self.intake = Intake(
-            loop, self.desk, self.ledger, self.answers, self.attempts, tasks, self.admission, margin, self.counters
+            loop, self.driver, self.ledger, self.reporter, self.attempts, catalog, self.admission, margin, self.counters
         )
-        self.roster = Roster(loop, self.desk, self.attempts, self.late, cluster, log)
-        self.desk.carry, self.desk.before = self._carry, self._before
+        self.roster = Roster(loop, self.driver, self.attempts, self.late_messages, cluster, log)
+        self.driver.on_action, self.driver.before_batch = self._carry, self._before
         self.on_change: Callable[[], None] = lambda: None  # something that the daemon's state depends on
-        self.answers.on_settled = lambda: self.on_change() if self.intake.leaving else None
+        self.reporter.on_settled = lambda: self.on_change() if self.intake.leaving else None
         self.roster.on_listed = lambda: self.on_change()
 
     def connect(self, owners: OwnersPort, links: MachinesPort) -> None:
         """The streams to owners and machines."""
-        self.answers.owners = owners
-        self.attempts.machines = self.late.machines = self.roster.machines = links
+        self.reporter.owners = owners
+        self.attempts.machines = self.late_messages.machines = self.roster.machines = links
 
     def start(self) -> None:
         """Begin; the seat is known before any list is."""
-        self.desk.take_seat()
-        self.loop.on_gap(self.roster.wake.gap_ms, self.roster.paused)
-        self.loop.call_later(LATE_MS / 2, self._tidy)
+        self.driver.update_slot()
+        self.loop.on_gap(self.roster.pause_recovery.min_pause_ms, self.roster.on_pause)
+        self.loop.call_later(SETTLED_RETENTION_MS / 2, self._tidy)
 
     def _tidy(self) -> None:
-        self.loop.call_later(LATE_MS / 2, self._tidy)
-        self.answers.forget()
-        self.late.tidy()
+        self.loop.call_later(SETTLED_RETENTION_MS / 2, self._tidy)
+        self.reporter.purge_settled()
+        self.late_messages.purge()
 
     def set_options(self, options: PlacerOptions) -> None:
         """Other options, from a reload: the bound on open tasks moves with them."""
-        self.admission.bound(options.limits.open_tasks)
+        self.admission.set_max_open(options.limits.open_tasks)
 
     def set_cluster(self, cluster: Cluster) -> None:
         """Other values of the deployment's changeable keys (``settings.running``), from the next decision on. Not to be
         called while the module decides. Tasks that it has keep their class as it was."""
         options = self._options
         new = cluster.to_interface(options.number, options.instances, options.zone, options.answer_margin_ms)
-        self.desk.scheduler.settings = replace(
-            self.desk.scheduler.settings,
+        self.driver.scheduler.settings = replace(
+            self.driver.scheduler.settings,
             classes=new.classes,
             tenants=new.tenants,
             max_attempts=new.max_attempts,
             over_share_worth=new.over_share_worth,
             max_retry_after=new.max_retry_after,
         )
-        self.tasks.set_worth(cluster)
-        self.admission.most_retry_ms = _most_retry_ms(cluster)
+        self.task_catalog.set_worth(cluster)
+        self.admission.max_retry_ms = _most_retry_ms(cluster)
 
     def _before(self) -> None:
         """Ahead of each batch for the module: what has changed about machines, and the asks whose turn it is."""
-        self.roster.settle()
+        self.roster.publish_changes()
         self.intake.take_up()
 
     def _carry(self, action: i.Offer | i.Refuse | i.Fail) -> None:
         if isinstance(action, i.Offer):
             self.attempts.offer(action)
         else:
-            self.answers.decided(action)
+            self.reporter.on_decision(action)
 
     # Owners
 
@@ -133,26 +135,26 @@
         elif kind == "cancel":
             self.intake.cancel(session, frame.task)
         elif kind == "hand_over":
-            self.late.hand_over(session, frame.task, frame.hand_over)
+            self.late_messages.hand_over(session, frame.task, frame.hand_over)
 
     # Machines
 
     def attached(self, machine: str, hello: machine_pb2.Attached, new_life: bool) -> None:
         """A machine attached with a new session: what it is and holds, against what we thought."""
-        fresh = self.roster.attached(machine, hello.started_ms, new_life)
+        fresh = self.roster.on_attached(machine, hello.started_ms, new_life)
         incarnation = self.attempts.machines.incarnation
         mine = {(held.request, held.attempt): held.running for held in hello.held if held.incarnation == incarnation}
-        known = {key for key, _ in self.attempts.on(machine)}
-        self.attempts.attached(machine, mine, fresh)
+        known = {key for key, _ in self.attempts.on_machine(machine)}
+        self.attempts.on_attached(machine, mine, fresh)
         for held in hello.held:
             if held.incarnation != incarnation or (held.request, held.attempt) not in known:
-                self.late.held(machine, held)
-        self.late.not_held(machine)  # what it holds has been named by now
+                self.late_messages.on_held(machine, held)
+        self.late_messages.fail_missing_hand_overs(machine)  # what it holds has been named by now
 
     def resumed(self, machine: str, hello: machine_pb2.Attached) -> None:
         """The session goes on, and its frames tell the rest. But an answer may be lost within the machine, before it
         became a frame: a task that the machine names, and whose offer still waits, is accepted."""
-        self.roster.attached(machine, hello.started_ms, False)
+        self.roster.on_attached(machine, hello.started_ms, False)
         for held in hello.held:
             key = (held.request, held.attempt)
             out = self.attempts.get(key)
@@ -160,24 +162,24 @@
                 self.attempts.accept(key, out)
 
     def detached(self, machine: str) -> None:
-        self.roster.detached(machine)
+        self.roster.on_detached(machine)
 
     def answer(self, machine: str, frame: machine_pb2.FromMachine) -> None:
         """A new frame of a machine about one attempt."""
-        self.roster.spoke(machine)
+        self.roster.on_machine_frame(machine)
         key = (frame.request, frame.attempt)
         out, kind = self.attempts.get(key), frame.WhichOneof("body")
         if out is not None and out.machine == machine:  # else another machine's word on what is not its own
-            self.attempts.take(key, out, frame)
+            self.attempts.on_frame(key, out, frame)
         elif kind == "accepted":
-            self.late.accepted(machine, frame)
+            self.late_messages.on_accepted(machine, frame)
 
     def write(self, key: Key, life: int) -> machine_pb2.Offer | None:
-        return self.attempts.write(key, life)
+        return self.attempts.build_offer(key, life)
 
     # The list
 
     def hear_list(self, told_ms: float) -> None:
         """An update of the list has come, with the list's own time."""
-        self.desk.hear_time(told_ms)
-        self.roster.beat()
+        self.driver.check_list_time(told_ms)
+        self.roster.on_list_heartbeat()
--- a/sprucepost/placer/links.py
+++ b/sprucepost/placer/links.py
@@ -72,7 +72,7 @@
         self._loop = links.loop
         self._session: Session[pb.ToMachine] = Session()
         self._token = b""
-        self.life = 0
+        self.machine_incarnation = 0
         self.call: ClientCall | None = None
         self._queue: dict[Key, None] = {}  # attempts whose offers are not written yet, oldest first
         self.closed_to_offers = False  # it takes nothing new
@@ -126,7 +126,7 @@
         while self._queue and self.call is not None and not self.call.behind:
             key = next(iter(self._queue))
             del self._queue[key]
-            offer = self._links.receiver.write(key, self.life)
+            offer = self._links.receiver.write(key, self.machine_incarnation)
             if offer is not None:
                 self.send(pb.ToMachine(offer=offer))
 
@@ -224,8 +224,8 @@
         if first.WhichOneof("body") != "attached":
             raise RpcError(Code.INTERNAL, "the first frame is not attached")
         attached = first.attached
-        new_life = self.life not in (0, attached.life)
-        self.life = attached.life
+        new_life = self.machine_incarnation not in (0, attached.life)
+        self.machine_incarnation = attached.life
         if attached.resumed:
             self._session.replace(self._still_wanted)
             try:
@@ -253,7 +253,7 @@
         """What goes out again after a break: no offer that must not go out now, and none with its first time."""
         if frame.WhichOneof("body") != "offer":
             return frame
-        offer = self._links.receiver.write((frame.offer.request, frame.offer.attempt), self.life)
+        offer = self._links.receiver.write((frame.offer.request, frame.offer.attempt), self.machine_incarnation)
         return pb.ToMachine(nothing=pb.Nothing()) if offer is None else pb.ToMachine(offer=offer)
 
 
--- a/sprucepost/placer/owners.py
+++ b/sprucepost/placer/owners.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from sprucepost.admission import Admission, SessionBook
+from sprucepost.admission import Admission, SessionTable
 from sprucepost.loop import Loop, Timer
 from sprucepost.v1 import placer_pb2 as pb
 from sprucepost.wire.server import Method, ServerCall
@@ -69,7 +69,7 @@
         loop, call = self._owners.loop, self.call
         if call is None or self._unread is not None:
             return
-        pause_ms = self._owners.admission.unread_ms(self.token, loop.now())
+        pause_ms = self._owners.admission.read_pause_ms(self.token, loop.now())
         if pause_ms <= 0:
             return
         self._owners.counters["owner_unread"] += 1
@@ -132,7 +132,7 @@
         else:
             del self.owed[task]
         if not self.owed:
-            self._owners.book.settled(self.token)
+            self._owners.book.outcomes_delivered(self.token)
             self._end_if_done()
 
     def on_half_close(self, call: ServerCall) -> None:
@@ -171,7 +171,7 @@
         incarnation: int,
         resume_ms: float,
         unacknowledged: int,
-        book: SessionBook,
+        book: SessionTable,
         admission: Admission[Any],
         take: Callable[[OwnerSession, pb.OwnerFrame], None],
     ) -> None:
@@ -194,7 +194,7 @@
     def end(self, session: OwnerSession, status: RpcError) -> None:
         """Forget a session; its stream ends with that status."""
         self.sessions.pop(session.token, None)
-        self.book.gone(session.token)
+        self.book.remove(session.token)
         if session.forget is not None:
             session.forget.cancel()
         call, session.call = session.call, None
@@ -220,7 +220,7 @@
             except SessionBroken as error:
                 raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
             self.counters["owner_resumed"] += 1
-            self.book.back(session.token)
+            self.book.attach(session.token)
         if session.forget is not None:
             session.forget.cancel()
             session.forget = None
@@ -250,7 +250,7 @@
     def _enter(self, call: ServerCall, owner: str) -> OwnerSession:
         """A new session. Hellos alone cost memory for as long as a session may be resumed, so they are bounded."""
         session = OwnerSession(self, self.loop.token(16), owner)
-        room, goes = self.book.enter(session.token, str(call.connection.transport.peer).rsplit(":", 1)[0])
+        room, goes = self.book.add(session.token, str(call.connection.transport.peer).rsplit(":", 1)[0])
         if goes is not None:
             self.counters["owner_evicted"] += 1
             self.end(self.sessions[goes], RpcError(Code.ABORTED, "forgotten for a newer session"))
@@ -263,13 +263,13 @@
     def _left(self, session: OwnerSession, call: ServerCall) -> None:
         if session.call is call:
             session.call = None
-            self.book.left(session.token, bool(session.owed))
+            self.book.detach(session.token, bool(session.owed))
             session.forget = self.loop.call_later(self._resume_ms, lambda: self._forget(session))
 
     def _forget(self, session: OwnerSession) -> None:
         if self.sessions.get(session.token) is session and session.call is None:
             del self.sessions[session.token]
-            self.book.gone(session.token)
+            self.book.remove(session.token)
             self.counters["owner_forgotten"] += 1
 
     def _frame(self, session: OwnerSession, call: ServerCall, data: bytes) -> None:
@@ -299,7 +299,7 @@
     def _look_at_credit(self) -> None:
         """Tell owners their bounds; again after an interval for as long as there are any."""
         self._credit_due = False
-        self.admission.look_at_credit(self.loop.now())
+        self.admission.update_credit(self.loop.now())
         was = self._each
         if not (was or self.admission.credit.total):
             return
@@ -309,7 +309,7 @@
             if session.call is not None:
                 asking[session.owner] += 1
                 owed[session.owner] += session.owed.total()
-        self._each = self.admission.credit.each([count for count in owed.values() if count], was)
+        self._each = self.admission.credit.per_owner_bound([count for count in owed.values() if count], was)
         for session in self.sessions.values():
             if session.call is not None:
                 bound = self._each and max(1, self._each // asking[session.owner])
--- a/sprucepost/placer/pages.py
+++ b/sprucepost/placer/pages.py
@@ -155,12 +155,16 @@
         links = placer.links.all()
         for name, text, value in (
             ("open_tasks", "Tasks taken and not answered", engine.ledger.open),
-            ("line", "Asks let in and not taken up yet", len(engine.admission.line)),
-            ("ask_cost_ms", "What an ask costs this process, learned while asks wait", engine.admission.drain.cost_ms),
+            ("line", "Asks let in and not taken up yet", len(engine.admission.queue)),
+            (
+                "ask_cost_ms",
+                "What an ask costs this process, learned while asks wait",
+                engine.admission.service_time.cost_ms,
+            ),
             (
                 "line_stands",
                 "1 since the line was long for a whole aim, until it has refused nothing for one",
-                engine.admission.standing.lately(placer.loop.now()),
+                engine.admission.overload.recent(placer.loop.now()),
             ),
             ("credit", "Asks that owners may have open together; 0: no bound", engine.admission.credit.total),
             ("owner_sessions", "Sessions of owners", len(placer.owners.sessions)),
--- a/sprucepost/placing/attempts.py
+++ b/sprucepost/placing/attempts.py
@@ -2,7 +2,7 @@
 
 An offer is for one life of a machine and for a time that runs from the decision on. It may wait before it is written: for
 a stream, for room in one, for the session to be resumed. So an offer is not a frame that lies in a queue; it is made by
-:meth:`Attempts.write` at the moment at which it goes out, with what is left of its time, or not at all.
+:meth:`Attempts.build_offer` at the moment at which it goes out, with what is left of its time, or not at all.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from sprucepost import interface as i
 from sprucepost.loop import Loop, Timer
 from sprucepost.placing.ledger import Entry, Outcome
-from sprucepost.placing.outcome_reporter import Answers
+from sprucepost.placing.outcome_reporter import OutcomeReporter
 from sprucepost.placing.ports import Key, MachinesPort
-from sprucepost.placing.scheduler_driver import Desk
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 from sprucepost.v1 import common_pb2, machine_pb2
 from sprucepost.v1 import placer_pb2 as pb
 
@@ -28,16 +28,34 @@
 }
 
 
-class Out:
+class Attempt:
     """One attempt: waiting to be written, written, then accepted or over."""
 
-    __slots__ = ("accepted", "entry", "life", "machine", "number", "sent", "timer", "turn", "until", "written")
+    __slots__ = (
+        "accepted",
+        "deadline",
+        "decided_at",
+        "entry",
+        "incarnation",
+        "machine",
+        "number",
+        "timer",
+        "turn",
+        "written",
+    )
 
     def __init__(
-        self, entry: Entry, number: int, machine: str, life: int, sent: float, until: float, turn: int = 0
+        self,
+        entry: Entry,
+        number: int,
+        machine: str,
+        incarnation: int,
+        decided_at: float,
+        deadline: float,
+        turn: int = 0,
     ) -> None:
-        self.entry, self.number, self.machine, self.life = entry, number, machine, life
-        self.sent, self.until, self.turn = sent, until, turn
+        self.entry, self.number, self.machine, self.incarnation = entry, number, machine, incarnation
+        self.decided_at, self.deadline, self.turn = decided_at, deadline, turn
         self.written = self.accepted = False
         self.timer: Timer | None = None
 
@@ -47,54 +65,58 @@
 
     machines: MachinesPort
 
-    def __init__(self, loop: Loop, desk: Desk, answers: Answers, least_ms: float, counters: Counter[str]) -> None:
-        self.loop, self._desk, self._answers = loop, desk, answers
-        self._least = least_ms  # an offer that has waited is not worth writing with less left than this
+    def __init__(
+        self, loop: Loop, driver: SchedulerDriver, reporter: OutcomeReporter, min_left_ms: float, counters: Counter[str]
+    ) -> None:
+        self.loop, self._driver, self._reporter = loop, driver, reporter
+        self._min_left_ms = min_left_ms  # an offer that has waited is not worth writing with less left than this
         self.counters = counters
         self.refusals: Counter[str] = Counter()
-        self.closed: set[str] = set()  # machines that must get nothing new now
+        self.closed_machines: set[str] = set()  # machines that must get nothing new now
         self.cold_until: dict[str, float] = {}  # on the desk's clock
-        self._all: dict[Key, Out] = {}
-        self._on: dict[str, dict[Key, Out]] = {}
+        self._by_key: dict[Key, Attempt] = {}
+        self._by_machine: dict[str, dict[Key, Attempt]] = {}
 
     # Looking
 
-    def get(self, key: Key) -> Out | None:
-        return self._all.get(key)
+    def get(self, key: Key) -> Attempt | None:
+        return self._by_key.get(key)
 
-    def on(self, machine: str) -> list[tuple[Key, Out]]:
-        return list(self._on.get(machine, {}).items())
+    def on_machine(self, machine: str) -> list[tuple[Key, Attempt]]:
+        return list(self._by_machine.get(machine, {}).items())
 
-    def __iter__(self) -> Iterator[Out]:
-        return iter(list(self._all.values()))
+    def __iter__(self) -> Iterator[Attempt]:
+        return iter(list(self._by_key.values()))
 
-    # Out
+    # Sending offers
 
     def offer(self, action: i.Offer) -> None:
         """The module has decided: the attempt begins."""
-        entry, link = self._answers.ledger.by_request(action.request), self.machines.get(action.machine)
+        entry, link = self._reporter.ledger.by_request(action.request), self.machines.get(action.machine)
         if entry is None or entry.outcome is not Outcome.OPEN:
             raise AssertionError(f"an offer for request {action.request}, which is over")
         now = self.loop.now()
-        life = link.life if link is not None else 0
-        out = Out(entry, entry.attempts, action.machine, life, now, now + action.timeout, self.loop.turns)
-        key = (entry.request, out.number)
+        incarnation = link.machine_incarnation if link is not None else 0
+        attempt = Attempt(
+            entry, entry.attempts, action.machine, incarnation, now, now + action.timeout, self.loop.turns
+        )
+        key = (entry.request, attempt.number)
         entry.attempts += 1
-        entry.out = out.number
-        self._add(key, out)
+        entry.pending_attempt = attempt.number
+        self._add(key, attempt)
         self.counters["offers"] += 1
         if link is None:  # listed without an address that can be used
-            self.end(key, out, i.Ending.CONNECT_FAILED)
+            self.end(key, attempt, i.Ending.CONNECT_FAILED)
             return
-        out.timer = self.loop.call_later(action.timeout, lambda: self._expire(key))
+        attempt.timer = self.loop.call_later(action.timeout, lambda: self._expire(key))
         link.offer(key)
-        self._answers.tell(entry, offered=pb.Offered(machine=action.machine, attempt=out.number))
+        self._reporter.notify(entry, offered=pb.Offered(machine=action.machine, attempt=attempt.number))
 
-    def _add(self, key: Key, out: Out) -> None:
-        self._all[key] = out
-        self._on.setdefault(out.machine, {})[key] = out
+    def _add(self, key: Key, attempt: Attempt) -> None:
+        self._by_key[key] = attempt
+        self._by_machine.setdefault(attempt.machine, {})[key] = attempt
 
-    def write(self, key: Key, life: int) -> machine_pb2.Offer | None:
+    def build_offer(self, key: Key, incarnation: int) -> machine_pb2.Offer | None:
         """The offer as it is to go out now to that life of its machine; None where it must not.
 
         It must not once its attempt is over, where the machine takes nothing new, for another life than the one that it was
@@ -103,104 +125,109 @@
         machine that came back cold got what was meant for the warm one. None is not the attempt's end: its time-out, or the
         machine's attach, is.
         """
-        out = self._all.get(key)
-        if out is None or out.accepted or out.machine in self.closed or out.life not in (0, life):
+        attempt = self._by_key.get(key)
+        if (
+            attempt is None
+            or attempt.accepted
+            or attempt.machine in self.closed_machines
+            or attempt.incarnation not in (0, incarnation)
+        ):
             return None
-        if out.turn != self.loop.turns and self._desk.now() < self.cold_until.get(out.machine, 0.0):
+        if attempt.turn != self.loop.turns and self._driver.now() < self.cold_until.get(attempt.machine, 0.0):
             return None  # what a cold machine bears is reckoned from the decision: later, it is somebody else's share
-        left = out.until - self.loop.now()
-        if left < min(self._least, (out.until - out.sent) / 2):
+        left = attempt.deadline - self.loop.now()
+        if left < min(self._min_left_ms, (attempt.deadline - attempt.decided_at) / 2):
             return None
-        out.life, out.written = life, True
+        attempt.incarnation, attempt.written = incarnation, True
         return machine_pb2.Offer(
-            request=out.entry.request,
-            attempt=out.number,
-            name=out.entry.name,
-            task=out.entry.ask,
-            effect=_EFFECTS[self._answers.class_of(out.entry).effect],
+            request=attempt.entry.request,
+            attempt=attempt.number,
+            name=attempt.entry.name,
+            task=attempt.entry.ask,
+            effect=_EFFECTS[self._reporter.class_of(attempt.entry).effect],
             wait_ms=left,
         )
 
     def _expire(self, key: Key) -> None:
-        out = self._all.get(key)
-        if out is None or out.accepted:
+        attempt = self._by_key.get(key)
+        if attempt is None or attempt.accepted:
             return
-        link = self.machines.get(out.machine)
+        link = self.machines.get(attempt.machine)
         if link is not None:
             link.drop(key)
-            if out.written:
+            if attempt.written:
                 link.give_up_buffered()
-        self.counters["timeouts" if out.written else "unsent"] += 1
-        self.end(key, out, i.Ending.TIMEOUT if out.written else i.Ending.CONNECT_FAILED)
+        self.counters["timeouts" if attempt.written else "unsent"] += 1
+        self.end(key, attempt, i.Ending.TIMEOUT if attempt.written else i.Ending.CONNECT_FAILED)
 
     def end(
         self,
         key: Key,
-        out: Out,
+        attempt: Attempt,
         ending: i.Ending,
         reason: i.Reason = i.Reason.UNTOLD,
         load: machine_pb2.Load | None = None,
     ) -> None:
         """The attempt is over: tell the module, once."""
-        self._all.pop(key, None)
-        self._on.get(out.machine, {}).pop(key, None)
-        if out.timer is not None:
-            out.timer.cancel()
-        if out.entry.out == out.number and not out.accepted:
-            out.entry.out = None
-        if not out.accepted and ending in (i.Ending.TIMEOUT, i.Ending.RESET, i.Ending.CANCELLED):
-            out.entry.may_run = True
+        self._by_key.pop(key, None)
+        self._by_machine.get(attempt.machine, {}).pop(key, None)
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        if attempt.entry.pending_attempt == attempt.number and not attempt.accepted:
+            attempt.entry.pending_attempt = None
+        if not attempt.accepted and ending in (i.Ending.TIMEOUT, i.Ending.RESET, i.Ending.CANCELLED):
+            attempt.entry.may_have_run = True
         report = _load_report(load) if load is not None else None
-        closed = out.accepted or out.entry.outcome is not Outcome.OPEN
-        self._desk.push(i.Outcome(key[0], key[1], ending, closed, reason, report))
+        closed = attempt.accepted or attempt.entry.outcome is not Outcome.OPEN
+        self._driver.push(i.Outcome(key[0], key[1], ending, closed, reason, report))
 
     # Words of a machine on an attempt
 
-    def take(self, key: Key, out: Out, frame: machine_pb2.FromMachine) -> None:
+    def on_frame(self, key: Key, attempt: Attempt, frame: machine_pb2.FromMachine) -> None:
         """A new frame about an attempt that is known."""
         kind = frame.WhichOneof("body")
         if kind == "refused":
-            if not out.accepted:
-                self._drop(out.machine, key)
+            if not attempt.accepted:
+                self._drop(attempt.machine, key)
                 reason = i.Reason(frame.refused.reason)
                 self.refusals[reason.name.lower()] += 1
-                self.end(key, out, i.Ending.FULL, reason, frame.load)
+                self.end(key, attempt, i.Ending.FULL, reason, frame.load)
             return
-        if not out.accepted:  # where the answer itself was lost, that the machine holds the task says as much
-            self.accept(key, out)
-        if not out.accepted:
+        if not attempt.accepted:  # where the answer itself was lost, that the machine holds the task says as much
+            self.accept(key, attempt)
+        if not attempt.accepted:
             return
         if kind == "running":
-            self._desk.push(i.Note(key[0], key[1], i.NoteKind.RUNNING, 1.0))
-            self._answers.tell(out.entry, running=pb.Running())
+            self._driver.push(i.Note(key[0], key[1], i.NoteKind.RUNNING, 1.0))
+            self._reporter.notify(attempt.entry, running=pb.Running())
         elif kind == "use":
-            self._use(key, out, frame.use)
+            self._use(key, attempt, frame.use)
         elif kind == "ended":
-            self._ended(key, out, frame)
+            self._ended(key, attempt, frame)
 
-    def accept(self, key: Key, out: Out) -> None:
+    def accept(self, key: Key, attempt: Attempt) -> None:
         """The machine holds the task."""
-        self._drop(out.machine, key)
-        entry = out.entry
-        if out.timer is not None:
-            out.timer.cancel()
+        self._drop(attempt.machine, key)
+        entry = attempt.entry
+        if attempt.timer is not None:
+            attempt.timer.cancel()
         if entry.outcome is not Outcome.OPEN:  # answered or cancelled while the offer was out
-            self.withdraw(out.machine, key[0], key[1], self.machines.incarnation)
-            self.end(key, out, i.Ending.CANCELLED)
+            self.withdraw(attempt.machine, key[0], key[1], self.machines.incarnation)
+            self.end(key, attempt, i.Ending.CANCELLED)
             return
-        out.accepted = True
-        entry.out = None
-        entry.machine, entry.attempt = out.machine, out.number
-        self._answers.settle(entry, Outcome.PLACED)
-        self._desk.push(i.Accepted(key[0], key[1], self.loop.now() - out.sent))
-        self._answers.outcome(entry, bound=pb.Bound(machine=out.machine, attempt=out.number))
+        attempt.accepted = True
+        entry.pending_attempt = None
+        entry.machine, entry.attempt = attempt.machine, attempt.number
+        self._reporter.settle(entry, Outcome.PLACED)
+        self._driver.push(i.Accepted(key[0], key[1], self.loop.now() - attempt.decided_at))
+        self._reporter.report(entry, bound=pb.Bound(machine=attempt.machine, attempt=attempt.number))
 
     def _drop(self, machine: str, key: Key) -> None:
         link = self.machines.get(machine)
         if link is not None:
             link.drop(key)
 
-    def _use(self, key: Key, out: Out, use: machine_pb2.TaskUse) -> None:
+    def _use(self, key: Key, attempt: Attempt, use: machine_pb2.TaskUse) -> None:
         for field, kind in (
             ("cores", i.NoteKind.CORES_USED),
             ("memory", i.NoteKind.MEMORY_USED),
@@ -208,89 +235,91 @@
             ("machine_memory", i.NoteKind.MACHINE_MEMORY),
         ):
             if use.HasField(field):
-                self._desk.push(i.Note(key[0], key[1], kind, getattr(use, field)))
-        self._answers.tell(out.entry, use=pb.Use(cores=use.cores, memory=use.memory))
+                self._driver.push(i.Note(key[0], key[1], kind, getattr(use, field)))
+        self._reporter.notify(attempt.entry, use=pb.Use(cores=use.cores, memory=use.memory))
 
-    def _ended(self, key: Key, out: Out, frame: machine_pb2.FromMachine) -> None:
+    def _ended(self, key: Key, attempt: Attempt, frame: machine_pb2.FromMachine) -> None:
         ending = {
             machine_pb2.TaskEnded.DONE: i.Ending.OK,
             machine_pb2.TaskEnded.STOPPED: i.Ending.CANCELLED,
         }.get(frame.ended.how, i.Ending.RESET)
-        self.end(key, out, ending, i.Reason(frame.ended.reason), frame.load)
-        told = {
+        self.end(key, attempt, ending, i.Reason(frame.ended.reason), frame.load)
+        reported = {
             i.Ending.OK: pb.Ended.DONE,
             i.Ending.CANCELLED: pb.Ended.STOPPED,
         }.get(ending, pb.Ended.LOST)
-        self._answers.over(out.entry, pb.Ended(how=told, reason=frame.ended.reason))
+        self._reporter.report_end(attempt.entry, pb.Ended(how=reported, reason=frame.ended.reason))
 
-    def lost(self, key: Key, out: Out) -> None:
+    def report_lost(self, key: Key, attempt: Attempt) -> None:
         """A placed task went with its machine."""
-        self.end(key, out, i.Ending.RESET)
-        self._answers.over(out.entry, pb.Ended(how=pb.Ended.LOST))
+        self.end(key, attempt, i.Ending.RESET)
+        self._reporter.report_end(attempt.entry, pb.Ended(how=pb.Ended.LOST))
 
     # Words of a machine on all that it holds
 
-    def attached(self, machine: str, held: dict[Key, bool], new_life: bool) -> None:
+    def on_attached(self, machine: str, held: dict[Key, bool], restarted: bool) -> None:
         """The machine attached with a new session; ``held`` are the attempts that it names, and whether they run."""
-        for key, out in self.on(machine):
+        for key, attempt in self.on_machine(machine):
             if key in held:
-                if not out.accepted:
-                    self.accept(key, out)
-                if held[key] and out.accepted:
-                    self._desk.push(i.Note(key[0], key[1], i.NoteKind.RUNNING, 1.0))
-            elif out.accepted:
-                self.lost(key, out)
-            elif new_life:  # an offer that never went out was for the life before, and is for no other
+                if not attempt.accepted:
+                    self.accept(key, attempt)
+                if held[key] and attempt.accepted:
+                    self._driver.push(i.Note(key[0], key[1], i.NoteKind.RUNNING, 1.0))
+            elif attempt.accepted:
+                self.report_lost(key, attempt)
+            elif restarted:  # an offer that never went out was for the life before, and is for no other
                 self._drop(machine, key)
-                self.end(key, out, i.Ending.RESET if out.written else i.Ending.MOOT)
+                self.end(key, attempt, i.Ending.RESET if attempt.written else i.Ending.MOOT)
 
-    def buried(self, machine: str) -> None:
+    def on_machine_gone(self, machine: str) -> None:
         """The machine is gone for good: what it held is lost."""
-        for key, out in self.on(machine):
-            if out.accepted:
-                self.lost(key, out)
+        for key, attempt in self.on_machine(machine):
+            if attempt.accepted:
+                self.report_lost(key, attempt)
             else:
-                self.end(key, out, i.Ending.RESET if out.written else i.Ending.MOOT)
-        self._on.pop(machine, None)
+                self.end(key, attempt, i.Ending.RESET if attempt.written else i.Ending.MOOT)
+        self._by_machine.pop(machine, None)
 
-    def close(self, machine: str, closed: bool) -> None:
+    def set_closed(self, machine: str, closed: bool) -> None:
         """The machine must get nothing new from now on, or may again."""
         link = self.machines.get(machine)
         if not closed:
-            self.closed.discard(machine)
+            self.closed_machines.discard(machine)
         else:
-            self.closed.add(machine)
-            self.unwritten(machine)
+            self.closed_machines.add(machine)
+            self.drop_unwritten(machine)
         if link is not None:
             link.close_to_offers(closed)
 
-    def unwritten(self, machine: str) -> None:
+    def drop_unwritten(self, machine: str) -> None:
         """What was not written never will be, and never ran: the module may decide anew."""
-        for key, out in self.on(machine):
-            if not out.written and not out.accepted:
+        for key, attempt in self.on_machine(machine):
+            if not attempt.written and not attempt.accepted:
                 self._drop(machine, key)
-                self.end(key, out, i.Ending.MOOT)
+                self.end(key, attempt, i.Ending.MOOT)
 
     # Tasks that were found running
 
-    def found(self, machine: str, held: machine_pb2.Held, entry: Entry, request: i.TaskRequest) -> None:
+    def adopt(self, machine: str, held: machine_pb2.Held, entry: Entry, request: i.TaskRequest) -> None:
         """The task runs on that machine and is this placer's from now on."""
         link = self.machines.get(machine)
-        out = Out(entry, 0, machine, link.life if link is not None else 0, self.loop.now(), math.inf)
-        entry.machine, entry.attempt, entry.out = machine, 0, None
-        out.accepted = out.written = True
-        self._add((entry.request, 0), out)
-        self._desk.push(i.TaskFound(request, machine))
+        attempt = Attempt(
+            entry, 0, machine, link.machine_incarnation if link is not None else 0, self.loop.now(), math.inf
+        )
+        entry.machine, entry.attempt, entry.pending_attempt = machine, 0, None
+        attempt.accepted = attempt.written = True
+        self._add((entry.request, 0), attempt)
+        self._driver.push(i.TaskFound(request, machine))
         if link is not None:
-            adopt = machine_pb2.Adopt(
+            message = machine_pb2.Adopt(
                 name=held.name,
                 old_request=held.request,
                 old_attempt=held.attempt,
                 old_incarnation=held.incarnation,
                 request=entry.request,
             )
-            link.send(machine_pb2.ToMachine(adopt=adopt))
-        self._answers.outcome(entry, bound=pb.Bound(machine=machine, attempt=held.attempt, found=True))
+            link.send(machine_pb2.ToMachine(adopt=message))
+        self._reporter.report(entry, bound=pb.Bound(machine=machine, attempt=held.attempt, found=True))
 
     def withdraw(self, machine: str, request: int, attempt: int, incarnation: int) -> None:
         """Have the machine drop that offer or stop that task."""
--- a/sprucepost/placing/intake.py
+++ b/sprucepost/placing/intake.py
@@ -4,14 +4,14 @@
 
 from collections import Counter
 
-from sprucepost.admission import Admission, Ask
+from sprucepost.admission import Admission, AdmissionRequest
 from sprucepost.loop import Loop
 from sprucepost.placing.attempts import Attempts
 from sprucepost.placing.ledger import Entry, Ledger, Outcome
-from sprucepost.placing.outcome_reporter import Answers
+from sprucepost.placing.outcome_reporter import OutcomeReporter
 from sprucepost.placing.ports import SessionPort
-from sprucepost.placing.scheduler_driver import Desk
-from sprucepost.placing.task_catalog import Tasks
+from sprucepost.placing.scheduler_driver import SchedulerDriver
+from sprucepost.placing.task_catalog import TaskCatalog
 from sprucepost.v1 import placer_pb2 as pb
 
 NO_TIME = "no time is left to place it"
@@ -24,19 +24,19 @@
     def __init__(
         self,
         loop: Loop,
-        desk: Desk,
+        driver: SchedulerDriver,
         ledger: Ledger,
-        answers: Answers,
+        reporter: OutcomeReporter,
         attempts: Attempts,
-        tasks: Tasks,
+        catalog: TaskCatalog,
         admission: Admission[Entry],
         margin_ms: float,
         counters: Counter[str],
     ) -> None:
-        self.loop, self._desk, self._ledger, self._answers = loop, desk, ledger, answers
-        self._attempts, self._tasks, self._admission, self._margin, self.counters = (
+        self.loop, self._driver, self._ledger, self._reporter = loop, driver, ledger, reporter
+        self._attempts, self._catalog, self._admission, self._margin, self.counters = (
             attempts,
-            tasks,
+            catalog,
             admission,
             margin_ms,
             counters,
@@ -63,7 +63,7 @@
                 bound = pb.Bound(machine=entry.machine, attempt=entry.attempt, found=True)
                 session.send(pb.PlacerFrame(task=name, bound=bound))
             return
-        problem = self._tasks.problem(name, task)
+        problem = self._catalog.problem(name, task)
         if problem is not None:
             self._refuse(session, name, problem)
             return
@@ -76,47 +76,47 @@
         if not left > 2 * self._margin:
             self._refuse(session, name, NO_TIME)
             return
-        now, number = self.loop.now(), self._tasks.classes[task.task_class]
-        worth, aim = self._tasks.worth[task.task_class], self._tasks.aim_ms[number]
-        ask = Ask(session.owner, worth, left - 2 * self._margin, aim, submission.repeat)
-        verdict = self._admission.ask(ask, now)
+        now, number = self.loop.now(), self._catalog.classes[task.task_class]
+        worth, aim = self._catalog.worth[task.task_class], self._catalog.aim_ms[number]
+        ask = AdmissionRequest(session.owner, worth, left - 2 * self._margin, aim, submission.repeat)
+        verdict = self._admission.decide(ask, now)
         if verdict.why:
             self.counters["turned_away"] += 1
             self._refuse(session, name, verdict.why, verdict.retry_after_ms)
             return
-        entry = self._ledger.take(name, number, task.service, self._desk.now())
+        entry = self._ledger.take(name, number, task.service, self._driver.now())
         entry.sessions[session.token] = 1
-        entry.ask, entry.due, entry.owner, entry.repeat = task, now + left, session.owner, submission.repeat
-        self._admission.room.opened(session.owner)
-        self._admission.wait(entry, ask, now)
-        self._desk.wake()
+        entry.ask, entry.deadline, entry.owner, entry.repeat = task, now + left, session.owner, submission.repeat
+        self._admission.open_tasks.opened(session.owner)
+        self._admission.enqueue(entry, ask, now)
+        self._driver.schedule_batch()
 
     def _closed(self, owner: str, task_class: str) -> tuple[str, float] | None:
         """Why no ask of that owner and class can be let in now, and the time to wait."""
-        full = self._admission.full()
-        if full is None and task_class in self._tasks.worth:
-            aim = self._tasks.aim_ms[self._tasks.classes[task_class]]
-            return self._admission.turned(owner, self._tasks.worth[task_class], aim, self.loop.now())
+        full = self._admission.refusal_if_full()
+        if full is None and task_class in self._catalog.worth:
+            aim = self._catalog.aim_ms[self._catalog.classes[task_class]]
+            return self._admission.recent_refusal(owner, self._catalog.worth[task_class], aim, self.loop.now())
         return full
 
     def take_up(self) -> None:
         """Before the module decides: those whose turn it is go to it. What still waits then is looked at again in the
         next turn, after the sockets: a burst keeps neither machines' answers nor other owners waiting."""
         admission = self._admission
-        if not admission.waiting:
+        if not admission.has_queued:
             return
         now = self.loop.now()
-        chosen, over = admission.take(now)
+        chosen, over = admission.dequeue(now)
         for entry in over:
             if entry.outcome is Outcome.OPEN:  # else cancelled, or found running, while it waited
                 self.counters["waited_too_long"] += 1
-                self._answers.refuse(entry, NO_TIME)
+                self._reporter.refuse(entry, NO_TIME)
         for entry in chosen:
             if entry.outcome is Outcome.OPEN:
-                entry.taken_up = now
-                self._desk.push(self._tasks.request(entry, entry.due - now, entry.repeat))
-        if len(admission.line):
-            self.loop.call_later(0.0, self._desk.wake)
+                entry.dequeued_at = now
+                self._driver.push(self._catalog.request(entry, entry.deadline - now, entry.repeat))
+        if len(admission.queue):
+            self.loop.call_later(0.0, self._driver.schedule_batch)
 
     def _refuse(self, session: SessionPort, name: str, why: str, retry_after_ms: float = 0.0) -> None:
         """No request is opened for it."""
@@ -132,6 +132,6 @@
             return
         entry.cancelled = True
         if entry.outcome is Outcome.OPEN:
-            self._answers.give_up(entry, "cancelled by its owner")
+            self._reporter.abandon(entry, "cancelled by its owner")
         else:
             self._attempts.withdraw(entry.machine, entry.request, entry.attempt, self._attempts.machines.incarnation)
--- a/sprucepost/placing/late_messages.py
+++ b/sprucepost/placing/late_messages.py
@@ -1,5 +1,5 @@
 """Words that no attempt waits for: an acceptance after its time-out, what a machine held through a restart of this
-placer, and owners' hand-overs. What each means against the books is ``ledger.late_word``."""
+placer, and owners' hand-overs. What each means against the books is ``ledger.late_action``."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from sprucepost import interface as i
 from sprucepost.loop import Loop
 from sprucepost.placing.attempts import Attempts
-from sprucepost.placing.ledger import Entry, LateWord, Ledger, Outcome, late_word
-from sprucepost.placing.outcome_reporter import Answers
+from sprucepost.placing.ledger import Entry, LateAction, Ledger, Outcome, late_action
+from sprucepost.placing.outcome_reporter import OutcomeReporter
 from sprucepost.placing.ports import MachinesPort, SessionPort
-from sprucepost.placing.scheduler_driver import Desk
-from sprucepost.placing.task_catalog import Tasks
+from sprucepost.placing.scheduler_driver import SchedulerDriver
+from sprucepost.placing.task_catalog import TaskCatalog
 from sprucepost.v1 import common_pb2, machine_pb2
 from sprucepost.v1 import placer_pb2 as pb
 
 HAND_OVER_MS = 30_000.0  # how long a handed-over task waits for its machine to attach
 
 
-class LateWords:
+class LateMessages:
     """``machines`` is set by whoever puts the parts together."""
 
     machines: MachinesPort
@@ -28,22 +28,22 @@
     def __init__(
         self,
         loop: Loop,
-        desk: Desk,
+        driver: SchedulerDriver,
         ledger: Ledger,
-        answers: Answers,
+        reporter: OutcomeReporter,
         attempts: Attempts,
-        tasks: Tasks,
+        catalog: TaskCatalog,
         log: Callable[..., None],
         counters: Counter[str],
     ) -> None:
-        self.loop, self._desk, self._ledger, self._answers = loop, desk, ledger, answers
-        self._attempts, self._tasks, self._log, self.counters = attempts, tasks, log, counters
+        self.loop, self._driver, self._ledger, self._reporter = loop, driver, ledger, reporter
+        self._attempts, self._catalog, self._log, self.counters = attempts, catalog, log, counters
         self._hand_overs: dict[str, dict[str, tuple[bytes, common_pb2.Task]]] = {}  # by machine, then task
         self._surfaced: dict[str, tuple[str, machine_pb2.Held]] = {}  # by task: where, and as what
 
     # A machine's word
 
-    def accepted(self, machine: str, frame: machine_pb2.FromMachine) -> None:
+    def on_accepted(self, machine: str, frame: machine_pb2.FromMachine) -> None:
         """Accepted after its time-out. The entry may be over; the name finds it while a late word can matter."""
         entry = self._ledger.by_request(frame.request)
         self.counters["late_accepts"] += 1
@@ -57,50 +57,50 @@
             attempt=frame.attempt,
             incarnation=self.machines.incarnation,
         )
-        self.held(machine, held)
+        self.on_held(machine, held)
 
-    def held(self, machine: str, held: machine_pb2.Held) -> None:
+    def on_held(self, machine: str, held: machine_pb2.Held) -> None:
         """A machine holds a task that no attempt of ours waits for."""
         entry = self._ledger.by_name(held.name)
-        word = late_word(entry)
-        self.counters[f"late {word.value}"] += 1
-        self._log("late_word", task=held.name, machine=machine, word=word.value)
-        if word is LateWord.PLACE:
+        action = late_action(entry)
+        self.counters[f"late {action.value}"] += 1
+        self._log("late_word", task=held.name, machine=machine, word=action.value)
+        if action is LateAction.PLACE:
             assert entry is not None
             self._place(machine, held, entry)
-        elif word is LateWord.TAKE_OVER:
+        elif action is LateAction.TAKE_OVER:
             waiting = self._hand_overs.get(machine, {}).pop(held.name, None)
             self._take_over(machine, held, waiting[0] if waiting is not None else None)
-        elif word is LateWord.SURFACE:
+        elif action is LateAction.SURFACE:
             assert entry is not None
             self._surfaced[held.name] = machine, held
             link = self.machines.get(machine)
             if link is not None:
                 release = machine_pb2.Release(request=held.request, attempt=held.attempt, incarnation=held.incarnation)
                 link.send(machine_pb2.ToMachine(release=release))
-            self._answers.tell(entry, surfaced=pb.Surfaced(machine=machine))
+            self._reporter.notify(entry, surfaced=pb.Surfaced(machine=machine))
         else:
             self._attempts.withdraw(machine, held.request, held.attempt, held.incarnation)
 
     def _place(self, machine: str, held: machine_pb2.Held, entry: Entry) -> None:
         """It is the answer to a task still open."""
-        self._desk.push(i.Gone(entry.request))
-        self._answers.settle(entry, Outcome.PLACED)
+        self._driver.push(i.Gone(entry.request))
+        self._reporter.settle(entry, Outcome.PLACED)
         self._ledger.renumber(entry)
-        self._attempts.found(machine, held, entry, self._tasks.request(entry, 0.0))
+        self._attempts.adopt(machine, held, entry, self._catalog.request(entry, 0.0))
 
     def _take_over(self, machine: str, held: machine_pb2.Held, token: bytes | None) -> None:
         """A task that runs and is nobody's here becomes ours."""
-        if self._tasks.problem(held.name, held.task) is not None:
+        if self._catalog.problem(held.name, held.task) is not None:
             self._attempts.withdraw(machine, held.request, held.attempt, held.incarnation)
             return
-        entry = self._ledger.take(held.name, self._tasks.classes[held.task.task_class], held.task.service,
-                                  self._desk.now())  # fmt: skip
+        entry = self._ledger.take(held.name, self._catalog.classes[held.task.task_class], held.task.service,
+                                  self._driver.now())  # fmt: skip
         if token is not None:
             entry.sessions[token] = 1
-        self._answers.settle(entry, Outcome.PLACED)
+        self._reporter.settle(entry, Outcome.PLACED)
         entry.ask = held.task
-        self._attempts.found(machine, held, entry, self._tasks.request(entry, 0.0))
+        self._attempts.adopt(machine, held, entry, self._catalog.request(entry, 0.0))
 
     # An owner's word
 
@@ -117,25 +117,25 @@
             self._take_over(surfaced[0], surfaced[1], session.token)
             return
         link = self.machines.get(machine)
-        if entry is not None or self._tasks.problem(name, hand_over.task) or link is None or link.attached:
+        if entry is not None or self._catalog.problem(name, hand_over.task) or link is None or link.attached:
             session.send(pb.PlacerFrame(task=name, ended=pb.Ended(how=pb.Ended.LOST)))
             return
         # The machine is known and has not attached yet: what it holds will tell.
         self._hand_overs.setdefault(machine, {})[name] = session.token, hand_over.task
-        self.loop.call_later(HAND_OVER_MS, lambda: self._hand_over_lost(machine, name))
+        self.loop.call_later(HAND_OVER_MS, lambda: self._fail_hand_over(machine, name))
 
-    def _hand_over_lost(self, machine: str, name: str) -> None:
+    def _fail_hand_over(self, machine: str, name: str) -> None:
         waiting = self._hand_overs.get(machine, {}).pop(name, None)
         if waiting is not None:
-            self._answers.owners.tell(waiting[0], pb.PlacerFrame(task=name, ended=pb.Ended(how=pb.Ended.LOST)))
+            self._reporter.owners.tell(waiting[0], pb.PlacerFrame(task=name, ended=pb.Ended(how=pb.Ended.LOST)))
 
-    def not_held(self, machine: str) -> None:
+    def fail_missing_hand_overs(self, machine: str) -> None:
         """All that the machine holds has been named, or it is gone: what was handed over and is not there is lost."""
         for name in list(self._hand_overs.get(machine, {})):
-            self._hand_over_lost(machine, name)
+            self._fail_hand_over(machine, name)
         self._hand_overs.pop(machine, None)
 
-    def tidy(self) -> None:
+    def purge(self) -> None:
         """Forget surfaced copies of tasks that the books have forgotten."""
         for name in [name for name in self._surfaced if self._ledger.by_name(name) is None]:
             del self._surfaced[name]
--- a/sprucepost/placing/ledger.py
+++ b/sprucepost/placing/ledger.py
@@ -20,7 +20,7 @@
     FAILED = "failed"
 
 
-class SecondAnswer(Exception):
+class DuplicateOutcomeError(Exception):
     """Something tried to answer a task that has its answer."""
 
 
@@ -36,20 +36,20 @@
     outcome: Outcome = Outcome.OPEN
     sessions: dict[bytes, int] = field(default_factory=dict)  # and how many outcomes each is owed
     attempts: int = 0
-    out: int | None = None  # the attempt that is out
+    pending_attempt: int | None = None  # the attempt that is out
     machine: str = ""  # where it is placed
     attempt: int = 0  # by which attempt
     cancelled: bool = False  # its owner wants it no more
-    may_run: bool = False  # an attempt ended without proof that it never ran
+    may_have_run: bool = False  # an attempt ended without proof that it never ran
     owner: str | None = None  # whose share of the room it counts for, while it is open
-    due: float = 0.0  # when its owner gives up
-    taken_at: float = 0.0
-    taken_up: float = 0.0  # when it came out of the line, on the loop's clock; 0 while it waits there
+    deadline: float = 0.0  # when its owner gives up
+    opened_at: float = 0.0
+    dequeued_at: float = 0.0  # when it came out of the line, on the loop's clock; 0 while it waits there
     repeat: bool = False  # its owner had asked before
     ask: Any = None  # what the task asks for, as it came
 
 
-class LateWord(Enum):
+class LateAction(Enum):
     """What to do with a task that a machine holds and that no attempt of ours waits for."""
 
     PLACE = "place"  # it is the answer to a task still open
@@ -58,16 +58,16 @@
     WITHDRAW = "withdraw"  # a copy: another attempt counts
 
 
-def late_word(entry: Entry | None) -> LateWord:
+def late_action(entry: Entry | None) -> LateAction:
     """``entry``: the task of that name, the latest one where it came several times; None where there is none."""
     if entry is None:
-        return LateWord.TAKE_OVER
+        return LateAction.TAKE_OVER
     if entry.outcome is Outcome.OPEN:
         # With an attempt out, that one counts: two may not both be bound. Of a keyed task the group keeps one copy.
-        return LateWord.PLACE if entry.out is None and not entry.cancelled else LateWord.WITHDRAW
+        return LateAction.PLACE if entry.pending_attempt is None and not entry.cancelled else LateAction.WITHDRAW
     if entry.outcome is Outcome.FAILED and not entry.cancelled:
-        return LateWord.SURFACE
-    return LateWord.WITHDRAW
+        return LateAction.SURFACE
+    return LateAction.WITHDRAW
 
 
 class Ledger:
@@ -103,7 +103,7 @@
         """A new open task. One of that name must not be open or placed."""
         assert self.current(name) is None, f"{name} is open or placed"
         self._requests += 1
-        entry = Entry(self._requests, name, task_class, service, taken_at=now)
+        entry = Entry(self._requests, name, task_class, service, opened_at=now)
         self._by_request[entry.request] = self._by_name[name] = entry
         self.open += 1
         return entry
@@ -111,7 +111,7 @@
     def settle(self, entry: Entry, outcome: Outcome, now: float) -> None:
         """The one outcome of an open task."""
         if entry.outcome is not Outcome.OPEN:
-            raise SecondAnswer(f"{entry.name}: {outcome.value} after {entry.outcome.value}")
+            raise DuplicateOutcomeError(f"{entry.name}: {outcome.value} after {entry.outcome.value}")
         assert outcome is not Outcome.OPEN
         entry.outcome = outcome
         self.open -= 1
--- a/sprucepost/placing/outcome_reporter.py
+++ b/sprucepost/placing/outcome_reporter.py
@@ -10,23 +10,28 @@
 from sprucepost.admission import Admission
 from sprucepost.placing.ledger import Entry, Ledger, Outcome
 from sprucepost.placing.ports import OwnersPort
-from sprucepost.placing.scheduler_driver import Desk
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 from sprucepost.settings import Cluster, TaskClass
 from sprucepost.v1 import placer_pb2 as pb
 
-LATE_MS = 60_000.0  # how long an answered task is remembered for a machine's late word
+SETTLED_RETENTION_MS = 60_000.0  # how long an answered task is remembered for a machine's late word
 
 
-class Answers:
+class OutcomeReporter:
     """``owners`` is set by whoever puts the parts together."""
 
     owners: OwnersPort
 
     def __init__(
-        self, desk: Desk, ledger: Ledger, cluster: Cluster, admission: Admission[Entry], counters: Counter[str]
+        self,
+        driver: SchedulerDriver,
+        ledger: Ledger,
+        cluster: Cluster,
+        admission: Admission[Entry],
+        counters: Counter[str],
     ) -> None:
-        self._desk, self.ledger, self._cluster, self._admission, self.counters = (
-            desk,
+        self._driver, self.ledger, self._cluster, self._admission, self.counters = (
+            driver,
             ledger,
             cluster,
             admission,
@@ -37,12 +42,12 @@
     def class_of(self, entry: Entry) -> TaskClass:
         return self._cluster.classes[entry.task_class]
 
-    def tell(self, entry: Entry, **body: Any) -> None:
+    def notify(self, entry: Entry, **body: Any) -> None:
         """A frame about the task to every session that asked for it."""
         for token in entry.sessions:
             self.owners.tell(token, pb.PlacerFrame(task=entry.name, **body))
 
-    def outcome(self, entry: Entry, **body: Any) -> None:
+    def report(self, entry: Entry, **body: Any) -> None:
         """The outcome, once for each ask: also for each of several asks of one session, which were joined. A session that
         asked again while its placer stood still got one answer for both, and waited for the other for ever."""
         for token, owed in entry.sessions.items():
@@ -52,32 +57,32 @@
 
     def settle(self, entry: Entry, outcome: Outcome) -> None:
         """The outcome, in the books only."""
-        self.ledger.settle(entry, outcome, self._desk.now())
+        self.ledger.settle(entry, outcome, self._driver.now())
         if entry.owner is not None:
-            self._admission.room.closed(entry.owner)
+            self._admission.open_tasks.closed(entry.owner)
             entry.owner = None
-            if outcome is Outcome.PLACED and entry.taken_up:
-                self._admission.placed(self._desk.loop.now() - entry.taken_up)
+            if outcome is Outcome.PLACED and entry.dequeued_at:
+                self._admission.record_placement(self._driver.loop.now() - entry.dequeued_at)
         self.on_settled()
         self.counters[f"outcome {outcome.value} {self.class_of(entry).name}"] += 1
 
     def refuse(self, entry: Entry, why: str, retry_after_ms: float = 0.0) -> None:
         self.settle(entry, Outcome.REFUSED)
-        self.outcome(entry, refused=pb.Refused(why=why, retry_after_ms=retry_after_ms))
+        self.report(entry, refused=pb.Refused(why=why, retry_after_ms=retry_after_ms))
 
     def fail(self, entry: Entry, why: str) -> None:
         self.settle(entry, Outcome.FAILED)
-        self.outcome(entry, failed=pb.Failed(why=why))
+        self.report(entry, failed=pb.Failed(why=why))
 
-    def give_up(self, entry: Entry, why: str) -> None:
+    def abandon(self, entry: Entry, why: str) -> None:
         """Answer an open task that nobody here works on any more: refused where that is true, else failed."""
-        self._desk.push(i.Gone(entry.request))
-        if self.harmless(entry):
+        self._driver.push(i.Gone(entry.request))
+        if self.refusal_is_safe(entry):
             self.refuse(entry, why)
         else:
             self.fail(entry, why)
 
-    def decided(self, action: i.Refuse | i.Fail) -> None:
+    def on_decision(self, action: i.Refuse | i.Fail) -> None:
         """The module's final answer."""
         entry = self.ledger.by_request(action.request)
         if entry is None or entry.outcome is not Outcome.OPEN:
@@ -87,40 +92,40 @@
         else:
             self.fail(entry, "an attempt may have run")
 
-    def harmless(self, entry: Entry) -> bool:
+    def refusal_is_safe(self, entry: Entry) -> bool:
         """Whether a refusal, which promises that asking again does no harm, is true of this task now."""
         cls = self.class_of(entry)
         if cls.effect == "safe" or (cls.effect == "keyed" and cls.group == "all"):
             return True
-        return entry.out is None and not entry.may_run
+        return entry.pending_attempt is None and not entry.may_have_run
 
-    def over(self, entry: Entry, ended: pb.Ended) -> None:
+    def report_end(self, entry: Entry, ended: pb.Ended) -> None:
         """A placed task has come to its end."""
         self.counters[f"ended {pb.Ended.How.Name(ended.how).lower()}"] += 1
         self.ledger.end(entry)
-        self.tell(entry, ended=ended)
+        self.notify(entry, ended=ended)
 
     # Stopping
 
-    def last_due(self) -> float:
+    def last_deadline(self) -> float:
         """When the last owner of an open task gives up, on the loop's clock."""
-        return max((entry.due for entry in self.ledger.open_entries()), default=self._desk.loop.now())
+        return max((entry.deadline for entry in self.ledger.open_entries()), default=self._driver.loop.now())
 
-    def hand_back(self) -> int:
+    def refuse_unattempted(self) -> int:
         """Refuse every open task that no attempt waits for, where that does no harm: its owner can go elsewhere at once."""
-        chosen = [e for e in self.ledger.open_entries() if e.out is None and self.harmless(e)]
+        chosen = [e for e in self.ledger.open_entries() if e.pending_attempt is None and self.refusal_is_safe(e)]
         for entry in chosen:
-            self.give_up(entry, "this placer is leaving")
+            self.abandon(entry, "this placer is leaving")
         self.counters["handed_back"] += len(chosen)
         return len(chosen)
 
-    def answer_all(self) -> int:
+    def settle_all(self) -> int:
         """At the end of a stop: an outcome for every task still open; how many there were."""
         entries = self.ledger.open_entries()
         for entry in entries:
-            self.give_up(entry, "this placer is leaving")
+            self.abandon(entry, "this placer is leaving")
         return len(entries)
 
-    def forget(self) -> None:
+    def purge_settled(self) -> None:
         """Drop the answered tasks of which no late word is expected any more."""
-        self.ledger.forget(self._desk.now() - LATE_MS)
+        self.ledger.forget(self._driver.now() - SETTLED_RETENTION_MS)
--- a/sprucepost/placing/pause_recovery.py
+++ b/sprucepost/placing/pause_recovery.py
@@ -20,39 +20,40 @@
 from __future__ import annotations
 
 
-class Wake:
-    """``gap_ms``: a pause that counts (the drain's grace). ``most_ms``: how long it is remembered at the most."""
+class PauseRecovery:
+    """``min_pause_ms``: a pause that counts (the drain's grace). ``max_suspect_ms``: how long it is
+    remembered at the most."""
 
-    def __init__(self, gap_ms: float, most_ms: float) -> None:
-        self.gap_ms, self._most = gap_ms, most_ms
-        self.until: float | None = None  # None: nothing is in doubt
-        self._failed = False
-        self._heard: set[str] = set()
+    def __init__(self, min_pause_ms: float, max_suspect_ms: float) -> None:
+        self.min_pause_ms, self._max_suspect_ms = min_pause_ms, max_suspect_ms
+        self.suspect_until: float | None = None  # None: nothing is in doubt
+        self._list_call_failed = False
+        self._heard_machines: set[str] = set()
 
-    def paused(self, now_ms: float, length_ms: float) -> bool:
+    def on_pause(self, now_ms: float, length_ms: float) -> bool:
         """The placer stood still for so long until now; whether that puts machines in doubt."""
-        if length_ms < self.gap_ms:
+        if length_ms < self.min_pause_ms:
             return False
-        self.until, self._failed = now_ms + self._most, False
-        self._heard.clear()
+        self.suspect_until, self._list_call_failed = now_ms + self._max_suspect_ms, False
+        self._heard_machines.clear()
         return True
 
-    def list_spoke(self) -> None:
-        self.until = None
-        self._heard.clear()
+    def on_list_message(self) -> None:
+        self.suspect_until = None
+        self._heard_machines.clear()
 
-    def list_failed(self) -> None:
-        self._failed = True
+    def on_list_failure(self) -> None:
+        self._list_call_failed = True
 
-    def machine_spoke(self, machine: str) -> None:
-        if self.until is not None:
-            self._heard.add(machine)
+    def on_machine_message(self, machine: str) -> None:
+        if self.suspect_until is not None:
+            self._heard_machines.add(machine)
 
-    def in_doubt(self, machine: str, now_ms: float) -> bool:
+    def is_suspect(self, machine: str, now_ms: float) -> bool:
         """Whether the machine must get nothing new for now."""
-        if self.until is None:
+        if self.suspect_until is None:
             return False
-        if now_ms >= self.until:
-            self.list_spoke()
+        if now_ms >= self.suspect_until:
+            self.on_list_message()
             return False
-        return not (self._failed and machine in self._heard)
+        return not (self._list_call_failed and machine in self._heard_machines)
--- a/sprucepost/placing/ports.py
+++ b/sprucepost/placing/ports.py
@@ -14,7 +14,7 @@
     """The stream to one machine, which comes and goes."""
 
     @property
-    def life(self) -> int:
+    def machine_incarnation(self) -> int:
         """The machine's own incarnation, as it said when it last attached; 0 before that."""
         ...
 
--- a/sprucepost/placing/roster.py
+++ b/sprucepost/placing/roster.py
@@ -1,6 +1,6 @@
 """Which machines take work now: the list, the machines' own word on their lives, streams, and what a pause puts in doubt.
 
-The module hears of all machines, but a ready one that cannot be offered anything now is shown to it as draining.
+The module hears of all machines, but a ready one that cannot be offered anything now is updates to it as draining.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from sprucepost import interface as i
 from sprucepost.loop import Loop
 from sprucepost.placing.attempts import Attempts
-from sprucepost.placing.late_messages import LateWords
-from sprucepost.placing.pause_recovery import Wake
+from sprucepost.placing.late_messages import LateMessages
+from sprucepost.placing.pause_recovery import PauseRecovery
 from sprucepost.placing.ports import MachinesPort
-from sprucepost.placing.scheduler_driver import Desk
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 from sprucepost.settings import Cluster
 
 
@@ -26,19 +26,25 @@
     def __init__(
         self,
         loop: Loop,
-        desk: Desk,
+        driver: SchedulerDriver,
         attempts: Attempts,
-        late: LateWords,
+        late_messages: LateMessages,
         cluster: Cluster,
         log: Callable[..., None],
     ) -> None:
-        self.loop, self._desk, self._attempts, self._late, self._log = loop, desk, attempts, late, log
+        self.loop, self._driver, self._attempts, self._late_messages, self._log = (
+            loop,
+            driver,
+            attempts,
+            late_messages,
+            log,
+        )
         self._kinds, self._warm_after = cluster.kinds, cluster.warm_after_ms + cluster.clock_apart_ms
         self._entries: dict[str, i.MachineEntry] = {}
-        self._up: set[str] = set()  # machines that have a stream
-        self._hidden: set[str] = set()  # ready ones that the module is shown as draining
+        self._attached: set[str] = set()  # machines that have a stream
+        self._hidden: set[str] = set()  # ready ones that the module is updates as draining
         self._changed: dict[str, None] = {}  # machines whose showing has to be looked at
-        self.wake = Wake(cluster.drain_grace_ms, cluster.list_ask_every_ms)
+        self.pause_recovery = PauseRecovery(cluster.drain_grace_ms, cluster.list_ask_every_ms)
         self.listed = False  # a list has arrived
         self.on_listed: Callable[[], None] = lambda: None
 
@@ -47,147 +53,150 @@
     def on_list(self, change: i.MachineList) -> None:
         """What the list says goes to the module; streams learn which machines take nothing new."""
         if change.kind is i.ListKind.FAILED:
-            self.wake.list_failed()
-            if self.wake.until is not None:
-                self._look_at_all()
+            self.pause_recovery.on_list_failure()
+            if self.pause_recovery.suspect_until is not None:
+                self._mark_all_changed()
         else:
             named = {entry.machine for entry in change.entries}
             if change.kind is i.ListKind.FULL:
                 for machine in sorted(self._entries.keys() - named):
-                    self._see(replace(self._entries[machine], state=i.MachineState.GONE))
+                    self._update_entry(replace(self._entries[machine], state=i.MachineState.GONE))
             for entry in change.entries:
-                self._see(entry)
+                self._update_entry(entry)
             known = (self._entries.get(entry.machine, entry) for entry in change.entries)
-            change = replace(change, entries=tuple(self._shown(entry) for entry in known))
+            change = replace(change, entries=tuple(self._visible_entry(entry) for entry in known))
             if not self.listed:
                 self.listed = True
                 self.on_listed()
-        self._desk.push(change)
+        self._driver.push(change)
 
-    def beat(self) -> None:
+    def on_list_heartbeat(self) -> None:
         """The list has spoken, whatever it said: its stream is whole, so nothing it told before has been missed."""
-        if self.wake.until is not None:
-            self.wake.list_spoke()
-            self._look_at_all()
+        if self.pause_recovery.suspect_until is not None:
+            self.pause_recovery.on_list_message()
+            self._mark_all_changed()
 
-    def _see(self, entry: i.MachineEntry) -> None:
+    def _update_entry(self, entry: i.MachineEntry) -> None:
         machine, before = entry.machine, self._entries.get(entry.machine)
         if before is not None and before.started > entry.started:  # its own word: a list behind takes nothing back
             entry = replace(entry, started=before.started)
         self._entries[machine] = entry
-        self._warms(entry)
+        self._update_cold_until(entry)
         if before is None or before.state is not entry.state:
-            self._attempts.close(machine, entry.state is not i.MachineState.READY)
+            self._attempts.set_closed(machine, entry.state is not i.MachineState.READY)
         if entry.state is i.MachineState.GONE:
             link = self.machines.get(machine)
             if link is None or not link.attached:
-                self._bury(machine)
+                self._remove_machine(machine)
 
-    def _bury(self, machine: str) -> None:
+    def _remove_machine(self, machine: str) -> None:
         """Gone from the list and without a stream: what it held is lost."""
         self._entries.pop(machine, None)
         self._hidden.discard(machine)
         self.machines.gone(machine)
-        self._attempts.buried(machine)
-        self._attempts.closed.discard(machine)
+        self._attempts.on_machine_gone(machine)
+        self._attempts.closed_machines.discard(machine)
         self._attempts.cold_until.pop(machine, None)
-        self._late.not_held(machine)
+        self._late_messages.fail_missing_hand_overs(machine)
 
     # The machines themselves
 
-    def attached(self, machine: str, started_ms: float, new_life: bool) -> bool:
+    def on_attached(self, machine: str, started_ms: float, restarted: bool) -> bool:
         """The machine has attached; whether it has started anew since the list last told of it.
 
         Another life is a fresh start, cold and empty, and the machine says so before any list can: without this word a
         late list had placers offer to it as to a warm one.
         """
-        self._up.add(machine)
-        self.wake.machine_spoke(machine)
-        self._look_at(machine)
+        self._attached.add(machine)
+        self.pause_recovery.on_machine_message(machine)
+        self._mark_changed(machine)
         entry = self._entries.get(machine)
         if entry is None:
-            return new_life
-        started = started_ms or (self._desk.now() if new_life else 0.0)
+            return restarted
+        started = started_ms or (self._driver.now() if restarted else 0.0)
         if started <= entry.started:
-            return new_life
+            return restarted
         kind = self._kinds[entry.kind]
         entry = replace(entry, started=started, free_cores=kind.cores, free_memory=kind.memory)
         self._entries[machine] = entry
-        self._warms(entry)
-        self._desk.push(i.MachineList(i.ListKind.DELTA, (self._shown(entry),)))
+        self._update_cold_until(entry)
+        self._driver.push(i.MachineList(i.ListKind.DELTA, (self._visible_entry(entry),)))
         self._log("fresh_start", machine=machine)
         return True
 
-    def spoke(self, machine: str) -> None:
+    def on_machine_frame(self, machine: str) -> None:
         """A frame of the machine has come."""
-        if self.wake.until is not None:
-            self.wake.machine_spoke(machine)
-            self._look_at(machine)
+        if self.pause_recovery.suspect_until is not None:
+            self.pause_recovery.on_machine_message(machine)
+            self._mark_changed(machine)
 
-    def detached(self, machine: str) -> None:
+    def on_detached(self, machine: str) -> None:
         """Its stream has broken: what was not written goes to others, and nothing new to it, until it is back."""
-        self._up.discard(machine)
-        self._attempts.unwritten(machine)
-        self._look_at(machine)
+        self._attached.discard(machine)
+        self._attempts.drop_unwritten(machine)
+        self._mark_changed(machine)
         entry = self._entries.get(machine)
         if entry is not None and entry.state is i.MachineState.GONE:
-            self._bury(machine)
+            self._remove_machine(machine)
 
-    # What the module is shown
+    # What the module is updates
 
-    def _open(self, entry: i.MachineEntry) -> bool:
+    def _reachable(self, entry: i.MachineEntry) -> bool:
         """Whether a ready machine can be offered anything now: it has a stream, and no pause has put it in doubt."""
-        return entry.machine in self._up and not self.wake.in_doubt(entry.machine, self.loop.now())
+        return entry.machine in self._attached and not self.pause_recovery.is_suspect(entry.machine, self.loop.now())
 
-    def _shown(self, entry: i.MachineEntry) -> i.MachineEntry:
+    def _visible_entry(self, entry: i.MachineEntry) -> i.MachineEntry:
         """The entry as the module is to see it: a ready machine that cannot be offered anything drains.
 
         An offer that waits for a stream spends a cold machine's allowance at another time than the module reckons with:
         decided 1,500 ms apart, two went out 1,488 ms apart, and a machine that bears four got five.
         """
-        hidden = entry.state is i.MachineState.READY and not self._open(entry)
+        hidden = entry.state is i.MachineState.READY and not self._reachable(entry)
         (self._hidden.add if hidden else self._hidden.discard)(entry.machine)
         return replace(entry, state=i.MachineState.DRAINING) if hidden else entry
 
-    def _warms(self, entry: i.MachineEntry) -> None:
+    def _update_cold_until(self, entry: i.MachineEntry) -> None:
         if entry.started:
             self._attempts.cold_until[entry.machine] = entry.started + self._warm_after
         else:
             self._attempts.cold_until.pop(entry.machine, None)
 
-    def _look_at(self, machine: str) -> None:
+    def _mark_changed(self, machine: str) -> None:
         self._changed[machine] = None
-        self._desk.wake()
+        self._driver.schedule_batch()
 
-    def _look_at_all(self) -> None:
+    def _mark_all_changed(self) -> None:
         self._changed.update(dict.fromkeys(self._entries))
-        self._desk.wake()
+        self._driver.schedule_batch()
 
-    def settle(self) -> None:
+    def publish_changes(self) -> None:
         """Before the module decides: show it what has changed."""
         if not self._changed:
             return
         changed, self._changed = self._changed, {}
-        shown = []
+        updates = []
         for machine in changed:
             entry = self._entries.get(machine)
             if entry is None or entry.state is not i.MachineState.READY:
                 continue
             was = machine in self._hidden
-            now = self._shown(entry)
+            now = self._visible_entry(entry)
             if was is not (machine in self._hidden):
-                shown.append(now)
-            doubted = self.wake.in_doubt(machine, self.loop.now())
-            if doubted is not (machine in self._attempts.closed):
-                self._attempts.close(machine, doubted)
-        if shown:
-            self._desk.push(i.MachineList(i.ListKind.DELTA, tuple(shown)))
+                updates.append(now)
+            suspect = self.pause_recovery.is_suspect(machine, self.loop.now())
+            if suspect is not (machine in self._attempts.closed_machines):
+                self._attempts.set_closed(machine, suspect)
+        if updates:
+            self._driver.push(i.MachineList(i.ListKind.DELTA, tuple(updates)))
 
     # A pause of this process
 
-    def paused(self, length_ms: float) -> None:
+    def on_pause(self, length_ms: float) -> None:
         """The loop had not looked at its sockets for so long."""
-        if self.wake.paused(self.loop.now(), length_ms):
+        if self.pause_recovery.on_pause(self.loop.now(), length_ms):
             self._log("paused", for_ms=round(length_ms))
-            self.loop.call_later(self.wake.until - self.loop.now() if self.wake.until else 0.0, self._look_at_all)
-            self._look_at_all()
+            self.loop.call_later(
+                self.pause_recovery.suspect_until - self.loop.now() if self.pause_recovery.suspect_until else 0.0,
+                self._mark_all_changed,
+            )
+            self._mark_all_changed()
--- a/sprucepost/placing/scheduler_driver.py
+++ b/sprucepost/placing/scheduler_driver.py
@@ -1,4 +1,4 @@
-"""The decision module's desk: all that comes in during a turn of the loop becomes one batch for it, at the turn's end.
+"""The decision module's driver: all that comes in during a turn of the loop becomes one batch for it, at the turn's end.
 
 ``now`` is the aligned wall clock, so that placers agree on turns and cold windows.
 """
@@ -13,7 +13,7 @@
 from sprucepost.loop import AlignedClock, Loop
 
 
-class Desk:
+class SchedulerDriver:
     """``carry`` gets the offers, refusals and failures that the module decides; ``before`` runs ahead of each batch."""
 
     def __init__(
@@ -28,11 +28,11 @@
     ) -> None:
         self.loop, self._log, self._ask_list, self.counters = loop, log, ask_list, counters
         self.scheduler = Scheduler(settings, seed)
-        self.carry: Callable[[i.Offer | i.Refuse | i.Fail], None] = lambda action: None
-        self.before: Callable[[], None] = lambda: None
+        self.on_action: Callable[[i.Offer | i.Refuse | i.Fail], None] = lambda action: None
+        self.before_batch: Callable[[], None] = lambda: None
         self._clock = AlignedClock(loop.now(), loop.wall(), slew)
         self._events: list[i.Event] = []
-        self._due = False
+        self._batch_scheduled = False
 
     def now(self) -> float:
         """Aligned wall-clock ms."""
@@ -41,17 +41,17 @@
     def push(self, event: i.Event) -> None:
         """An event for the batch of this turn."""
         self._events.append(event)
-        self.wake()
+        self.schedule_batch()
 
-    def wake(self) -> None:
+    def schedule_batch(self) -> None:
         """A batch at this turn's end, with events or without."""
-        if not self._due:
-            self._due = True
+        if not self._batch_scheduled:
+            self._batch_scheduled = True
             self.loop.at_turn_end(self._decide)
 
     def _decide(self) -> None:
-        self.before()
-        self._due = False
+        self.before_batch()
+        self._batch_scheduled = False
         events, self._events = self._events, []
         self.counters["batches"] += 1
         for action in self.scheduler.handle(self.now(), events):
@@ -62,7 +62,7 @@
             elif isinstance(action, i.Log):
                 self._log("module", text=action.text)
             else:
-                self.carry(action)
+                self.on_action(action)
 
     def _set_timer(self, action: i.SetTimer) -> None:
         self.loop.call_later(action.delay, lambda: self.push(i.TimerFired(action.name)))
--- a/sprucepost/placing/task_catalog.py
+++ b/sprucepost/placing/task_catalog.py
@@ -12,7 +12,7 @@
 NAME_MOST = 256  # characters
 
 
-class Tasks:
+class TaskCatalog:
     """The deployment's classes and tenants, by name."""
 
     def __init__(self, cluster: Cluster) -> None:
--- a/sprucepost/scale/roles.py
+++ b/sprucepost/scale/roles.py
@@ -29,7 +29,10 @@
         "placer", "placer, gRPC front", "placer", _WHOLE,
         ("placer.engine", "placing", "admission", "brain", "placer.links", "placer.discovery"), True,
     ),
-    Role("node", "placer, platform's front", "node", _WHOLE, ("node", "placing.scheduler_driver", "placing.ledger", "brain"), True),
+    Role(
+        "node", "placer, platform's front", "node", _WHOLE,
+        ("node", "placing.scheduler_driver", "placing.ledger", "brain"), True,
+    ),
     Role(
         "view", "member of the view", "placer", ("cpu_percent.peers", "", "bytes_per_s.peers", "messages_per_s"),
         ("view", "peers", "placer.fleet_membership"), note="part of the gRPC placer",
--- a/tests/admission/test_sessions.py
+++ b/tests/admission/test_sessions.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from sprucepost.admission import SessionBook
+from sprucepost.admission import SessionTable
 
 
 class SessionsAsSaid(RuleBasedStateMachine):
@@ -13,7 +13,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.book = SessionBook(6, 4)
+        self.table = SessionTable(6, 4)
         self.state: dict[bytes, str] = {}  # attached, owed or free, the longest without a stream first
         self.peer: dict[bytes, str] = {}
         self.next = 0
@@ -24,7 +24,7 @@
         of_peer = [t for t in self.state if self.peer[t] == peer]
         pool = of_peer if len(of_peer) >= 4 else list(self.state) if len(self.state) >= 6 else None
         free = None if pool is None else next((t for t in pool if self.state[t] == "free"), None)
-        assert self.book.enter(token, peer) == (pool is None or free is not None, free)
+        assert self.table.add(token, peer) == (pool is None or free is not None, free)
         if free is not None:
             del self.state[free]
         if pool is None or free is not None:
@@ -39,7 +39,7 @@
         if token := self._in(number, "attached"):
             del self.state[token]
             self.state[token] = "owed" if owed else "free"
-            self.book.left(token, owed)
+            self.table.detach(token, owed)
 
     @rule(number=st.integers(0, 9))
     def is_told(self, number: int) -> None:
@@ -47,23 +47,23 @@
             if self.state[token] == "owed":
                 del self.state[token]
                 self.state[token] = "free"
-            self.book.settled(token)
+            self.table.outcomes_delivered(token)
 
     @rule(number=st.integers(0, 9))
     def comes_back(self, number: int) -> None:
         if token := self._in(number, "owed", "free"):
             self.state[token] = "attached"
-            self.book.back(token)
+            self.table.attach(token)
 
     @rule(number=st.integers(0, 9))
     def is_forgotten(self, number: int) -> None:
         if token := self._in(number, "owed", "free", "attached"):
             del self.state[token]
-            self.book.gone(token)
+            self.table.remove(token)
 
     @invariant()
     def bounded(self) -> None:
-        assert len(self.book) == len(self.state) <= 6
+        assert len(self.table) == len(self.state) <= 6
 
 
 TestSessionsAsSaid = SessionsAsSaid.TestCase
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -87,7 +87,7 @@
 
 def deciding(day: Day, act: Callable[[list[i.Event], list[i.Action]], None]) -> None:
     """``act`` is called each time that the module has decided, before anything of it is carried out."""
-    scheduler = day.service.desk.scheduler
+    scheduler = day.service.driver.scheduler
     handle = scheduler.handle
 
     def handled(now: float, events: list[i.Event]) -> list[i.Action]:
@@ -255,8 +255,8 @@
         owner.send(b"".join(setup(sid, FIGURES=OTHER) for sid in SIDS[1:6]))
         yield from wait_for(lambda: day.service.counters["given_up"] == 5)
         yield from sleep(30)
-        assert opened(host) == [SIDS[0]] and not day.service.desk.scheduler.tasks
-        assert len(day.service.desk.scheduler.attempts) == 1, "the module knows that none is out"
+        assert opened(host) == [SIDS[0]] and not day.service.driver.scheduler.tasks
+        assert len(day.service.driver.scheduler.attempts) == 1, "the module knows that none is out"
 
     play(tmp_path, body)
 
--- a/tests/node/test_dials_that_never_leave.py
+++ b/tests/node/test_dials_that_never_leave.py
@@ -43,7 +43,7 @@
         owner.transport.write(setup(TASK))
         yield from wait_for(lambda: day.service.counters["unsent"] >= 2)  # offers whose time has passed meanwhile
         assert day.service.counters["ended_connect_failed"] == 0
-        assert not any(machine.doubts for machine in day.service.desk.scheduler.machines.values())
+        assert not any(machine.doubts for machine in day.service.driver.scheduler.machines.values())
         loop.short = False
         owner.transport.write(setup(NEXT))
         yield from heard(owner, NEXT, Kind.ANSWER, 1000.0)
--- a/tests/node/test_given_up_in_the_batch_of_its_refusal.py
+++ b/tests/node/test_given_up_in_the_batch_of_its_refusal.py
@@ -20,16 +20,16 @@
 @pytest.mark.parametrize("by", ["its owner", "its connection's end"])
 def test_the_refusal_of_a_request_that_was_given_up_is_moot(tmp_path: Path, hosts: int, by: str) -> None:
     def body(placer: Placer) -> Co[None]:
-        desk, tasks = placer.service.desk, placer.service.tasks
-        tell = desk.before
+        driver, tasks = placer.service.driver, placer.service.tasks
+        tell = driver.before_batch
 
         def leave_first() -> None:
-            timers = [event.name for event in desk._events if isinstance(event, i.TimerFired)]
+            timers = [event.name for event in driver._events if isinstance(event, i.TimerFired)]
             if any(name.startswith("answer:") for name in timers) and tasks.ledger.current(TASK) is not None:
                 _leave(tasks, by)
             tell()
 
-        desk.before = leave_first
+        driver.before_batch = leave_first
         placer.loop.arrive(LISTEN, "10.9.0.1:1000", setup(TASK, LEFT="300"))
         yield from sleep(1000)
         assert tasks.counters["given_up"] == 1
--- a/tests/node/test_newcomers.py
+++ b/tests/node/test_newcomers.py
@@ -16,7 +16,7 @@
 from sprucepost.node.log import Log
 from sprucepost.node.owners import ARRIVAL_MS, Owners
 from sprucepost.node.tasks import Tasks
-from sprucepost.placing.scheduler_driver import Desk
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 from tests.node.platform import settings, setup
 from tests.node.test_crossings import release
 from tests.node.virtual import DISCOVERY, LISTEN, Placer, SocketLoop, VirtualSock, known, play_virtual
@@ -31,8 +31,8 @@
     def __init__(self) -> None:
         self.loop, self.counters = SocketLoop(), Counter[str]()
         found = settings_from(settings())
-        desk = Desk(self.loop, found, 1, 0.05, lambda: None, lambda *a, **k: None, self.counters)
-        tasks = Tasks(self.loop, desk, found, lambda text: words.load(text, (), ()), self.counters)
+        driver = SchedulerDriver(self.loop, found, 1, 0.05, lambda: None, lambda *a, **k: None, self.counters)
+        tasks = Tasks(self.loop, driver, found, lambda text: words.load(text, (), ()), self.counters)
         descriptors = Descriptors(64, lambda: len(self.owners.links))
         self.owners = Owners(
             self.loop,
--- a/tests/node/test_overtaken_answers.py
+++ b/tests/node/test_overtaken_answers.py
@@ -133,7 +133,7 @@
         around.tasks.answered(out, line)
         return [i.Fail(out.entry.request) if action is i.Fail else i.Refuse(out.entry.request, 0.0)]
 
-    around.desk.scheduler.handle = decide  # type: ignore[method-assign]
-    around.desk.wake()
+    around.driver.scheduler.handle = decide  # type: ignore[method-assign]
+    around.driver.schedule_batch()
     around.loop.pass_ms(0.0)
     assert around.events[1:] == [heard_by_client]
--- a/tests/node/test_tasks.py
+++ b/tests/node/test_tasks.py
@@ -14,7 +14,7 @@
 from sprucepost.node.jsonl import Line, Word
 from sprucepost.node.tasks import Tasks
 from sprucepost.node.words import Refused, SetUp, Words
-from sprucepost.placing.scheduler_driver import Desk
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 from tests.node.platform import settings, setup
 from tests.placing.support import VirtualLoop
 
@@ -34,25 +34,25 @@
         self.loop = VirtualLoop()
         self.counters: Counter[str] = Counter()
         found = settings_from(settings(**changes))
-        desk = Desk(self.loop, found, 1, 0.05, lambda: None, lambda *a, **k: None, self.counters)
+        driver = SchedulerDriver(self.loop, found, 1, 0.05, lambda: None, lambda *a, **k: None, self.counters)
         self.tasks = Tasks(
             self.loop,
-            desk,
+            driver,
             found,
             lambda text: words.load(text, ("x0", "x1"), ("free_cores", "free_memory")),
             self.counters,
         )
         self.tasks.owners = self.tasks.hosts = self
-        self.desk, self.events, self.down, self.closed = desk, [], False, False
+        self.driver, self.events, self.down, self.closed = driver, [], False, False
         self.holds, self.written = 0, set[Attempt]()
-        handle = desk.scheduler.handle
+        handle = driver.scheduler.handle
         self.told: list[Any] = []  # what the module got
-        desk.scheduler.handle = lambda now, events: self.told.extend(events) or handle(now, events)  # type: ignore[method-assign, func-returns-value]
+        driver.scheduler.handle = lambda now, events: self.told.extend(events) or handle(now, events)  # type: ignore[method-assign, func-returns-value]
         machines = tuple(
             i.MachineEntry(name, i.MachineState.READY, zone, 0, 0, 0.0, 32.0, 64.0)
             for zone, name in enumerate(("m0", "m1"))
         )
-        desk.push(i.MachineList(i.ListKind.FULL, machines))
+        driver.push(i.MachineList(i.ListKind.FULL, machines))
         self.loop.pass_ms(1)
 
     # what the walk says
@@ -242,7 +242,7 @@
 
 def test_an_owner_gives_up_at_every_stage() -> None:
     held = Around()
-    held.desk.push(i.MachineList(i.ListKind.FULL, ()))
+    held.driver.push(i.MachineList(i.ListKind.FULL, ()))
     held.loop.pass_ms(1)
     held.ask()
     held.tasks.owner_released(SID)
@@ -318,7 +318,7 @@
         around.tasks.forget()
         around.events.clear()
         around.told.clear()
-    scheduler = around.desk.scheduler
+    scheduler = around.driver.scheduler
     assert len(around.tasks.ledger) <= 1
     around.loop.pass_ms(13_000)
     around.tasks.forget()
--- a/tests/node/test_wall_clock_at_start.py
+++ b/tests/node/test_wall_clock_at_start.py
@@ -80,13 +80,13 @@
         day.paper.tell(host.entry(boot_ms=started))
         yield from wait_for(lambda: lists_of(day) > 1)
         yield from sleep(50)
-        scheduler = day.service.desk.scheduler
-        age = day.service.desk.now() - scheduler.machines["s-1"].started
+        scheduler = day.service.driver.scheduler
+        age = day.service.driver.now() - scheduler.machines["s-1"].started
         assert 0.0 <= age <= 3500.0, "no older than the list may be late, and not of the future"
         day.paper.tell(host.entry(boot_ms=started, state="DRAINING"))
         yield from wait_for(lambda: lists_of(day) > 2)
         yield from sleep(50)
-        grown = day.service.desk.now() - scheduler.machines["s-1"].started - age
+        grown = day.service.driver.now() - scheduler.machines["s-1"].started - age
         assert grown >= 50.0, "told once more it has not started anew"
 
     play(tmp_path, body, loop)
@@ -105,7 +105,7 @@
         day.paper.tell(other.entry(boot_ms=loop.wall() - HOUR_MS))
         yield from wait_for(lambda: lists_of(day) > 1)
         yield from sleep(50)
-        scheduler = day.service.desk.scheduler
-        assert 1000.0 <= day.service.desk.now() - scheduler.machines["s-1"].started <= 4500.0
+        scheduler = day.service.driver.scheduler
+        assert 1000.0 <= day.service.driver.now() - scheduler.machines["s-1"].started <= 4500.0
 
     play(tmp_path, body, loop)
--- a/tests/node/test_words_on_another_connection.py
+++ b/tests/node/test_words_on_another_connection.py
@@ -134,7 +134,7 @@
     around = Around()
     around.ask()
     [first] = around.outs()
-    around.desk.push(
+    around.driver.push(
         i.MachineList(
             i.ListKind.DELTA, (i.MachineEntry(first.machine, i.MachineState.DRAINING, 0, 0, 0, 0.0, 32.0, 64.0),)
         )
--- a/tests/placer/test_configuration.py
+++ b/tests/placer/test_configuration.py
@@ -42,18 +42,18 @@
 
 def test_a_change_reaches_all_that_read_it() -> None:
     running = Running()
-    before = running.engine.desk.scheduler.settings
+    before = running.engine.driver.scheduler.settings
     keys = {
         "max_attempts": 8, "over_share_worth": 0.25, "max_retry_after_ms": 5000, "tenants[red].quota_cores": 7,
         "tenants[red].share": 3, "classes[web].worth": 18, "classes[web].late_worth": 1,
     }  # fmt: skip
     assert running.change(**keys) == ""
-    after = running.engine.desk.scheduler.settings
+    after = running.engine.driver.scheduler.settings
     assert (after.max_attempts, after.over_share_worth, after.max_retry_after) == (8, 0.25, 5000)
     assert (after.tenants[0].quota_cores, after.tenants[0].share) == (7, 3)
     assert (after.classes[0].worth, after.classes[0].late_worth) == (18, 1)
-    assert running.engine.tasks.worth == {"web": 1.0, "bill": 0.5, "once": 5 / 18}
-    assert running.engine.admission.most_retry_ms == 5000
+    assert running.engine.task_catalog.worth == {"web": 1.0, "bill": 0.5, "once": 5 / 18}
+    assert running.engine.admission.max_retry_ms == 5000
     changed = ("classes", "tenants", "max_attempts", "over_share_worth", "max_retry_after")
     assert replace(after, **{name: getattr(before, name) for name in changed}) == before
     (event, line), *more = running.logged
@@ -63,11 +63,11 @@
 
 def test_an_invalid_change_changes_nothing_and_names_the_key() -> None:
     running = Running()
-    before = running.engine.desk.scheduler.settings
+    before = running.engine.driver.scheduler.settings
     refusal = running.change(max_attempts=0, over_share_worth=0.5)
     assert refusal.startswith("cluster.max_attempts: ")
     assert running.change(fall_ms=1).startswith("cluster.fall_ms: ")
-    assert running.engine.desk.scheduler.settings is before
+    assert running.engine.driver.scheduler.settings is before
     assert not running.logged and not running.configuration.agreed
 
 
--- a/tests/placer/test_credit.py
+++ b/tests/placer/test_credit.py
@@ -17,8 +17,8 @@
     """As if the line had been found standing, and stood on, with room for so many each."""
     credit = owners.admission.credit
     credit.total = each
-    owners.admission._was_empty = False
-    owners.admission.look_at_credit = lambda now: None  # type: ignore[method-assign]
+    owners.admission._queue_was_empty = False
+    owners.admission.update_credit = lambda now: None  # type: ignore[method-assign]
     owners._each = each
     for session in owners.sessions.values():
         session.tell_credit(each)
@@ -111,13 +111,13 @@
         yield from wait_for(lambda: new.up and old.up)
         for session in placer.owners.sessions.values():
             session.credit = session.owner == "new"
-        decide = placer.engine.desk.scheduler.handle
+        decide = placer.engine.driver.scheduler.handle
 
         def slowly(now: float, events: list[i.Event]) -> Any:
             time.sleep(0.004 * sum(isinstance(event, i.TaskRequest) for event in events))
             return decide(now, events)
 
-        placer.engine.desk.scheduler.handle = slowly  # type: ignore[method-assign]
+        placer.engine.driver.scheduler.handle = slowly  # type: ignore[method-assign]
         bounds, n = [], 0
         began = world.loop.now()
         while (passed := world.loop.now() - began) < 3000:
@@ -144,7 +144,7 @@
         owner, followed = world.owner(placer.listen)
         yield from wait_for(lambda: owner.up)
         admission = placer.owners.admission
-        admission.drain.cost_ms = 50.0  # refusing one is taken to cost 5 ms
+        admission.service_time.cost_ms = 50.0  # refusing one is taken to cost 5 ms
         (session,) = placer.owners.sessions.values()
         for n in range(200):
             owner.submit(f"t{n}", task(), 5000)
@@ -158,7 +158,7 @@
         return (
             charged,
             all(len(followed.outcomes(name)) == 1 for name in followed.frames),
-            admission.reading.interval_ms,
+            admission.read_pauses.interval_ms,
         )
 
     charged, once, interval = play(body, limit_ms=20_000)
--- a/tests/placer/test_life.py
+++ b/tests/placer/test_life.py
@@ -210,7 +210,7 @@
             limits = msgspec.structs.replace(placer.file.placer.limits, open_tasks=most)
             new = msgspec.structs.replace(placer.file.placer, limits=limits)
             assert placer.reload(msgspec.structs.replace(placer.file, placer=new)) == []
-            found.append(placer.engine.admission.room.most)
+            found.append(placer.engine.admission.open_tasks.max_open)
         return found
 
     assert play(body) == [1, 500]
@@ -233,7 +233,7 @@
         world.tap.set("slow", Condition(target="m1", up=False, delay_ms=150))
         owner.submit("bound", task("once", service="a"), 1500)
         yield from wait_for(lambda: "offered" in followed.kinds("bound"))
-        placer.engine.desk.scheduler._choose = lambda task: None  # type: ignore[method-assign]
+        placer.engine.driver.scheduler._choose = lambda task: None  # type: ignore[method-assign]
         owner.submit("held", task("once", service="b"), 1500)
         yield from wait_for(lambda: placer.engine.ledger.open == 2)
         began = world.loop.now()
@@ -283,6 +283,6 @@
         world.loop.wall = real  # type: ignore[method-assign]
         yield from wait_for(lambda: placer.engine.roster.listed)
         yield from sleep(50)
-        return placer.engine.desk.scheduler.fleet.seats
+        return placer.engine.driver.scheduler.fleet.seats
 
     assert play(body, cluster()) == seats
--- a/tests/placer/test_path.py
+++ b/tests/placer/test_path.py
@@ -234,7 +234,7 @@
         if link.call is not None:
             link.call.connection.abort("killed")
     placer.owners.sessions.clear()
-    placer.engine.desk.carry = lambda action: None
+    placer.engine.driver.on_action = lambda action: None
 
 
 def test_of_two_with_one_number_the_younger_leaves_ready_until_the_older_goes() -> None:
--- a/tests/placing/support.py
+++ b/tests/placing/support.py
@@ -59,7 +59,7 @@
         while not done:
             self.turn()
 
-    def stand_still(self, ms: float) -> None:
+    def pause(self, ms: float) -> None:
         """As SIGSTOP does: time passes without a turn, and the wait comes back late."""
         self._polled(self.time, 0.0)
         self.time += ms
@@ -71,7 +71,7 @@
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
-        self.life, self.attached, self.behind = 0, True, False
+        self.machine_incarnation, self.attached, self.behind = 0, True, False
         self.queue: list[Key] = []
         self.offers: list[machine_pb2.Offer] = []
         self.sent: list[machine_pb2.ToMachine] = []
@@ -84,7 +84,7 @@
 
     def flush(self) -> None:
         while self.queue:
-            offer = self._engine.write(self.queue.pop(0), self.life)
+            offer = self._engine.write(self.queue.pop(0), self.machine_incarnation)
             if offer is not None:
                 self.offers.append(offer)
 
@@ -140,7 +140,7 @@
         return 0.0
 
 
-class Walk:
+class PlacerHarness:
     """One engine on a virtual loop."""
 
     def __init__(self, settings: Cluster | None = None, **options: Any) -> None:
@@ -176,7 +176,7 @@
 
     def attach(self, name: str, life: int, started_ms: float = 0.0, held: Any = ()) -> None:
         link = self.streams.links[name]
-        new, link.life = link.life not in (0, life), life
+        new, link.machine_incarnation = link.machine_incarnation not in (0, life), life
         self.engine.attached(name, machine_pb2.Attached(machine=name, life=life, started_ms=started_ms, held=held), new)
         link.flush()
 
--- a/tests/placing/test_ledger.py
+++ b/tests/placing/test_ledger.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucepost.placing.ledger import Entry, LateWord, Ledger, Outcome, SecondAnswer, late_word
+from sprucepost.placing.ledger import DuplicateOutcomeError, Entry, LateAction, Ledger, Outcome, late_action
 
 ANSWERS = (Outcome.PLACED, Outcome.REFUSED, Outcome.FAILED)
 
@@ -17,7 +17,7 @@
     ledger = Ledger()
     entry = ledger.take("t", 0, "s", 0.0)
     ledger.settle(entry, first, 1.0)
-    with pytest.raises(SecondAnswer, match="t: "):
+    with pytest.raises(DuplicateOutcomeError, match="t: "):
         ledger.settle(entry, second, 2.0)
     assert ledger.open == 0 and ledger.outcomes.total() == 1
 
@@ -44,18 +44,20 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, out, cancelled, word",
+    "outcome, pending, cancelled, action",
     [
-        (None, None, False, LateWord.TAKE_OVER),
-        (Outcome.OPEN, None, False, LateWord.PLACE),
-        (Outcome.OPEN, 1, False, LateWord.WITHDRAW),
-        (Outcome.OPEN, None, True, LateWord.WITHDRAW),
-        (Outcome.PLACED, None, False, LateWord.WITHDRAW),
-        (Outcome.REFUSED, None, False, LateWord.WITHDRAW),
-        (Outcome.FAILED, None, False, LateWord.SURFACE),
-        (Outcome.FAILED, None, True, LateWord.WITHDRAW),
+        (None, None, False, LateAction.TAKE_OVER),
+        (Outcome.OPEN, None, False, LateAction.PLACE),
+        (Outcome.OPEN, 1, False, LateAction.WITHDRAW),
+        (Outcome.OPEN, None, True, LateAction.WITHDRAW),
+        (Outcome.PLACED, None, False, LateAction.WITHDRAW),
+        (Outcome.REFUSED, None, False, LateAction.WITHDRAW),
+        (Outcome.FAILED, None, False, LateAction.SURFACE),
+        (Outcome.FAILED, None, True, LateAction.WITHDRAW),
     ],
 )
-def test_what_a_late_word_means(outcome: Outcome | None, out: int | None, cancelled: bool, word: LateWord) -> None:
-    entry = None if outcome is None else Entry(1, "t", 0, "s", outcome, out=out, cancelled=cancelled)
-    assert late_word(entry) is word
+def test_what_a_late_word_means(
+    outcome: Outcome | None, pending: int | None, cancelled: bool, action: LateAction
+) -> None:
+    entry = None if outcome is None else Entry(1, "t", 0, "s", outcome, pending_attempt=pending, cancelled=cancelled)
+    assert late_action(entry) is action
--- a/tests/rules/test_broken_placers.py
+++ b/tests/rules/test_broken_placers.py
@@ -60,33 +60,33 @@
 
 
 def never_answers(world: World, placer: Placer) -> None:
-    real = placer.engine.answers.outcome
+    real = placer.engine.reporter.report
 
     def tell(entry: Any, **body: Any) -> None:
         if "bound" not in body or entry.name != "t3":
             real(entry, **body)
 
-    placer.engine.answers.outcome = tell  # type: ignore[method-assign]
+    placer.engine.reporter.report = tell  # type: ignore[method-assign]
 
 
 def answers_twice(world: World, placer: Placer) -> None:
-    real = placer.engine.answers.outcome
+    real = placer.engine.reporter.report
 
     def tell(entry: Any, **body: Any) -> None:
         real(entry, **body)
         if "bound" in body and entry.name == "t3":
-            placer.engine.answers.tell(entry, failed=pb.Failed(why="planted"))
+            placer.engine.reporter.notify(entry, failed=pb.Failed(why="planted"))
 
-    placer.engine.answers.outcome = tell  # type: ignore[method-assign]
+    placer.engine.reporter.report = tell  # type: ignore[method-assign]
 
 
 def answers_late(world: World, placer: Placer) -> None:
-    real = placer.engine.answers.outcome
+    real = placer.engine.reporter.report
 
     def tell(entry: Any, **body: Any) -> None:
         world.loop.call_later(1300.0 if "bound" in body and entry.name == "t3" else 0.0, lambda: real(entry, **body))
 
-    placer.engine.answers.outcome = tell  # type: ignore[method-assign]
+    placer.engine.reporter.report = tell  # type: ignore[method-assign]
 
 
 def takes_silence_for_never_ran(world: World, placer: Placer) -> None:
@@ -96,8 +96,8 @@
         real(key, out, i.Ending.CONNECT_FAILED if ending is i.Ending.TIMEOUT else ending, *more)
 
     placer.engine.attempts.end = end  # type: ignore
-    real_module = placer.engine.desk.scheduler._timeout
-    placer.engine.desk.scheduler._timeout = lambda task, machine: min(150.0, real_module(task, machine))  # type: ignore
+    real_module = placer.engine.driver.scheduler._timeout
+    placer.engine.driver.scheduler._timeout = lambda task, machine: min(150.0, real_module(task, machine))  # type: ignore
 
 
 def sends_two_at_once(world: World, placer: Placer) -> None:
@@ -194,7 +194,7 @@
         front = world.tap.add("placer-0", placer.listen)
         owner, _ = world.owner(front)
         yield from wait_for(lambda: owner.up)
-        placer.engine.answers.outcome = lambda entry, **body: None  # type: ignore[method-assign]
+        placer.engine.reporter.report = lambda entry, **body: None  # type: ignore[method-assign]
         owner.submit("t", task(), 300)
         yield from sleep(900)
         end = world.loop.wall()
