--- a/tests/node/test_wall_clock_at_start.py
+++ b/tests/node/test_wall_clock_at_start.py
@@ -80,13 +80,13 @@
         platform.bulletin.publish(host.entry(boot_ms=started))
         yield from wait_for(lambda: lists_of(platform) > 1)
         yield from sleep(50)
-        scheduler = platform.service.desk.scheduler
-        age = platform.service.desk.now() - scheduler.machines["s-1"].started
+        scheduler = platform.service.driver.scheduler
+        age = platform.service.driver.now() - scheduler.machines["s-1"].started
         assert 0.0 <= age <= 3500.0, "no older than the list may be late, and not of the future"
         platform.bulletin.publish(host.entry(boot_ms=started, state="DRAINING"))
         yield from wait_for(lambda: lists_of(platform) > 2)
         yield from sleep(50)
-        grown = platform.service.desk.now() - scheduler.machines["s-1"].started - age
+        grown = platform.service.driver.now() - scheduler.machines["s-1"].started - age
         assert grown >= 50.0, "told once more it has not started anew"
 
     run_on_platform(tmp_path, body, loop)
@@ -105,7 +105,7 @@
         platform.bulletin.publish(other.entry(boot_ms=loop.wall() - HOUR_MS))
         yield from wait_for(lambda: lists_of(platform) > 1)
         yield from sleep(50)
-        scheduler = platform.service.desk.scheduler
-        assert 1000.0 <= platform.service.desk.now() - scheduler.machines["s-1"].started <= 4500.0
+        scheduler = platform.service.driver.scheduler
+        assert 1000.0 <= platform.service.driver.now() - scheduler.machines["s-1"].started <= 4500.0
 
     run_on_platform(tmp_path, body, loop)
