--- a/sprucepost/loop/__init__.py
+++ b/sprucepost/loop/__init__.py
@@ -18,7 +18,7 @@
 
 from sprucepost.loop.accept import Acceptor
 from sprucepost.loop.clock import AlignedClock
-from sprucepost.loop.core import Address, Listener, Loop, Rng, Sock, is_shortage
+from sprucepost.loop.core import Address, Listener, Loop, Rng, Sock, is_local_shortage
 from sprucepost.loop.queue import Closed, Full, Queue
 from sprucepost.loop.task import Cancelled, Co, Scope, Task, TimedOut, current, in_scope, park, sleep, within
 from sprucepost.loop.timers import Timer
@@ -45,7 +45,7 @@
     "connect",
     "current",
     "in_scope",
-    "is_shortage",
+    "is_local_shortage",
     "park",
     "sleep",
     "within",
--- a/sprucepost/loop/accept.py
+++ b/sprucepost/loop/accept.py
@@ -16,17 +16,17 @@
     """Gives each new connection of ``listener`` to ``take``.
 
     Where the system refuses one (EMFILE, ENFILE, ENOBUFS, ENOMEM) the listener rests for a moment: what waits stays in
-    the backlog, nothing spins, and accepting goes on by itself. ``short`` counts those rests.
+    the backlog, nothing spins, and accepting goes on by itself. ``failed_accepts`` counts those rests.
     """
 
     def __init__(self, loop: Loop, listener: Listener, take: Callable[[Sock], None]) -> None:
         self._loop, self._listener, self._take = loop, listener, take
         self.address: Address = listener.address
-        self.short = 0
+        self.failed_accepts = 0
         self._closed = self._resting = False
         self._resume()
 
-    def rest(self, ms: float) -> None:
+    def pause(self, ms: float) -> None:
         """Leave what comes in the backlog for so long."""
         if not (self._closed or self._resting):
             self._resting = True
@@ -43,8 +43,8 @@
             try:
                 sock = self._listener.accept()
             except OSError:
-                self.short += 1
-                self.rest(SHORT_PAUSE_MS)
+                self.failed_accepts += 1
+                self.pause(SHORT_PAUSE_MS)
                 return
             if sock is None:
                 return
@@ -64,7 +64,7 @@
                 sock = self._listener.accept()
             except OSError:
                 if tries:
-                    self.short += 1
+                    self.failed_accepts += 1
                     self._loop.call_later(DRAIN_PAUSE_MS, lambda: self._drain(then, tries - 1))
                     return
                 break
--- a/sprucepost/loop/core.py
+++ b/sprucepost/loop/core.py
@@ -26,7 +26,7 @@
 )  # fmt: skip
 
 
-def is_shortage(error: BaseException) -> bool:
+def is_local_shortage(error: BaseException) -> bool:
     """Whether the system had no descriptor, memory, local port or route: that says nothing of the peer, and passes."""
     return isinstance(error, OSError) and error.errno in _SHORTAGE
 
@@ -90,10 +90,10 @@
         self._crash: BaseException | None = None
         self._main: Task[object] | None = None
         self.turns = 0
-        self.blind_ms = 0.0  # what just became readable may have waited so long: the loop stood still, or was busy
-        self.looking = False  # a look in the midst of a turn: what is ready is read to its end
+        self.unpolled_ms = 0.0  # what just became readable may have waited so long: the loop stood still, or was busy
+        self.polling_mid_turn = False  # a look in the midst of a turn: what is ready is read to its end
         self.left_unread = False  # to be set where a look leaves something: it is looked again
-        self._looked_at: float | None = None
+        self._polled_at: float | None = None
         self._gap: tuple[float, Callable[[float], None]] | None = None
         self.late_ms = 0.0  # how late the latest turn's first due timer was: the loop's own lag
 
@@ -142,55 +142,55 @@
     def _poll(self, wait_ms: float | None) -> None:
         """Wait for sockets at most so long and run their callbacks."""
 
-    def _polled(self, began: float, wait_ms: float | None) -> None:
+    def _after_poll(self, began: float, wait_ms: float | None) -> None:
         """To be called by :meth:`_poll` when the wait is over, before any callback."""
         now = self.now()
-        busy = began - self._looked_at if self._looked_at is not None else 0.0
+        busy = began - self._polled_at if self._polled_at is not None else 0.0
         stood = max(0.0, now - began - wait_ms) if wait_ms is not None else 0.0
         if stood > OVERSLEPT_MS:
             # Stopped, and nobody knows since when: what came at the beginning of the wait would have ended it, and has
             # waited ever since. Counted from the end of the wait, asks were thought 1,560 ms fresher than they were.
             stood = now - began
-        self.blind_ms = max(0.0, busy) + stood
-        self._looked_at = now
-        if self._gap is not None and self.blind_ms >= self._gap[0]:
-            length = self.blind_ms
+        self.unpolled_ms = max(0.0, busy) + stood
+        self._polled_at = now
+        if self._gap is not None and self.unpolled_ms >= self._gap[0]:
+            length = self.unpolled_ms
             self.guard(lambda: self._gap[1](length) if self._gap is not None else None)
 
     # Shared by all
 
     @property
-    def since_look_ms(self) -> float:
+    def since_poll_ms(self) -> float:
         """How long ago the sockets were looked at."""
-        return self.now() - self._looked_at if self._looked_at is not None else 0.0
+        return self.now() - self._polled_at if self._polled_at is not None else 0.0
 
     @property
-    def looked_at(self) -> float:
+    def polled_at(self) -> float:
         """When the sockets were looked at, in ms of :meth:`now`."""
-        return self._looked_at if self._looked_at is not None else 0.0
+        return self._polled_at if self._polled_at is not None else 0.0
 
-    def look(self) -> None:
+    def poll_now(self) -> None:
         """Read what has come to the sockets now, in the midst of a turn: for who must know it before it acts. One system
         call where nothing has come, however many sockets there are."""
-        self.looking = True
+        self.polling_mid_turn = True
         try:
             self._poll(0.0)
         finally:
-            self.looking = False
+            self.polling_mid_turn = False
 
-    def look_until(self, most_ms: float) -> bool:
+    def poll_until_fresh(self, most_ms: float) -> bool:
         """Look until all that had come ``most_ms`` ago has been read. What comes during a look is left for the next one, so
         one that took long is followed by another. False where ``LOOK_ROUNDS`` do not suffice: reading takes all time.
 
-        Two things may stay unread: what lies behind a whole read of one connection (``Transport.behind``), and newcomers
-        behind as many as one look takes, ``LOOK_ROUNDS`` times over.
+        Two things may stay unread: what lies behind a whole read of one connection (``Transport.has_unread_backlog``),
+        and newcomers behind as many as one look takes, ``LOOK_ROUNDS`` times over.
         """
         for _ in range(LOOK_ROUNDS):
             self.left_unread = False
-            self.look()
-            if not self.left_unread and self.since_look_ms <= most_ms:
+            self.poll_now()
+            if not self.left_unread and self.since_poll_ms <= most_ms:
                 return True
-        return self.since_look_ms <= most_ms
+        return self.since_poll_ms <= most_ms
 
     def call_soon(self, call: Call) -> None:
         """In this turn or the next."""
@@ -199,7 +199,7 @@
     def call_later(self, delay_ms: float, call: Call) -> Timer:
         return self._timers.add(self.now() + max(0.0, delay_ms), call)
 
-    def on_gap(self, least_ms: float, call: Callable[[float], None]) -> None:
+    def on_stall(self, least_ms: float, call: Callable[[float], None]) -> None:
         """Call ``call(length_ms)`` when the loop has not looked at its sockets for ``least_ms`` or longer (a pause of the
         process, a slow turn), ahead of what it then reads from them."""
         self._gap = least_ms, call
@@ -237,7 +237,7 @@
             self.late_ms = max(0.0, now - first)
         # Due by when the sockets were looked at, not by now: a process stopped in the midst of a turn would have its
         # time-outs go before what had come meanwhile. A watch was given up so, with the word of a drain unread in it.
-        looked = now if self._looked_at is None else self._looked_at
+        looked = now if self._polled_at is None else self._polled_at
         while (call := self._timers.pop_due(looked)) is not None:
             self.guard(call)
         for _ in range(len(self._ready)):  # those that these make ready wait for the next turn: sockets go first
--- a/sprucepost/loop/epoll.py
+++ b/sprucepost/loop/epoll.py
@@ -43,7 +43,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def insist(step: Callable[[], T], passing: type[Exception] = OSError) -> T:
+def retry_on_startup(step: Callable[[], T], passing: type[Exception] = OSError) -> T:
     """A step of a process's start, tried again while the system refuses it: for want of something, or since whoever had the
     address before has not ended yet. What it raises after ``START_TRIES`` is passed on."""
     for _ in range(START_TRIES - 1):
@@ -258,7 +258,7 @@
             # time-out would then go before the answers that lie in the sockets, and what is read a turn later would not
             # count as having waited (an owner's answer was late by the pause).
             ready = self._epoll.poll(0.0, most)
-        self._polled(began, None if wait_ms is None else wait * 1000.0)
+        self._after_poll(began, None if wait_ms is None else wait * 1000.0)
         for fd, mask in ready:
             readable, writable = self._watched.get(fd, (None, None))
             if readable is not None and mask & ~select.EPOLLOUT:
--- a/sprucepost/loop/transport.py
+++ b/sprucepost/loop/transport.py
@@ -17,13 +17,13 @@
     """Owns a connected socket.
 
     ``on_data(bytes)`` for each read, ``on_end()`` when the peer has sent all (reading stops), ``on_lost(error)`` once
-    when the stream is gone for a cause other than :meth:`close` or :meth:`abort`. ``on_room()`` after a flush that
+    when the stream is gone for a cause other than :meth:`close` or :meth:`abort`. ``on_drained()`` after a flush that
     left nothing buffered. Written bytes are sent in one call at the end of the turn.
 
-    With ``linger_ms`` :meth:`close` sends the end of the stream and reads on, for ``on_late`` alone, until the peer's end
-    comes or that time is over. A socket closed with bytes unread, or to which some come afterwards, is reset by the system,
-    and the reset may take away what was sent before it and not read yet. The time also bounds how long :meth:`close`
-    waits for a peer that does not read.
+    With ``linger_ms`` :meth:`close` sends the end of the stream and reads on, for ``on_linger_data`` alone, until the
+    peer's end comes or that time is over. A socket closed with bytes unread, or to which some come afterwards, is reset
+    by the system, and the reset may take away what was sent before it and not read yet. The time also bounds how long
+    :meth:`close` waits for a peer that does not read.
     """
 
     def __init__(self, loop: Loop, sock: Sock) -> None:
@@ -32,8 +32,8 @@
         self.on_data: Callable[[bytes], None] = lambda data: None
         self.on_end: Callable[[], None] = lambda: None
         self.on_lost: Callable[[OSError | None], None] = lambda error: None
-        self.on_room: Callable[[], None] | None = None
-        self.may_go: Callable[[], bool] = lambda: (
+        self.on_drained: Callable[[], None] | None = None
+        self.may_send: Callable[[], bool] = lambda: (
             True
         )  # asked right before what this turn wrote goes out; else it is reset
         self._out: list[bytes] = []
@@ -45,10 +45,10 @@
         self._closing = False
         self._half = False
         self.closed = False  # nothing more is passed on or taken
-        self.gone = False  # the socket has been given back
+        self.socket_closed = False  # the socket has been given back
         self.linger_ms = 0.0
-        self.on_late: Callable[[bytes], None] = lambda data: None  # what comes while it lingers
-        self.on_gone: Callable[[], None] = lambda: None  # called once, when the socket has been given back
+        self.on_linger_data: Callable[[bytes], None] = lambda data: None  # what comes while it lingers
+        self.on_socket_closed: Callable[[], None] = lambda: None  # called once, when the socket has been given back
         self._lingering: Timer | None = None
         self._delivering = False  # within on_data
         self.sent = 0  # bytes that the system has taken, ever
@@ -111,21 +111,21 @@
         if not self.closed:
             self._shut(True)
 
-    def cut(self) -> None:
+    def end_linger(self) -> None:
         """End a close that lingers now; the peer sees a reset where the system does not take all that was written."""
         if self._out:
             self._flush()
-        if not self.gone:
+        if not self.socket_closed:
             self._shut(bool(self._out))
 
     def _shut(self, reset: bool) -> None:
-        self.closed = self.gone = True
+        self.closed = self.socket_closed = True
         if self._lingering is not None:
             self._lingering.cancel()
         self._loop.watch(self._sock, None, None)
         self._sock.close(reset)
         self._out, self.buffered = [], 0
-        self.on_gone()
+        self.on_socket_closed()
 
     def _finish(self) -> None:
         """All is sent: close, or see the peer's end first."""
@@ -144,7 +144,7 @@
         except OSError:
             data = b""
         if data:
-            self.on_late(data)
+            self.on_linger_data(data)
         elif data == b"":
             self._shut(False)
 
@@ -158,7 +158,7 @@
             self._shut(error is not None)
             self.on_lost(error)
 
-    def look(self) -> bool:
+    def read_now(self) -> bool:
         """Read now what lies there, the peer's end included; whether there was anything. Within ``on_data`` it does nothing:
         what comes later must not be taken earlier."""
         found = 0
@@ -166,27 +166,27 @@
             found < LOOK_MOST
             and self._reading
             and not (self.closed or self._delivering)
-            and self._read(self._loop.since_look_ms)
+            and self._read(self._loop.since_poll_ms)
         ):
             found += 1
         return found > 0
 
     @property
-    def behind(self) -> bool:
+    def has_unread_backlog(self) -> bool:
         """Whether the last read was a whole one, and the latest look found that more lies there or came before it: what is
         unread may be older than that look. It is read in the next turn."""
-        return self._more > 0.0 and self._more >= self._loop.looked_at
+        return self._more > 0.0 and self._more >= self._loop.polled_at
 
     def _readable(self) -> None:
         if self._delivering:  # a look at all sockets in the midst of it: it is read in the next turn
             return
-        looking = self._loop.looking
+        looking = self._loop.polling_mid_turn
         if looking and self._more:  # it has had its part of this turn: a loud peer cannot keep the others waiting
             now = self._loop.now()
             self.waited_ms, self._more = self.waited_ms + now - self._more, now
             return
-        if self._read(self._loop.blind_ms) and looking and not self._more:
-            self.look()  # the peer's end may lie right behind what was read
+        if self._read(self._loop.unpolled_ms) and looking and not self._more:
+            self.read_now()  # the peer's end may lie right behind what was read
 
     def _read(self, unseen_ms: float) -> bool:
         """Take what is there, which may have waited so long; False where nothing was."""
@@ -226,7 +226,7 @@
     def _first_flush(self) -> None:
         if not self._flush_due:  # sent already
             return
-        if not self.closed and not self.may_go():
+        if not self.closed and not self.may_send():
             self._lost(OSError("stood still with bytes that must not be late"))
             return
         self._flush()
@@ -259,8 +259,8 @@
             self._finish()
         elif self._half:
             self._sock.shutdown_write()
-        elif self.on_room is not None:
-            self.on_room()
+        elif self.on_drained is not None:
+            self.on_drained()
 
 
 def connect(loop: Loop, task: Task[Any], address: Address, limit_ms: float, source: str | None = None) -> Co[Transport]:
--- a/sprucepost/node/config.py
+++ b/sprucepost/node/config.py
@@ -10,7 +10,7 @@
 
 from sprucepost import interface as i
 from sprucepost.adapter import report_fields, settings_from
-from sprucepost.loop import is_shortage
+from sprucepost.loop import is_local_shortage
 from sprucepost.node.bulletin import Address, address_of, parse
 
 FILE_MOST = 16 * 1024 * 1024
@@ -63,7 +63,7 @@
         with path.open("rb") as file:
             data = file.read(FILE_MOST + 1)
     except OSError as error:
-        passing = is_shortage(error) or error.errno in (errno.EIO, errno.EINTR)
+        passing = is_local_shortage(error) or error.errno in (errno.EIO, errno.EINTR)
         kind = ConfigUnavailable if passing else ConfigError
         raise kind(f"{path}: {error.strerror}") from None
     if len(data) > FILE_MOST:
--- a/sprucepost/node/descriptors.py
+++ b/sprucepost/node/descriptors.py
@@ -57,14 +57,14 @@
     def end(self, transport: Transport) -> None:
         """A connection that counts no longer is closed; while its close lingers, its descriptor is accounted for here."""
         transport.close()
-        if not transport.gone:
+        if not transport.socket_closed:
             self._closing[transport] = None
-            transport.on_gone = lambda: self._forget(transport)
+            transport.on_socket_closed = lambda: self._forget(transport)
 
     def reclaim(self) -> None:
         """Before a connection is added: end the longest closes until there is a descriptor for it."""
         while self._closing and self._connections() + len(self._closing) >= self._shared:
-            next(iter(self._closing)).cut()
+            next(iter(self._closing)).end_linger()
 
     def _forget(self, transport: Transport) -> None:
         self._closing.pop(transport, None)
--- a/sprucepost/node/dispatch.py
+++ b/sprucepost/node/dispatch.py
@@ -51,7 +51,7 @@
     @property
     def may_write(self) -> bool:
         """Whether an attempt may be written, and flushed, now."""
-        return self._serving and self._loop.since_look_ms <= LOOK_AGE_MS
+        return self._serving and self._loop.since_poll_ms <= LOOK_AGE_MS
 
     def add(self, destination: T) -> None:
         """Serve it at the turn's end, after a look."""
@@ -77,7 +77,7 @@
         self._due |= self._postponed
         self._postponed = {}
         while self._due:
-            if not self._loop.look_until(LOOK_AGE_MS):
+            if not self._loop.poll_until_fresh(LOOK_AGE_MS):
                 self._counters["dispatch_held"] += 1
                 break
             due, self._due = self._due, {}
--- a/sprucepost/node/hosts.py
+++ b/sprucepost/node/hosts.py
@@ -14,7 +14,7 @@
 from collections import Counter
 
 from sprucepost import interface as i
-from sprucepost.loop import Co, Loop, Scope, TimedOut, connect, current, is_shortage
+from sprucepost.loop import Co, Loop, Scope, TimedOut, connect, current, is_local_shortage
 from sprucepost.node import health
 from sprucepost.node.attempt import Attempt
 from sprucepost.node.bounds import LINGER_MS
@@ -260,7 +260,7 @@
             if not link.open and not host.waiting
         ]
         for _, _, host, link in sorted(idle, key=lambda item: item[:2]):
-            if not link.transport.look() and link in host.links:
+            if not link.transport.read_now() and link in host.links:
                 self._end(host, link, "room")
                 return True
         return False
@@ -277,7 +277,7 @@
             transport = yield from connect(self.loop, task, host.address, self._connect_ms)
         except (OSError, TimedOut) as error:
             host.dialing -= 1
-            if self.hosts.get(host.uid) is host and is_shortage(error):
+            if self.hosts.get(host.uid) is host and is_local_shortage(error):
                 self._not_dialled(host)
             elif self.hosts.get(host.uid) is host:
                 self._not_connected(host, error, began)
@@ -355,7 +355,7 @@
         self.counters[f"host_link_{why}"] += 1
         self._log.host(host.uid, "disconnected", link=link.number, why=why, open=len(link.open) or None)
         if why in ("retired", "idle", "room"):
-            link.transport.on_late = lambda data: self._late(host, link, data)
+            link.transport.on_linger_data = lambda data: self._late(host, link, data)
             self._descriptors.end(link.transport)
         else:
             link.transport.abort()
@@ -420,7 +420,7 @@
             standing = host.uid in self._tasks.standing
             for link in list(host.links):
                 idle = not link.open and now - link.used > self._idle / 2 and (len(host.links) > 1 or not standing)
-                if idle and not link.transport.look():
+                if idle and not link.transport.read_now():
                     self._end(host, link, "idle")
             host.letting = {sid: until for sid, until in host.letting.items() if until > now}
             self._health.review(host)
--- a/sprucepost/node/owners.py
+++ b/sprucepost/node/owners.py
@@ -157,7 +157,7 @@
     @property
     def accepts_failed(self) -> int:
         """How often the system had no descriptor for a connection that waited to be taken."""
-        return self._acceptor.short
+        return self._acceptor.failed_accepts
 
     def _take(self, sock: Sock) -> None:
         if not self._find_room():
@@ -171,10 +171,10 @@
         link.transport.on_data = lambda data: self._data(link, data)
         link.transport.on_end = lambda: self.drop(link, "ended")
         link.transport.on_lost = lambda error: self._forget(link)
-        link.transport.on_late = lambda data: self._late(link, data)
+        link.transport.on_linger_data = lambda data: self._late(link, data)
         link.transport.start()
-        if self.loop.looking:  # what the newcomer has said already belongs to the look
-            link.transport.look()
+        if self.loop.polling_mid_turn:  # what the newcomer has said already belongs to the look
+            link.transport.read_now()
         self._await_room()
 
     def _find_room(self) -> bool:
@@ -206,7 +206,7 @@
         wait = min(idle, key=_least_useful).used + ARRIVAL_MS - self.loop.now()
         if wait > 0:
             self.counters["owners_awaited"] += 1
-            self._acceptor.rest(wait)
+            self._acceptor.pause(wait)
 
     def _make_room(self, may_go: Callable[[OwnerLink], bool] = lambda link: True) -> bool:
         """Close an idle connection, one of those that may go; False where there is none."""
@@ -214,7 +214,7 @@
             needed = self._needed()
             idle = [link for link in self.links if not (link.open or link in needed) and may_go(link)]
             for link in sorted(idle, key=_least_useful):
-                if not link.transport.look():
+                if not link.transport.read_now():
                     self.drop(link, "room")
                 if link not in self.links:
                     return True
@@ -263,7 +263,7 @@
                 self.drop(link, "cut")
             elif link.open or link in needed or now - link.used <= (self._idle if link.proven else UNPROVEN_MS):
                 continue
-            elif not link.transport.look():
+            elif not link.transport.read_now():
                 self.drop(link, "idle" if link.proven else "silent")
         self._unsent = [item for item in self._unsent if item[0] > now]
 
@@ -275,16 +275,16 @@
         """End all connections: what lies there is refused, what was written goes out, within ``LINGER_MS``."""
         links = list(self.links)
         for link in links:
-            link.transport.look()
+            link.transport.read_now()
             self.drop(link, "stopped")
-        while any(not link.transport.gone for link in links):
+        while any(not link.transport.socket_closed for link in links):
             yield from sleep(FINISH_LOOK_MS)
 
     # Messages
 
     def caught_up(self, whose: str) -> bool:
         """Whether the latest look has left nothing unread on that owner's connections."""
-        for link in [link for link in self._behind if not link.transport.behind]:
+        for link in [link for link in self._behind if not link.transport.has_unread_backlog]:
             del self._behind[link]
         return all(link.whose != whose for link in self._behind)
 
@@ -296,7 +296,7 @@
                 self._tasks.owner_released(message.task)
 
     def _data(self, link: OwnerLink, data: bytes) -> None:
-        if link.transport.behind:
+        if link.transport.has_unread_backlog:
             self._behind[link] = None
         messages = link.decoder.feed(data)
         if messages:
--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -31,7 +31,7 @@
 
 from sprucepost import interface as i
 from sprucepost.loop import Closed, Co, Loop, Queue, Scope, in_scope
-from sprucepost.loop.epoll import EpollLoop, insist
+from sprucepost.loop.epoll import EpollLoop, retry_on_startup
 from sprucepost.node import words
 from sprucepost.node.bounds import Malformed
 from sprucepost.node.bulletin import Bulletin, Told
@@ -90,7 +90,7 @@
         )
         self.owners = Owners(
             loop,
-            insist(lambda: loop.listen(config.listen)),
+            retry_on_startup(lambda: loop.listen(config.listen)),
             self.tasks,
             words.Words(settings),
             self.descriptors,
@@ -221,8 +221,8 @@
 def serve(loop: Loop, scope: Scope, environment: Mapping[str, str], config: Config, log: Log) -> Co[int]:
     """A placer's whole life."""
     service = Service(loop, scope, environment, config, log)
-    insist(lambda: loop.on_signal(signal.SIGHUP, service.reload))
-    insist(lambda: loop.on_signal(signal.SIGTERM, service.leave))
+    retry_on_startup(lambda: loop.on_signal(signal.SIGHUP, service.reload))
+    retry_on_startup(lambda: loop.on_signal(signal.SIGTERM, service.leave))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     status = yield from service.run()
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # Python gives its handlers up before the process has ended
@@ -238,8 +238,8 @@
     # Ignored until here, where ``run`` of the deploy file says so, since the file had not been read; from now on it waits.
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
     try:
-        config = insist(lambda: read(os.environ), ConfigUnavailable)
-        loop = insist(lambda: EpollLoop(config.seed))
+        config = retry_on_startup(lambda: read(os.environ), ConfigUnavailable)
+        loop = retry_on_startup(lambda: EpollLoop(config.seed))
     except ConfigError as error:
         print(f"sprucepost: {error}", file=sys.stderr)
         return 2
--- a/sprucepost/node/tasks.py
+++ b/sprucepost/node/tasks.py
@@ -168,7 +168,7 @@
         though none for longer than ``FOUND_FIRST_MS``: a steady flow of them must not keep the new ones out.
         """
         if self._queue:
-            self.loop.look()
+            self.loop.poll_now()
         self._crossed_before, self._crossed = self._crossed, set()
         if self._found:
             self.hosts.recall(self._found)
--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -84,7 +84,7 @@
     def start(self) -> None:
         """Begin; the seat is known before any list is."""
         self.desk.take_seat()
-        self.loop.on_gap(self.roster.wake.gap_ms, self.roster.paused)
+        self.loop.on_stall(self.roster.wake.gap_ms, self.roster.paused)
         self.loop.call_later(LATE_MS / 2, self._tidy)
 
     def _tidy(self) -> None:
--- a/sprucepost/standin/tap.py
+++ b/sprucepost/standin/tap.py
@@ -55,7 +55,7 @@
         source.on_data = self._data
         source.on_end = lambda: self._data(b"")
         source.on_lost = lambda error: pipe.break_off()
-        sink.on_room = self._pass
+        sink.on_drained = self._pass
 
     def _data(self, data: bytes) -> None:
         tap, now = self.pipe.tap, self.pipe.tap.loop.now()
--- a/sprucepost/wire/connection.py
+++ b/sprucepost/wire/connection.py
@@ -74,10 +74,10 @@
         self.transport.on_data = self._on_bytes
         self.transport.on_end = self._on_end
         self.transport.on_lost = lambda error: self.lost(str(error) if error else "connection lost")
-        self.transport.on_room = self._on_room
+        self.transport.on_drained = self._on_room
         self._dirty_since = 0.0
         if options.stale_ms is not None:
-            self.transport.may_go = self._fresh
+            self.transport.may_send = self._fresh
         self.transport.start()
         self._flush()
 
@@ -257,7 +257,7 @@
         transport.write(self.http2.outgoing())
         transport.shutdown_write()
         transport.on_data = lambda data: None
-        transport.on_room = None
+        transport.on_drained = None
         transport.on_end = transport.abort
         transport.on_lost = lambda error: None
         self.loop.call_later(LINGER_MS, transport.abort)
--- a/tests/loop/test_net.py
+++ b/tests/loop/test_net.py
@@ -141,7 +141,7 @@
         loop.turns = 0
         yield from sleep(300)
         turns = loop.turns
-        starved, short = len(echo.transports), echo.acceptor.short
+        starved, short = len(echo.transports), echo.acceptor.failed_accepts
         for fd in fillers:
             os.close(fd)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
--- a/tests/loop/test_passing_failures.py
+++ b/tests/loop/test_passing_failures.py
@@ -11,7 +11,7 @@
 import pytest
 
 from sprucepost.loop import Acceptor, Sock
-from sprucepost.loop.core import is_shortage
+from sprucepost.loop.core import is_local_shortage
 from sprucepost.loop.epoll import EpollListener, EpollLoop
 
 PASSING = ["ECONNABORTED", "EPROTO", "ENETDOWN", "ENOPROTOOPT", "EHOSTDOWN", "ENONET", "EHOSTUNREACH", "EOPNOTSUPP",
@@ -86,9 +86,9 @@
 # Guards against a host, or a whole zone, that is held to be dead because our own machine has no port or no route.
 @pytest.mark.parametrize("name", [*SHORT, "EADDRNOTAVAIL", "ENETUNREACH"])
 def test_what_our_own_machine_lacks_says_nothing_of_the_peer(name: str) -> None:
-    assert is_shortage(OSError(getattr(errno, name), name))
+    assert is_local_shortage(OSError(getattr(errno, name), name))
 
 
 @pytest.mark.parametrize("name", ["ECONNREFUSED", "ETIMEDOUT", "ECONNRESET", "EHOSTUNREACH"])
 def test_what_a_peer_does_is_no_shortage(name: str) -> None:
-    assert not is_shortage(OSError(getattr(errno, name), name))
+    assert not is_local_shortage(OSError(getattr(errno, name), name))
--- a/tests/node/test_clients_that_left.py
+++ b/tests/node/test_clients_that_left.py
@@ -614,15 +614,15 @@
         day.host("s-1")
         day.start(settings=patient())
         owner = yield from warm(day, SIDS[0])
-        ours, look_until, failed = day.service.hosts.hosts["s-1"], loop.look_until, list[bool]()
+        ours, poll_until_fresh, failed = day.service.hosts.hosts["s-1"], loop.poll_until_fresh, list[bool]()
 
         def look(most_ms: float) -> bool:
             if ours.waiting and not failed:
                 failed.append(True)
                 day.service.hosts._not_connected(ours, OSError("no way there"), loop.wall())
-            return look_until(most_ms)
+            return poll_until_fresh(most_ms)
 
-        loop.look_until = look  # type: ignore[method-assign]
+        loop.poll_until_fresh = look  # type: ignore[method-assign]
         owner.transport.write(setup(LEAVING))
         yield from heard(owner, LEAVING, Kind.ANSWER)
         assert failed and len(attempts.times(LEAVING)) == 1
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -603,7 +603,7 @@
         yield from wait_for(lambda: owner.got() is None)
         assert not {SIDS[2], SIDS[3]} & set(opened(host))
         owner.close()
-        yield from wait_for(lambda: link.transport.gone, 200)
+        yield from wait_for(lambda: link.transport.socket_closed, 200)
 
     play(tmp_path, body)
 
@@ -621,7 +621,7 @@
             link.transport.write(bytes(1 << 20))
             yield from sleep(0)
         owner.half_close()
-        yield from wait_for(lambda: link.transport.gone, 2000)
+        yield from wait_for(lambda: link.transport.socket_closed, 2000)
         owner.close()
 
     play(tmp_path, body)
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -313,13 +313,13 @@
         assert descriptors.closing == 6 and descriptors.spare() == 52
         connections[0] = 49
         descriptors.reclaim()
-        assert not any(transport.gone for transport in ending), "56 are for all, and one more fits"
+        assert not any(transport.socket_closed for transport in ending), "56 are for all, and one more fits"
         connections[0] = 52
         descriptors.reclaim()
-        assert [transport.gone for transport in ending] == [True, True, True, False, False, False]
+        assert [transport.socket_closed for transport in ending] == [True, True, True, False, False, False]
         assert descriptors.closing == 3 and descriptors.spare() == 0
         for transport in ending:
-            transport.cut()
+            transport.end_linger()
         assert descriptors.closing == 0
     finally:
         listener.close()
--- a/tests/node/test_dispatch.py
+++ b/tests/node/test_dispatch.py
@@ -78,7 +78,7 @@
 
 def test_without_a_young_look_nothing_is_served_until_there_is_one() -> None:
     served = Served()
-    served.loop.look_until = lambda most_ms: served.loop.turns > 3  # type: ignore[method-assign]
+    served.loop.poll_until_fresh = lambda most_ms: served.loop.turns > 3  # type: ignore[method-assign]
     served.dispatcher.add("a")
     for _ in range(5):
         served.loop.turn()
--- a/tests/node/test_stop.py
+++ b/tests/node/test_stop.py
@@ -131,7 +131,7 @@
         reader.transport.write(setup(SIDS[2]))
         day.service._end()
         yield from wait_for(lambda: any('"end"' in line for line in day.lines), 5000)
-        assert day.loop.now() - began < LINGER_MS + 1000 and link.transport.gone
+        assert day.loop.now() - began < LINGER_MS + 1000 and link.transport.socket_closed
         yield from wait_for(lambda: reader.ended)
         assert [m.kind for m in answers(reader, SIDS[2])] == [Kind.RELEASE]
         owner.close()
--- a/tests/node/virtual.py
+++ b/tests/node/virtual.py
@@ -98,7 +98,7 @@
     def _poll(self, wait_ms: float | None) -> None:
         ready = self._ready_calls()
         if ready:
-            self._polled(self.time, 0.0)
+            self._after_poll(self.time, 0.0)
         else:
             assert wait_ms is not None, "nothing will ever happen"
             super()._poll(wait_ms)
--- a/tests/placing/support.py
+++ b/tests/placing/support.py
@@ -50,7 +50,7 @@
     def _poll(self, wait_ms: float | None) -> None:
         began = self.time
         self.time += wait_ms or 0.0
-        self._polled(began, wait_ms)
+        self._after_poll(began, wait_ms)
 
     def pass_ms(self, ms: float) -> None:
         """Turns until so much later."""
@@ -61,9 +61,9 @@
 
     def stand_still(self, ms: float) -> None:
         """As SIGSTOP does: time passes without a turn, and the wait comes back late."""
-        self._polled(self.time, 0.0)
+        self._after_poll(self.time, 0.0)
         self.time += ms
-        self._polled(self.time - ms, 0.0)
+        self._after_poll(self.time - ms, 0.0)
 
 
 class Link:
--- a/tests/placing/test_wake.py
+++ b/tests/placing/test_wake.py
@@ -101,13 +101,13 @@
     """Stopped 4,816 ms within a wait that was to last 1,560: an answer to what came at its beginning was 742 ms late."""
     walk = Walk()
     loop = walk.loop
-    loop._polled(loop.time, 0.0)
+    loop._after_poll(loop.time, 0.0)
     began, loop.time = loop.time, loop.time + 4816.0
-    loop._polled(began, 1560.0)
-    assert loop.blind_ms == 4816.0
+    loop._after_poll(began, 1560.0)
+    assert loop.unpolled_ms == 4816.0
     began, loop.time = loop.time, loop.time + 51.0
-    loop._polled(began, 50.0)
-    assert loop.blind_ms == 1.0  # the system's own rounding
+    loop._after_poll(began, 50.0)
+    assert loop.unpolled_ms == 1.0  # the system's own rounding
 
 
 def test_a_loop_that_is_to_know_of_its_pauses_never_waits_long() -> None:
@@ -115,7 +115,7 @@
     loop.call_later(5000.0, lambda: None)
     loop.turn()
     assert loop.time == 1_005_000.0
-    loop.on_gap(1000.0, lambda length: None)
+    loop.on_stall(1000.0, lambda length: None)
     loop.call_later(5000.0, lambda: None)
     loop.turn()
     assert loop.time == 1_005_050.0
--- a/tests/support.py
+++ b/tests/support.py
@@ -70,27 +70,27 @@
         self.requests = 0
         self.first = self.scheduler.handle(now, [i.MachineList(i.ListKind.CACHED, entries)])
 
-    def at(self, later: float, *events: i.Event) -> list[i.Action]:
+    def after(self, later: float, *events: i.Event) -> list[i.Action]:
         self.now += later
         return self.scheduler.handle(self.now, list(events))
 
-    def ask(self, service: str = "s", **changes: Any) -> i.TaskRequest:
+    def task_request(self, service: str = "s", **changes: Any) -> i.TaskRequest:
         self.requests += 1
         values: dict[str, Any] = {"task_class": 0, "cores": 1.0, "memory": 2.0, "left": 8000.0}
         return i.TaskRequest(self.requests, service=service, **{**values, **changes})
 
     def place(self, service: str = "s", later: float = 0.0, **changes: Any) -> i.Offer | None:
         """Ask for one task and return its offer, where there is one."""
-        found = offers(self.at(later, self.ask(service, **changes)))
+        found = offers(self.after(later, self.task_request(service, **changes)))
         return found[0] if found else None
 
-    def end(
+    def report_outcome(
         self, offer: i.Offer, ending: i.Ending, later: float = 5.0, attempt: int = 0, **more: Any
     ) -> list[i.Action]:
-        return self.at(later, i.Outcome(offer.request, attempt, ending, more.pop("closed", False), **more))
+        return self.after(later, i.Outcome(offer.request, attempt, ending, more.pop("closed", False), **more))
 
     def accept(self, offer: i.Offer, later: float = 5.0) -> list[i.Action]:
-        return self.at(later, i.Accepted(offer.request, 0, later))
+        return self.after(later, i.Accepted(offer.request, 0, later))
 
 
 def offers(actions: list[i.Action]) -> list[i.Offer]:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -36,7 +36,7 @@
         turn = cluster.now + timers(cluster.first)["turn"]
         assert turn > cluster.now
         assert (turn / INTERVAL) % turns == number % turns
-        assert timers(cluster.at(turn - cluster.now, i.TimerFired("turn")))["turn"] == turns * INTERVAL
+        assert timers(cluster.after(turn - cluster.now, i.TimerFired("turn")))["turn"] == turns * INTERVAL
 
 
 def test_a_turn_leaves_a_target_that_filled_up() -> None:
@@ -44,10 +44,10 @@
     offer = cluster.place("s", cores=0.1, memory=0.1)
     assert offer is not None
     other = "n" if offer.machine == "m" else "m"
-    cluster.at(2000.0, full_list(entry(offer.machine, free_cores=8.0), entry(other)))
+    cluster.after(2000.0, full_list(entry(offer.machine, free_cores=8.0), entry(other)))
     again = cluster.place("s", cores=0.1, memory=0.1)
     assert again is not None and again.machine == offer.machine
-    cluster.at(100.0, i.TimerFired("turn"))
+    cluster.after(100.0, i.TimerFired("turn"))
     moved = cluster.place("s", cores=0.1, memory=0.1)
     assert moved is not None and moved.machine == other
 
@@ -113,9 +113,9 @@
     cluster = Cluster(settings(), entry("m", free_cores=2.0))
     assert cluster.place("a", cores=2.0) is not None
     assert cluster.place("b", cores=1.0) is None
-    cluster.at(100.0, full_list(entry("m", free_cores=2.0)))  # too soon to show the bind
+    cluster.after(100.0, full_list(entry("m", free_cores=2.0)))  # too soon to show the bind
     assert cluster.place("c", cores=1.0) is None
-    cluster.at(4000.0, full_list(entry("m", free_cores=2.0)))  # late enough: the room is real
+    cluster.after(4000.0, full_list(entry("m", free_cores=2.0)))  # late enough: the room is real
     assert cluster.place("d", cores=1.0) is not None
 
 
@@ -123,8 +123,8 @@
     cluster = Cluster(settings(), entry("m", free_cores=2.0))
     offer = cluster.place("a", cores=2.0)
     assert offer is not None
-    cluster.end(offer, i.Ending.FULL, reason=i.Reason.QUEUE_FULL)
-    cluster.at(1000.0)
+    cluster.report_outcome(offer, i.Ending.FULL, reason=i.Reason.QUEUE_FULL)
+    cluster.after(1000.0)
     assert cluster.place("b", cores=2.0) is not None
 
 
@@ -132,16 +132,16 @@
     cluster = Cluster(settings(), entry("m"))
     offer = cluster.place("a")
     assert offer is not None
-    assert not offers(cluster.end(offer, i.Ending.FULL, reason=i.Reason.NO_MEMORY))
-    assert not offers(cluster.at(500.0, i.TimerFired("look")))
-    assert len(offers(cluster.at(4000.0, i.TimerFired("look")))) == 1
+    assert not offers(cluster.report_outcome(offer, i.Ending.FULL, reason=i.Reason.NO_MEMORY))
+    assert not offers(cluster.after(500.0, i.TimerFired("look")))
+    assert len(offers(cluster.after(4000.0, i.TimerFired("look")))) == 1
 
 
 def silence(cluster: Cluster, offer: i.Offer) -> list[i.Offer]:
     """Two time-outs in a row of the same task: the second is held against the machine."""
-    again = offers(cluster.end(offer, i.Ending.TIMEOUT))
+    again = offers(cluster.report_outcome(offer, i.Ending.TIMEOUT))
     assert [action.machine for action in again] == [offer.machine]  # one lost answer is not death
-    return offers(cluster.at(5.0, i.Outcome(offer.request, 1, i.Ending.TIMEOUT, False)))
+    return offers(cluster.after(5.0, i.Outcome(offer.request, 1, i.Ending.TIMEOUT, False)))
 
 
 def test_a_silent_machine_is_left_alone_then_tried_with_one_offer() -> None:
@@ -151,7 +151,7 @@
     retry = silence(cluster, offer)
     assert len(retry) == 1 and retry[0].machine != "m"
     assert all(cluster.place(f"b{n}").machine != "m" for n in range(4))  # type: ignore[union-attr]
-    cluster.at(2 * SUSPECT)
+    cluster.after(2 * SUSPECT)
     tried = [cluster.place(f"c{n}") for n in range(4)]
     assert sum(offer is not None and offer.machine == "m" for offer in tried) == 1
 
@@ -160,7 +160,7 @@
     cluster = Cluster(settings(), entry("m"), entry("n", free_cores=8.0))
     offer = cluster.place("a")
     assert offer is not None and offer.machine == "m"
-    assert offers(cluster.end(offer, i.Ending.CONNECT_FAILED))[0].machine == "n"
+    assert offers(cluster.report_outcome(offer, i.Ending.CONNECT_FAILED))[0].machine == "n"
 
 
 def test_silence_to_one_class_does_not_close_the_machine_to_the_others() -> None:
@@ -180,7 +180,7 @@
         offer = cluster.place("high", task_class=1)
         assert (offer is not None) is preempts
         if offer is not None:  # refused for room all the same: shut to this priority and below
-            cluster.end(offer, i.Ending.FULL, reason=i.Reason.NO_CORES)
+            cluster.report_outcome(offer, i.Ending.FULL, reason=i.Reason.NO_CORES)
             assert cluster.place("again", task_class=1) is None
 
 
@@ -189,7 +189,7 @@
     cluster = Cluster(settings(*classes, preempts=True), entry("m"))
     offer = cluster.place("low")
     assert offer is not None
-    cluster.end(offer, i.Ending.FULL, reason=i.Reason.NO_CORES)
+    cluster.report_outcome(offer, i.Ending.FULL, reason=i.Reason.NO_CORES)
     assert cluster.place("low too") is None
     assert cluster.place("high", task_class=1) is not None
 
@@ -199,9 +199,9 @@
     for n in range(3):
         offer = cluster.place(f"s{n}")
         assert offer is not None
-        cluster.at(1.0, i.Outcome(offer.request, 0, i.Ending.CONNECT_FAILED, True))
+        cluster.after(1.0, i.Outcome(offer.request, 0, i.Ending.CONNECT_FAILED, True))
     assert cluster.place("held") is None
-    assert len(offers(cluster.at(4 * SUSPECT, i.TimerFired("look")))) == 1
+    assert len(offers(cluster.after(4 * SUSPECT, i.TimerFired("look")))) == 1
 
 
 def test_the_list_is_asked_in_time_however_many_schedulers_there_are() -> None:
@@ -217,8 +217,8 @@
         config = settings(number=number, n_instances=n, list_mode=i.ListMode.ASK)
         cluster = Cluster(config, entry("m"), seed=number)
         waits.append(timers(cluster.first)["list"])
-        assert i.Subscribe() in cluster.at(waits[-1], i.TimerFired("list"))
-        assert timers(cluster.at(5.0, i.MachineList(i.ListKind.FAILED)))["list"] > 100.0
+        assert i.Subscribe() in cluster.after(waits[-1], i.TimerFired("list"))
+        assert timers(cluster.after(5.0, i.MachineList(i.ListKind.FAILED)))["list"] > 100.0
     assert max(waits) <= n * LIST_CALL
     busiest = max(sum(wait <= other < wait + 200.0 for other in waits) for wait in waits)
     assert busiest <= max(3, 4 * 200.0 / LIST_CALL)
@@ -229,25 +229,27 @@
     offer = cluster.place("a")
     assert offer is not None
     cluster.accept(offer)
-    cluster.end(offer, i.Ending.RESET, closed=True)
-    cluster.at(5000.0)
+    cluster.report_outcome(offer, i.Ending.RESET, closed=True)
+    cluster.after(5000.0)
     answer = cluster.place("s0")
     assert answer is not None
-    cluster.at(5.0, i.Accepted(answer.request, 0, 5.0))
+    cluster.after(5.0, i.Accepted(answer.request, 0, 5.0))
     more = [cluster.place(f"t{n}") for n in range(10)]
     assert sum(offer is not None for offer in more) == 12 // 3 - 1
 
 
 def at_hand(cluster: Cluster, *machines: str) -> None:
     """Let the service run on these machines, so that its program is at hand on all of them."""
-    cluster.at(0.0, *(i.TaskFound(cluster.ask("s", cores=0.1, memory=0.1), machine) for machine in machines))
+    cluster.after(
+        0.0, *(i.TaskFound(cluster.task_request("s", cores=0.1, memory=0.1), machine) for machine in machines)
+    )
 
 
 def strained(note: i.NoteKind, value: float) -> Cluster:
     """A cluster whose emptier machine, m, was just noted as strained: the next task goes to n."""
     cluster = Cluster(settings(), entry("m"), entry("n", free_cores=30.0))
     at_hand(cluster, "m", "n")
-    cluster.at(0.0, i.Note(1, 0, note, value))
+    cluster.after(0.0, i.Note(1, 0, note, value))
     offer = cluster.place("s")
     assert offer is not None and offer.machine == "n"
     return cluster
@@ -255,14 +257,14 @@
 
 def test_strain_steers_away_and_passes() -> None:
     cluster = strained(i.NoteKind.SERVED_SHARE, 0.4)
-    cluster.at(5000.0, full_list(entry("m"), entry("n", free_cores=20.0)), i.TimerFired("turn"))
+    cluster.after(5000.0, full_list(entry("m"), entry("n", free_cores=20.0)), i.TimerFired("turn"))
     later = cluster.place("s")
     assert later is not None and later.machine == "m"
 
 
 def test_memory_in_use_strains_but_never_counts_as_asked() -> None:
     cluster = strained(i.NoteKind.MACHINE_MEMORY, 1.0)
-    cluster.at(0.0, full_list(entry("m")))
+    cluster.after(0.0, full_list(entry("m")))
     assert cluster.place("s") is not None
 
 
@@ -271,7 +273,7 @@
         cluster = Cluster(settings(report_counts=counts), entry("m"))
         at_hand(cluster, "m")
         report = i.LoadReport(free_cores=0.0, free_memory=0.0)
-        cluster.at(0.0, i.Outcome(1, 0, i.Ending.OK, True, report=report))
+        cluster.after(0.0, i.Outcome(1, 0, i.Ending.OK, True, report=report))
         assert (cluster.place("s") is not None) is placed
 
 
@@ -281,7 +283,7 @@
     for _ in range(12):
         offer = cluster.place("s", cores=0.01, memory=0.01)
         assert offer is not None and offer.machine == "m"
-    cluster.at(10.0, i.TimerFired("turn"))
+    cluster.after(10.0, i.TimerFired("turn"))
     waiting = cluster.place("s", cores=0.01, memory=0.01)
     assert waiting is not None and waiting.machine == "n"
 
@@ -290,9 +292,9 @@
     def placed(use: float) -> int:
         cls = task_class(calm=0.8, fade=0.2)
         cluster = Cluster(settings(cls, accepts_cores=2.5, accepts_memory=2.0), entry("m"))
-        cluster.at(0.0, i.TaskFound(cluster.ask("old"), "m"))
+        cluster.after(0.0, i.TaskFound(cluster.task_request("old"), "m"))
         for _ in range(1500):
-            cluster.at(0.0, i.Note(1, 0, i.NoteKind.CORES_USED, use), i.Note(1, 0, i.NoteKind.MEMORY_USED, 2 * use))
+            cluster.after(0.0, i.Note(1, 0, i.NoteKind.CORES_USED, use), i.Note(1, 0, i.NoteKind.MEMORY_USED, 2 * use))
         return sum(cluster.place(f"s{n}", memory=0.1) is not None for n in range(100))
 
     assert placed(0.3) == 80
@@ -303,8 +305,8 @@
 def test_scarce_room_goes_to_the_task_of_more_worth() -> None:
     classes = task_class(worth=1.0), task_class(worth=9.0)
     cluster = Cluster(settings(*classes), entry("m", free_cores=1.0))
-    cheap, dear = cluster.ask("a"), cluster.ask("b", task_class=1)
-    assert [offer.request for offer in offers(cluster.at(0.0, cheap, dear))] == [dear.request]
+    cheap, dear = cluster.task_request("a"), cluster.task_request("b", task_class=1)
+    assert [offer.request for offer in offers(cluster.after(0.0, cheap, dear))] == [dear.request]
 
 
 @pytest.mark.parametrize(("n", "over_comes_second"), [(1, True), (3, True), (300, False)])
@@ -314,8 +316,8 @@
     own = 14.0 if n < 300 else 3.0  # three cores of one of 300 schedulers may be chance
     cluster = Cluster(config, entry("m", free_cores=own + 1.0))
     assert cluster.place("a", tenant=0, cores=own) is not None
-    over, within = cluster.ask("b", tenant=0), cluster.ask("c", tenant=1)
-    first = [offer.request for offer in offers(cluster.at(0.0, over, within))]
+    over, within = cluster.task_request("b", tenant=0), cluster.task_request("c", tenant=1)
+    first = [offer.request for offer in offers(cluster.after(0.0, over, within))]
     assert first == [within.request if over_comes_second else over.request]
 
 
@@ -323,17 +325,17 @@
     cluster = Cluster(settings(max_attempts=9), entry("m"))
     offer = cluster.place("a")
     assert offer is not None
-    cluster.end(offer, i.Ending.CONNECT_FAILED)
-    assert not offers(cluster.at(SUSPECT + 10.0, i.TimerFired("look")))
-    assert offers(cluster.at(3 * SUSPECT, i.TimerFired("look")))
+    cluster.report_outcome(offer, i.Ending.CONNECT_FAILED)
+    assert not offers(cluster.after(SUSPECT + 10.0, i.TimerFired("look")))
+    assert offers(cluster.after(3 * SUSPECT, i.TimerFired("look")))
 
 
 def test_a_held_task_is_placed_as_soon_as_there_is_room() -> None:
     cluster = Cluster(settings(), entry("m", free_cores=0.0))
-    asked = cluster.at(0.0, cluster.ask())
+    asked = cluster.after(0.0, cluster.task_request())
     assert not offers(asked) and not answers(asked) and "look" in timers(asked)
-    cluster.at(300.0, full_list(entry("m")))
-    assert len(offers(cluster.at(100.0, i.TimerFired("look")))) == 1
+    cluster.after(300.0, full_list(entry("m")))
+    assert len(offers(cluster.after(100.0, i.TimerFired("look")))) == 1
 
 
 def test_time_outs_follow_seen_accept_times() -> None:
@@ -343,7 +345,7 @@
     for _n in range(60):
         offer = cluster.place("s", later=50.0, cores=0.01, memory=0.01)
         assert offer is not None
-        cluster.at(20.0, i.Accepted(offer.request, 0, 20.0))
+        cluster.after(20.0, i.Accepted(offer.request, 0, 20.0))
     quick = cluster.place("s", cores=0.01, memory=0.01)
     assert quick is not None and quick.timeout < first.timeout
 
@@ -353,7 +355,7 @@
     cluster = Cluster(settings(), entry("m"))
     offer = cluster.place("s")
     assert offer is not None
-    assert offers(cluster.end(offer, i.Ending.RESET)), "tried again there, one offer at a time"
+    assert offers(cluster.report_outcome(offer, i.Ending.RESET)), "tried again there, one offer at a time"
     assert cluster.place("other") is None
 
 
@@ -372,7 +374,7 @@
     for _ in range(12):
         offer = cluster.place("s", later=50.0, cores=0.01, memory=0.01)
         assert offer is not None
-        cluster.at(20.0, i.Accepted(offer.request, 0, 20.0))
+        cluster.after(20.0, i.Accepted(offer.request, 0, 20.0))
     last = cluster.place("s", cores=0.01, memory=0.01)
     assert first is not None and last is not None and last.timeout < 0.7 * first.timeout
 
@@ -380,7 +382,7 @@
 def test_gone_machines_are_forgotten() -> None:
     cluster = Cluster(settings(), *(entry(f"m{n}") for n in range(9)))
     cluster.place("s")
-    cluster.at(10.0, full_list(entry("n")))
+    cluster.after(10.0, full_list(entry("n")))
     assert len(cluster.scheduler.machines) == 2  # the one listed, and the one with our offer
     offer = cluster.place("t")
     assert offer is not None and offer.machine == "n"
@@ -391,10 +393,10 @@
     offer = cluster.place()
     assert offer is not None
     cluster.accept(offer)
-    cluster.end(offer, i.Ending.OK, closed=True)
-    assert not cluster.end(offer, i.Ending.OK, closed=True)
+    cluster.report_outcome(offer, i.Ending.OK, closed=True)
+    assert not cluster.report_outcome(offer, i.Ending.OK, closed=True)
     assert not cluster.accept(offer)
-    assert not cluster.at(
+    assert not cluster.after(
         0.0,
         i.Note(99, 0, i.NoteKind.SERVED_SHARE, 0.5),
         i.Gone(99),
@@ -408,10 +410,10 @@
     offer = cluster.place("a")
     assert offer is not None
     cluster.accept(offer)
-    cluster.end(offer, i.Ending.RESET, closed=True, reason=i.Reason.SENT_AWAY)
-    cluster.at(9000.0, full_list(entry("m")))  # the late list still says ready
+    cluster.report_outcome(offer, i.Ending.RESET, closed=True, reason=i.Reason.SENT_AWAY)
+    cluster.after(9000.0, full_list(entry("m")))  # the late list still says ready
     assert cluster.place("b") is None
-    cluster.at(100.0, full_list(entry("m", started=cluster.now)))
+    cluster.after(100.0, full_list(entry("m", started=cluster.now)))
     assert cluster.place("c") is not None
 
 
@@ -421,9 +423,9 @@
         offer = cluster.place("a")
         assert offer is not None
         cluster.accept(offer)
-        cluster.end(offer, i.Ending.RESET, closed=True, reason=reason)
+        cluster.report_outcome(offer, i.Ending.RESET, closed=True, reason=reason)
         assert cluster.place("b") is None
-        assert len(offers(cluster.at(4000.0, i.TimerFired("look")))) == 1
+        assert len(offers(cluster.after(4000.0, i.TimerFired("look")))) == 1
 
 
 def test_without_any_view_the_others_are_taken_to_do_as_we_do() -> None:
@@ -432,7 +434,7 @@
     assert len(placed) == 11  # ten of ours count as thirty of 32 cores, eleven as more than all
     for offer in placed:
         cluster.accept(offer)
-        cluster.end(offer, i.Ending.OK, closed=True)
+        cluster.report_outcome(offer, i.Ending.OK, closed=True)
     assert not cluster.scheduler.machines["m"].ledger
     assert cluster.place("again") is not None
 
@@ -448,7 +450,7 @@
         assert offer is not None
         cluster.accept(offer, 5.0)
         if n % 10:
-            cluster.end(offer, i.Ending.OK, 5.0, closed=True)
+            cluster.report_outcome(offer, i.Ending.OK, 5.0, closed=True)
         longest = max(longest, len(machine.ledger))
     cores, memory = cluster.scheduler._asked(machine)
     assert (round(cores, 6), round(memory, 6)) == (60.0, 60.0)  # one in ten still runs
@@ -468,9 +470,9 @@
                 cluster.accept(offer, 1.0)
         while len(running) > 8:
             ending = rng.choice((i.Ending.OK, i.Ending.RESET))
-            cluster.end(running.pop(rng.randrange(len(running))), ending, 1.0, closed=True)
+            cluster.report_outcome(running.pop(rng.randrange(len(running))), ending, 1.0, closed=True)
         if rng.random() < 0.1:
-            cluster.at(1.0, full_list(entry("m", free_cores=20.0)))
+            cluster.after(1.0, full_list(entry("m", free_cores=20.0)))
         sums = [
             sum(sign * attempt.task.ask.cores for _, sign, attempt in machine.ledger),
             sum(sign * attempt.task.ask.memory for _, sign, attempt in machine.ledger),
@@ -484,9 +486,9 @@
     offer = cluster.place("s")
     assert offer is not None
     cluster.accept(offer)
-    cluster.at(1.0, i.MachineList(i.ListKind.DELTA, (entry("m", state=i.MachineState.GONE),)))
+    cluster.after(1.0, i.MachineList(i.ListKind.DELTA, (entry("m", state=i.MachineState.GONE),)))
     assert "m" in cluster.scheduler.machines
-    cluster.end(offer, i.Ending.RESET, closed=True)
+    cluster.report_outcome(offer, i.Ending.RESET, closed=True)
     assert "m" not in cluster.scheduler.machines
     assert all(machine.entry.machine != "m" for machine in cluster.scheduler.order("s"))
 
@@ -503,11 +505,11 @@
         known = scheduler.machines.get(name)
         kind = rng.randrange(2) if known is None or rng.random() < 0.1 else known.entry.kind
         if state is not GONE or known is not None:
-            cluster.at(10.0, i.MachineList(i.ListKind.DELTA, (entry(name, state=state, kind=kind),)))
+            cluster.after(10.0, i.MachineList(i.ListKind.DELTA, (entry(name, state=state, kind=kind),)))
         if rng.random() < 0.3:
             offer = cluster.place(f"s{rng.randrange(4)}", cores=0.01, memory=0.01)
             if offer is not None and rng.random() < 0.7:
-                cluster.at(1.0, i.Outcome(offer.request, 0, i.Ending.RESET, True))
+                cluster.after(1.0, i.Outcome(offer.request, 0, i.Ending.RESET, True))
         for service in [f"s{n}" for n in range(4) if rng.random() < 0.2 or step == 299]:
             kept = [machine.entry.machine for machine in scheduler.order(service)]
             anew = sorted(
@@ -533,8 +535,10 @@
 
     monkeypatch.setattr(Scheduler, "place", counted)
     came = [entry(f"n{n}", started=cluster.now) for n in range(5)]
-    cluster.at(2000.0, i.MachineList(i.ListKind.DELTA, (*came, entry("m0", state=DRAINING), entry("m1", state=GONE))))
+    cluster.after(
+        2000.0, i.MachineList(i.ListKind.DELTA, (*came, entry("m0", state=DRAINING), entry("m1", state=GONE)))
+    )
     for n in range(services):
-        cluster.at(1.0, cluster.ask(f"s{n}", cores=0.01, memory=0.01))
-    cluster.at(0.0, i.TimerFired("turn"))
+        cluster.after(1.0, cluster.task_request(f"s{n}", cores=0.01, memory=0.01))
+    cluster.after(0.0, i.TimerFired("turn"))
     assert services <= placed[0] <= services * 2 * 6, "each service looks at those that moved, twice at the most"
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -51,7 +51,7 @@
         return entry(name, cell=cell, zone=zone, state=self.state[name], started=self.started[name])
 
     def feed(self, *events: i.Event) -> None:
-        self.check(self.cluster.at(0.0, *events))
+        self.check(self.cluster.after(0.0, *events))
 
     def check(self, actions: list[i.Action]) -> None:
         for action in actions:
@@ -143,7 +143,7 @@
         live = judge.open()
         if word == "ask":
             number = other % len(CLASSES)
-            ask = judge.cluster.ask(f"c{number}s{pick % 3}", task_class=number, left=50.0 + pick % 3000)
+            ask = judge.cluster.task_request(f"c{number}s{pick % 3}", task_class=number, left=50.0 + pick % 3000)
             judge.asks[ask.request] = (ask, judge.cluster.now + ask.left)
             judge.sent[ask.request] = []
             judge.feed(ask)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,21 +25,21 @@
 
 def test_a_task_that_finds_no_machine_is_refused_before_its_time_is_up() -> None:
     cluster = Cluster(settings())
-    asked = cluster.at(0.0, cluster.ask(left=1000.0))
+    asked = cluster.after(0.0, cluster.task_request(left=1000.0))
     due = timers(asked)["answer:1"]
     assert 990.0 <= due < 1000.0
     assert not offers(asked)
-    final = answers(cluster.at(due, i.TimerFired("answer:1")))
+    final = answers(cluster.after(due, i.TimerFired("answer:1")))
     assert [type(action) for action in final] == [i.Refuse]
-    assert not cluster.at(5.0, i.TimerFired("answer:1"), i.TimerFired("look"))
+    assert not cluster.after(5.0, i.TimerFired("answer:1"), i.TimerFired("look"))
 
 
 def test_an_offer_without_an_outcome_is_answered_in_time_and_only_once() -> None:
     cluster = Cluster(settings(task_class(effect=i.Effect.UNSAFE)), entry("m"))
     offer = cluster.place(left=1000.0)
     assert offer is not None and offer.timeout <= 1000.0
-    assert answers(cluster.at(998.0, i.TimerFired("answer:1"))) == [i.Fail(1)]
-    assert not cluster.end(offer, i.Ending.TIMEOUT)
+    assert answers(cluster.after(998.0, i.TimerFired("answer:1"))) == [i.Fail(1)]
+    assert not cluster.report_outcome(offer, i.Ending.TIMEOUT)
 
 
 def test_an_accepted_task_gets_no_further_answer() -> None:
@@ -47,17 +47,17 @@
     offer = cluster.place()
     assert offer is not None
     cluster.accept(offer)
-    assert not cluster.at(7993.0, i.TimerFired("answer:1"))
-    assert not cluster.end(offer, i.Ending.OK, closed=True)
+    assert not cluster.after(7993.0, i.TimerFired("answer:1"))
+    assert not cluster.report_outcome(offer, i.Ending.OK, closed=True)
 
 
 def test_attempts_used_up_end_in_an_answer() -> None:
     cluster = Cluster(settings(max_attempts=2), entry("m"), entry("n"))
     offer = cluster.place()
     assert offer is not None
-    second = offers(cluster.end(offer, i.Ending.FULL, reason=i.Reason.NO_CORES))
+    second = offers(cluster.report_outcome(offer, i.Ending.FULL, reason=i.Reason.NO_CORES))
     assert len(second) == 1 and second[0].machine != offer.machine
-    last = cluster.end(second[0], i.Ending.FULL, attempt=1, reason=i.Reason.NO_CORES)
+    last = cluster.report_outcome(second[0], i.Ending.FULL, attempt=1, reason=i.Reason.NO_CORES)
     assert [type(action) for action in answers(last)] == [i.Refuse]
 
 
@@ -66,7 +66,7 @@
     cluster = Cluster(settings(task_class(effect=i.Effect.UNSAFE)), entry("m"), entry("n"))
     offer = cluster.place()
     assert offer is not None
-    actions = cluster.end(offer, ending)
+    actions = cluster.report_outcome(offer, ending)
     assert not offers(actions) and answers(actions) == [i.Fail(1)]
 
 
@@ -75,21 +75,21 @@
     cluster = Cluster(settings(task_class(effect=i.Effect.UNSAFE)), entry("m"), entry("n"))
     offer = cluster.place()
     assert offer is not None
-    assert len(offers(cluster.end(offer, ending, reason=i.Reason.UNTOLD))) == 1
+    assert len(offers(cluster.report_outcome(offer, ending, reason=i.Reason.UNTOLD))) == 1
 
 
 def test_a_keyed_task_that_may_run_stays_in_its_cell_and_its_window() -> None:
     cluster = Cluster(settings(task_class(**KEYED_CELL), max_attempts=4), entry("m", cell=1), entry("n", cell=2))
     offer = cluster.place()
     assert offer is not None
-    again = offers(cluster.end(offer, i.Ending.TIMEOUT))
+    again = offers(cluster.report_outcome(offer, i.Ending.TIMEOUT))
     assert [action.machine for action in again] == [offer.machine]
-    assert not offers(cluster.at(0.0, i.Outcome(1, 1, i.Ending.TIMEOUT, False)))
+    assert not offers(cluster.after(0.0, i.Outcome(1, 1, i.Ending.TIMEOUT, False)))
     twin = entry("twin", cell=1 if offer.machine == "m" else 2)
-    cluster.at(0.0, full_list(entry("m", cell=1), entry("n", cell=2), twin))
-    again = offers(cluster.at(100.0, i.TimerFired("look")))
+    cluster.after(0.0, full_list(entry("m", cell=1), entry("n", cell=2), twin))
+    again = offers(cluster.after(100.0, i.TimerFired("look")))
     assert [action.machine for action in again] == ["twin"]
-    late = cluster.at(5000.0, i.Outcome(1, 2, i.Ending.TIMEOUT, False))
+    late = cluster.after(5000.0, i.Outcome(1, 2, i.Ending.TIMEOUT, False))
     assert not offers(late) and answers(late) == [i.Fail(1)]
 
 
@@ -97,44 +97,44 @@
     cluster = Cluster(settings(task_class(**KEYED_CELL)), entry("m", cell=1))
     offer = cluster.place()
     assert offer is not None
-    cluster.at(10.0, full_list(entry("other", cell=2)))
-    assert not offers(cluster.end(offer, i.Ending.TIMEOUT))
-    cluster.at(10.0, i.MachineList(i.ListKind.DELTA, (entry("twin", cell=1),)))
-    again = offers(cluster.at(100.0, i.TimerFired("look")))
+    cluster.after(10.0, full_list(entry("other", cell=2)))
+    assert not offers(cluster.report_outcome(offer, i.Ending.TIMEOUT))
+    cluster.after(10.0, i.MachineList(i.ListKind.DELTA, (entry("twin", cell=1),)))
+    again = offers(cluster.after(100.0, i.TimerFired("look")))
     assert [action.machine for action in again] == ["twin"]
 
 
 def test_one_attempt_is_out_at_a_time() -> None:
     cluster = Cluster(settings(), entry("m"), entry("n"))
     assert cluster.place() is not None
-    assert not offers(cluster.at(100.0, i.TimerFired("look")))
-    assert not offers(cluster.at(100.0, i.TimerFired("turn")))
+    assert not offers(cluster.after(100.0, i.TimerFired("look")))
+    assert not offers(cluster.after(100.0, i.TimerFired("turn")))
 
 
 @pytest.mark.parametrize("state", [DRAINING, GONE])
 def test_nothing_goes_to_a_machine_that_drains_or_is_gone(state: i.MachineState) -> None:
     cluster = Cluster(settings(), entry("m"))
     assert cluster.place() is not None
-    cluster.at(0.0, i.MachineList(i.ListKind.DELTA, (entry("m", state=state),)))
+    cluster.after(0.0, i.MachineList(i.ListKind.DELTA, (entry("m", state=state),)))
     assert cluster.place() is None
-    cluster.at(0.0, i.MachineList(i.ListKind.DELTA, (entry("m"),)))
+    cluster.after(0.0, i.MachineList(i.ListKind.DELTA, (entry("m"),)))
     assert cluster.place() is not None
 
 
 def test_a_machine_missing_from_a_whole_list_is_gone() -> None:
     cluster = Cluster(settings(), entry("m"))
-    cluster.at(0.0, full_list(entry("n", started=1.0)))
+    cluster.after(0.0, full_list(entry("n", started=1.0)))
     offer = cluster.place()
     assert offer is not None and offer.machine == "n"
 
 
 def test_a_failed_list_leaves_the_old_one_in_force() -> None:
     cluster = Cluster(settings(list_mode=i.ListMode.ASK), entry("m"))
-    assert i.Subscribe() in cluster.at(timers(cluster.first)["list"], i.TimerFired("list"))
-    failed = cluster.at(0.0, i.MachineList(i.ListKind.FAILED))
+    assert i.Subscribe() in cluster.after(timers(cluster.first)["list"], i.TimerFired("list"))
+    failed = cluster.after(0.0, i.MachineList(i.ListKind.FAILED))
     wait = timers(failed)["list"]
     assert 0.0 < wait < 10000.0
-    assert i.Subscribe() in cluster.at(wait, i.TimerFired("list"))
+    assert i.Subscribe() in cluster.after(wait, i.TimerFired("list"))
     assert cluster.place() is not None
 
 
@@ -142,13 +142,13 @@
 def test_a_cold_machine_gets_its_share_in_any_window_refused_offers_too(tick: float) -> None:
     """Also on the wire, where a decision of a busy process goes out up to two ticks late and the next one at once."""
     cluster = Cluster(settings(tick=tick), entry("m", free_cores=0.0))
-    cluster.at(10.0, i.MachineList(i.ListKind.DELTA, (entry("cold", started=100005.0),)))
+    cluster.after(10.0, i.MachineList(i.ListKind.DELTA, (entry("cold", started=100005.0),)))
     sent = []
     for step in range(160):
         offer = cluster.place(f"s{step}", later=25.0)
         if offer is not None:
             sent.append(cluster.now)
-            cluster.end(offer, i.Ending.FULL, later=0.0, reason=i.Reason.QUEUE_FULL)
+            cluster.report_outcome(offer, i.Ending.FULL, later=0.0, reason=i.Reason.QUEUE_FULL)
     assert sent
     for first in sent:
         assert sum(first <= moment < first + 2000.0 + 2 * tick for moment in sent) <= 12 / 3
@@ -159,13 +159,13 @@
     clusters = [Cluster(settings(number=number, n_instances=n, cold_bears=bears), seed=number) for number in range(n)]
     cold, sent = entry("cold", started=100001.0), []
     for cluster in clusters:
-        cluster.at(10.0, full_list(cold))
+        cluster.after(10.0, full_list(cold))
     for _ in range(56):
         for cluster in clusters:
             offer = cluster.place("s", later=250.0, cores=0.001, memory=0.001, left=150.0)
             if offer is not None:
                 sent.append(cluster.now)
-                cluster.end(offer, i.Ending.FULL, later=0.0, reason=i.Reason.QUEUE_FULL)
+                cluster.report_outcome(offer, i.Ending.FULL, later=0.0, reason=i.Reason.QUEUE_FULL)
     sent.sort()
     most = max((sum(first <= moment < first + 2000.0 for moment in sent) for first in sent), default=0)
     assert most <= bears
@@ -176,13 +176,13 @@
 def test_an_offer_to_a_cold_machine_counts_until_a_window_after_its_answer(ending: i.Ending | None) -> None:
     """It may have waited a second for its connection: the next one would find it in the same window there."""
     cluster = Cluster(settings(cold_bears=3.0), entry("m", free_cores=0.0))
-    cluster.at(10.0, i.MachineList(i.ListKind.DELTA, (entry("cold", started=100005.0),)))
+    cluster.after(10.0, i.MachineList(i.ListKind.DELTA, (entry("cold", started=100005.0),)))
     first = cluster.place("a")
     assert first is not None
     if ending is None:
         cluster.accept(first, later=1000.0)
     else:
-        cluster.end(first, ending, later=1000.0, reason=i.Reason.QUEUE_FULL)
+        cluster.report_outcome(first, ending, later=1000.0, reason=i.Reason.QUEUE_FULL)
     answered = cluster.now
     cluster.scheduler.machines["cold"].doubts.clear()
     cluster.place("b", later=5.0)
@@ -202,15 +202,15 @@
     full, cold = entry("m", free_cores=0.0), entry("cold", started=100005.0)
     before = i.MachineList(i.ListKind.DELTA, (entry("cold", state=GONE, started=other_start),))
     cluster = Cluster(settings(cold_bears=3.0), full)
-    cluster.at(10.0, full_list(full, cold))
+    cluster.after(10.0, full_list(full, cold))
     first = cluster.place("a")
     assert first is not None
     cluster.accept(first)
-    cluster.at(5.0, i.Outcome(first.request, 0, i.Ending.OK, True))
-    cluster.at(100.0, full_list(full) if whole else before)
-    cluster.at(100.0, i.MachineList(i.ListKind.DELTA, (replace(cold, started=other_start),)))
+    cluster.after(5.0, i.Outcome(first.request, 0, i.Ending.OK, True))
+    cluster.after(100.0, full_list(full) if whole else before)
+    cluster.after(100.0, i.MachineList(i.ListKind.DELTA, (replace(cold, started=other_start),)))
     assert cluster.place("b") is None
-    assert len(offers(cluster.at(2000.0, i.TimerFired("look")))) == 1
+    assert len(offers(cluster.after(2000.0, i.TimerFired("look")))) == 1
 
 
 @pytest.mark.parametrize(("bears", "at_first", "later"), [(100.0, 41, 50), (24.0, 12, 12)])
@@ -219,43 +219,43 @@
 ) -> None:
     """With half as many from those who were not told, 3 / 2 of what was told to 82 of 100 is what chance explains."""
     cluster = Cluster(settings(n_instances=2, cold_bears=bears), entry("m", free_cores=0.0))
-    cluster.at(10.0, i.MachineList(i.ListKind.DELTA, (entry("cold", started=100005.0),)))
+    cluster.after(10.0, i.MachineList(i.ListKind.DELTA, (entry("cold", started=100005.0),)))
 
     def sent_at_once() -> int:
-        asks = [cluster.ask(f"s{n}", cores=0.01, memory=0.01, left=1000.0) for n in range(60)]
-        sent = offers(cluster.at(0.0, *asks))
+        asks = [cluster.task_request(f"s{n}", cores=0.01, memory=0.01, left=1000.0) for n in range(60)]
+        sent = offers(cluster.after(0.0, *asks))
         done: list[i.Event] = [i.Accepted(offer.request, 0, 1.0) for offer in sent]
-        cluster.at(1.0, *done, *(i.Outcome(offer.request, 0, i.Ending.OK, True) for offer in sent))
-        cluster.at(1000.0, *(i.TimerFired(f"answer:{ask.request}") for ask in asks))
+        cluster.after(1.0, *done, *(i.Outcome(offer.request, 0, i.Ending.OK, True) for offer in sent))
+        cluster.after(1000.0, *(i.TimerFired(f"answer:{ask.request}") for ask in asks))
         return len(sent)
 
     assert sent_at_once() == at_first
-    cluster.at(1500.0)
+    cluster.after(1500.0)
     assert sent_at_once() == at_first
-    cluster.at(2000.0)
+    cluster.after(2000.0)
     assert sent_at_once() == later
 
 
 def test_a_cold_machine_that_has_gone_is_forgotten_once_it_would_be_warm() -> None:
     cluster = Cluster(settings(), entry("m"))
-    cluster.at(10.0, full_list(entry("m"), entry("cold", started=100005.0)))
-    cluster.at(10.0, full_list(entry("m")))
+    cluster.after(10.0, full_list(entry("m"), entry("cold", started=100005.0)))
+    cluster.after(10.0, full_list(entry("m")))
     assert set(cluster.scheduler.machines) == {"m", "cold"}
-    cluster.at(15_000.0, i.TimerFired("turn"))
+    cluster.after(15_000.0, i.TimerFired("turn"))
     assert set(cluster.scheduler.machines) == {"m"}
 
 
 def test_a_restarted_scheduler_counts_the_cold_allowance_as_spent() -> None:
     cluster = Cluster(settings(), entry("cold", started=99000.0))
     assert cluster.place() is None
-    assert len(offers(cluster.at(2000.0, i.TimerFired("look")))) == 1
+    assert len(offers(cluster.after(2000.0, i.TimerFired("look")))) == 1
 
 
 @pytest.mark.parametrize(("place", "most"), [(i.Place.MACHINE, 2), (i.Place.CELL, 3), (i.Place.ZONE, 4)])
 def test_spread_counts_offers_running_and_found_tasks(place: i.Place, most: int) -> None:
     machines = [entry(f"m{n}", cell=n // 2, zone=n // 4) for n in range(8)]
     cluster = Cluster(settings(task_class(spread=place, most=most)), *machines)
-    cluster.at(0.0, i.TaskFound(cluster.ask(), "m0"))
+    cluster.after(0.0, i.TaskFound(cluster.task_request(), "m0"))
     count: dict[object, int] = {"m0" if place is i.Place.MACHINE else 0: 1}
     for _ in range(60):
         offer = cluster.place()
@@ -269,7 +269,7 @@
 
 def test_a_found_task_on_an_unlisted_machine_counts_everywhere() -> None:
     cluster = Cluster(settings(task_class(spread=i.Place.ZONE, most=1)), entry("m"))
-    cluster.at(0.0, i.TaskFound(cluster.ask(), "unlisted"))
+    cluster.after(0.0, i.TaskFound(cluster.task_request(), "unlisted"))
     assert cluster.place() is None
 
 
@@ -278,15 +278,15 @@
 def test_odd_sizes_and_everything_at_once_end_in_one_answer_each(n: int, number: int, machines: int) -> None:
     config = settings(n_instances=n, number=number, cold_bears=2.0)
     cluster = Cluster(config, *(entry(f"m{k}", started=99999.0) for k in range(machines)))
-    found = [i.TaskFound(cluster.ask("f", left=1.0), f"unknown{k}") for k in range(3)]
-    asks = [cluster.ask(f"s{k % 3}", left=500.0) for k in range(20)]
-    actions = cluster.at(0.0, *found, *asks)
+    found = [i.TaskFound(cluster.task_request("f", left=1.0), f"unknown{k}") for k in range(3)]
+    asks = [cluster.task_request(f"s{k % 3}", left=500.0) for k in range(20)]
+    actions = cluster.after(0.0, *found, *asks)
     due = [i.TimerFired(name) for name in timers(actions)]
     sent = [offer.request for offer in offers(actions)]
     accepted = set(sent[:1])
     late: list[i.Event] = [i.Outcome(request, 0, i.Ending.TIMEOUT, False) for request in sent[1:]]
     late += [i.Accepted(request, 0, 3000.0) for request in accepted]
     late += [i.Outcome(event.request.request, 0, i.Ending.RESET, True) for event in found]
-    final = answers(cluster.at(3000.0, *late, *due, *late, *due))
+    final = answers(cluster.after(3000.0, *late, *due, *late, *due))
     assert sorted(a.request for a in final) == sorted({ask.request for ask in asks} - accepted)
-    assert not cluster.at(10.0, *late, *(timer for timer in due if timer.name != "turn"))
+    assert not cluster.after(10.0, *late, *(timer for timer in due if timer.name != "turn"))
