--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -86,7 +86,7 @@
     def start(self) -> None:
         """Begin; the seat is known before any list is."""
         self.driver.update_slot()
-        self.loop.on_gap(self.roster.pause_recovery.min_pause_ms, self.roster.on_pause)
+        self.loop.on_stall(self.roster.pause_recovery.min_pause_ms, self.roster.on_pause)
         self.loop.call_later(SETTLED_RETENTION_MS / 2, self._tidy)
 
     def _tidy(self) -> None:
--- a/tests/node/test_stop.py
+++ b/tests/node/test_stop.py
@@ -131,7 +131,7 @@
         reader.transport.write(setup(SIDS[2]))
         platform.service._finish()
         yield from wait_for(lambda: any('"end"' in line for line in platform.lines), 5000)
-        assert platform.loop.now() - began < LINGER_MS + 1000 and link.transport.gone
+        assert platform.loop.now() - began < LINGER_MS + 1000 and link.transport.socket_closed
         yield from wait_for(lambda: reader.ended)
         assert [m.kind for m in messages_for(reader, SIDS[2])] == [Kind.RELEASE]
         owner.close()
