--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -117,7 +117,7 @@
     def _before(self) -> None:
         """Ahead of each batch for the module: what has changed about machines, and the asks whose turn it is."""
         self.roster.publish_changes()
-        self.intake.take_up()
+        self.intake.dequeue_tasks()
 
     def _carry(self, action: i.Offer | i.Refuse | i.Fail) -> None:
         if isinstance(action, i.Offer):
--- a/sprucepost/placing/attempts.py
+++ b/sprucepost/placing/attempts.py
@@ -1,8 +1,8 @@
-"""An attempt from the module's decision to its end, and the two things that every offer's truth hangs on.
+"""An attempt from the scheduler's decision to its end.
 
-An offer is for one life of a machine and for a time that runs from the decision on. It may wait before it is written: for
-a stream, for room in one, for the session to be resumed. So an offer is not a frame that lies in a queue; it is made by
-:meth:`Attempts.build_offer` at the moment at which it goes out, with what is left of its time, or not at all.
+An offer holds for one incarnation of a machine and for a time that starts at the decision. It may wait before it is
+written: for a stream, for space in one, for the session to be resumed. So no offer frame waits in a queue; the frame is
+built by :meth:`Attempts.build_offer` at the moment it is sent, with the time that is left, or not at all.
 """
 
 from __future__ import annotations
@@ -29,7 +29,11 @@
 
 
 class Attempt:
-    """One attempt: waiting to be written, written, then accepted or over."""
+    """One attempt: waiting to be written, written, then accepted or ended.
+
+    ``incarnation`` of the machine (0: not known); ``decided_at`` and ``deadline`` in ms on the loop's clock; ``turn``: the
+    loop's turn in which the attempt was decided.
+    """
 
     __slots__ = (
         "accepted",
@@ -61,7 +65,7 @@
 
 
 class Attempts:
-    """All attempts of a placer. ``machines`` is set by whoever puts the parts together."""
+    """All attempts of a placer. ``machines`` is set by the code that assembles the placer."""
 
     machines: MachinesPort
 
@@ -69,20 +73,22 @@
         self, loop: Loop, driver: SchedulerDriver, reporter: OutcomeReporter, min_left_ms: float, counters: Counter[str]
     ) -> None:
         self.loop, self._driver, self._reporter = loop, driver, reporter
-        self._min_left_ms = min_left_ms  # an offer that has waited is not worth writing with less left than this
+        self._min_left_ms = min_left_ms  # a delayed offer with less time left is not written
         self.counters = counters
         self.refusals: Counter[str] = Counter()
-        self.closed_machines: set[str] = set()  # machines that must get nothing new now
-        self.cold_until: dict[str, float] = {}  # on the desk's clock
+        self.closed_machines: set[str] = set()  # machines that must not get new offers now
+        self.cold_until: dict[str, float] = {}  # by machine, in ms on the scheduler driver's clock
         self._by_key: dict[Key, Attempt] = {}
         self._by_machine: dict[str, dict[Key, Attempt]] = {}
 
-    # Looking
+    # Look-up
 
     def get(self, key: Key) -> Attempt | None:
+        """The attempt of that key, until it has ended."""
         return self._by_key.get(key)
 
     def on_machine(self, machine: str) -> list[tuple[Key, Attempt]]:
+        """The attempts on that machine."""
         return list(self._by_machine.get(machine, {}).items())
 
     def __iter__(self) -> Iterator[Attempt]:
@@ -91,10 +97,10 @@
     # Sending offers
 
     def offer(self, action: i.Offer) -> None:
-        """The module has decided: the attempt begins."""
+        """Begin the attempt that the scheduler has decided on."""
         entry, link = self._reporter.ledger.by_request(action.request), self.machines.get(action.machine)
         if entry is None or entry.outcome is not Outcome.OPEN:
-            raise AssertionError(f"an offer for request {action.request}, which is over")
+            raise AssertionError(f"offer for request {action.request}, which is not open")
         now = self.loop.now()
         incarnation = link.machine_incarnation if link is not None else 0
         attempt = Attempt(
@@ -105,7 +111,7 @@
         entry.pending_attempt = attempt.number
         self._add(key, attempt)
         self.counters["offers"] += 1
-        if link is None:  # listed without an address that can be used
+        if link is None:  # listed without a usable address
             self.end(key, attempt, i.Ending.CONNECT_FAILED)
             return
         attempt.timer = self.loop.call_later(action.timeout, lambda: self._expire(key))
@@ -117,13 +123,14 @@
         self._by_machine.setdefault(attempt.machine, {})[key] = attempt
 
     def build_offer(self, key: Key, incarnation: int) -> machine_pb2.Offer | None:
-        """The offer as it is to go out now to that life of its machine; None where it must not.
+        """The offer frame to send now to that incarnation of its machine, or None if it must not be sent.
+
+        It must not be sent once its attempt has ended, where the machine takes no new work, to another incarnation than
+        the one it was decided for, to a cold machine in a later turn than the decision's, or with so little time left
+        that it could not be answered. Delayed offers that were sent with their original time-out led to two concurrent
+        attempts, and a machine that came back cold got what was meant for the warm one.
 
-        It must not once its attempt is over, where the machine takes nothing new, for another life than the one that it was
-        decided for, to a cold machine at another time than it was decided for, or with so little time left that it could
-        not be answered. Offers that went out with their first time-out after a wait had two attempts out at once, and a
-        machine that came back cold got what was meant for the warm one. None is not the attempt's end: its time-out, or the
-        machine's attach, is.
+        None does not end the attempt: its time-out does, or the machine's next attach.
         """
         attempt = self._by_key.get(key)
         if (
@@ -134,7 +141,7 @@
         ):
             return None
         if attempt.turn != self.loop.turns and self._driver.now() < self.cold_until.get(attempt.machine, 0.0):
-            return None  # what a cold machine bears is reckoned from the decision: later, it is somebody else's share
+            return None  # a cold machine's allowance counts from the decision; later it is another placer's share
         left = attempt.deadline - self.loop.now()
         if left < min(self._min_left_ms, (attempt.deadline - attempt.decided_at) / 2):
             return None
@@ -168,7 +175,7 @@
         reason: i.Reason = i.Reason.UNTOLD,
         load: machine_pb2.Load | None = None,
     ) -> None:
-        """The attempt is over: tell the module, once."""
+        """End the attempt and tell the scheduler, once."""
         self._by_key.pop(key, None)
         self._by_machine.get(attempt.machine, {}).pop(key, None)
         if attempt.timer is not None:
@@ -181,10 +188,10 @@
         closed = attempt.accepted or attempt.entry.outcome is not Outcome.OPEN
         self._driver.push(i.Outcome(key[0], key[1], ending, closed, reason, report))
 
-    # Words of a machine on an attempt
+    # Messages of a machine about one attempt
 
     def on_frame(self, key: Key, attempt: Attempt, frame: machine_pb2.FromMachine) -> None:
-        """A new frame about an attempt that is known."""
+        """Handle a new frame about a known attempt."""
         kind = frame.WhichOneof("body")
         if kind == "refused":
             if not attempt.accepted:
@@ -193,7 +200,7 @@
                 self.refusals[reason.name.lower()] += 1
                 self.end(key, attempt, i.Ending.FULL, reason, frame.load)
             return
-        if not attempt.accepted:  # where the answer itself was lost, that the machine holds the task says as much
+        if not attempt.accepted:  # the acceptance was lost, but the frame shows that the machine holds the task
             self.accept(key, attempt)
         if not attempt.accepted:
             return
@@ -206,12 +213,12 @@
             self._ended(key, attempt, frame)
 
     def accept(self, key: Key, attempt: Attempt) -> None:
-        """The machine holds the task."""
+        """Mark the attempt as accepted: the machine holds the task."""
         self._drop(attempt.machine, key)
         entry = attempt.entry
         if attempt.timer is not None:
             attempt.timer.cancel()
-        if entry.outcome is not Outcome.OPEN:  # answered or cancelled while the offer was out
+        if entry.outcome is not Outcome.OPEN:  # settled or cancelled while the offer was pending
             self.withdraw(attempt.machine, key[0], key[1], self.machines.incarnation)
             self.end(key, attempt, i.Ending.CANCELLED)
             return
@@ -251,14 +258,14 @@
         self._reporter.report_end(attempt.entry, pb.Ended(how=reported, reason=frame.ended.reason))
 
     def report_lost(self, key: Key, attempt: Attempt) -> None:
-        """A placed task went with its machine."""
+        """End a placed task that was lost with its machine, and report it."""
         self.end(key, attempt, i.Ending.RESET)
         self._reporter.report_end(attempt.entry, pb.Ended(how=pb.Ended.LOST))
 
-    # Words of a machine on all that it holds
+    # Messages of a machine about all tasks that it holds
 
     def on_attached(self, machine: str, held: dict[Key, bool], restarted: bool) -> None:
-        """The machine attached with a new session; ``held`` are the attempts that it names, and whether they run."""
+        """Handle an attach with a new session; ``held``: the attempts that the machine names, and whether each runs."""
         for key, attempt in self.on_machine(machine):
             if key in held:
                 if not attempt.accepted:
@@ -267,12 +274,12 @@
                     self._driver.push(i.StatusNote(key[0], key[1], i.StatusKind.RUNNING, 1.0))
             elif attempt.accepted:
                 self.report_lost(key, attempt)
-            elif restarted:  # an offer that never went out was for the life before, and is for no other
+            elif restarted:  # an unsent offer was for the previous incarnation and is not valid for another
                 self._drop(machine, key)
                 self.end(key, attempt, i.Ending.RESET if attempt.written else i.Ending.VOID)
 
     def on_machine_gone(self, machine: str) -> None:
-        """The machine is gone for good: what it held is lost."""
+        """Handle the removal of a machine: the tasks that it held are lost."""
         for key, attempt in self.on_machine(machine):
             if attempt.accepted:
                 self.report_lost(key, attempt)
@@ -281,7 +288,7 @@
         self._by_machine.pop(machine, None)
 
     def set_closed(self, machine: str, closed: bool) -> None:
-        """The machine must get nothing new from now on, or may again."""
+        """Stop new offers to the machine, or allow them again."""
         link = self.machines.get(machine)
         if not closed:
             self.closed_machines.discard(machine)
@@ -292,16 +299,16 @@
             link.close_to_offers(closed)
 
     def drop_unwritten(self, machine: str) -> None:
-        """What was not written never will be, and never ran: the module may decide anew."""
+        """End attempts whose offers were not written. They never ran, so the scheduler may decide again."""
         for key, attempt in self.on_machine(machine):
             if not attempt.written and not attempt.accepted:
                 self._drop(machine, key)
                 self.end(key, attempt, i.Ending.VOID)
 
-    # Tasks that were found running
+    # Tasks found running
 
     def adopt(self, machine: str, held: machine_pb2.Held, entry: Entry, request: i.TaskRequest) -> None:
-        """The task runs on that machine and is this placer's from now on."""
+        """Take over a task that already runs on that machine."""
         link = self.machines.get(machine)
         attempt = Attempt(
             entry, 0, machine, link.machine_incarnation if link is not None else 0, self.loop.now(), math.inf
@@ -322,7 +329,7 @@
         self._reporter.report(entry, bound=pb.Bound(machine=machine, attempt=held.attempt, found=True))
 
     def withdraw(self, machine: str, request: int, attempt: int, incarnation: int) -> None:
-        """Have the machine drop that offer or stop that task."""
+        """Tell the machine to drop that offer or to stop that task."""
         link = self.machines.get(machine)
         if link is not None:
             self.counters["withdrawn"] += 1
--- a/sprucepost/placing/fleet_driver.py
+++ b/sprucepost/placing/fleet_driver.py
@@ -1,6 +1,7 @@
-"""A desk that knows its seat: which part of a cold machine's allowance is this placer's while the fleet's size changes.
+"""A scheduler driver that knows this placer's slot while the fleet's size changes.
 
-``now`` is brought to the list's own time besides: a host whose clock is far off takes no seat.
+The slot determines which part of a cold machine's allowance belongs to this placer. ``now`` is also corrected to the
+list's time: a host whose clock is too far off takes no slot.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class FleetSchedulerDriver(SchedulerDriver):
-    """The desk of a fleet whose size may change while it runs."""
+    """The scheduler driver of a placer in a fleet whose size may change at run time."""
 
     def __init__(
         self,
@@ -32,38 +33,39 @@
         super().__init__(loop, settings, seed, slew, ask_list, log, counters)
         self._number = settings.number
         self._generation, self.side = generation, Side.NEW
-        self._all_informed, self._disputed = True, False  # as long as no view says otherwise
+        self._all_informed, self._disputed = True, False  # until the fleet's view reports otherwise
         self._guard = ClockGuard(clock_apart_ms)
         self._slot_timer: Timer | None = None
 
     def now(self) -> float:
-        """Aligned wall-clock ms, on the list's time."""
+        """Aligned wall-clock time in ms, corrected to the list's time."""
         return self._clock.read(self.loop.now(), self.loop.wall() - self._guard.lead_ms)
 
     @property
     def stance(self) -> Stance:
+        """This placer's current position in the change of the fleet's size."""
         return stance(self._generation, self._number, self.side, self.now(), self._all_informed)
 
     def set_generation(self, generation: Generation, side: Side) -> None:
-        """Another generation, from a reload of the settings."""
+        """Apply the generation of reloaded settings."""
         self._generation, self.side = generation, side
         self.update_slot()
 
     def set_fleet_view(self, all_informed: bool, disputed: bool) -> None:
-        """What the fleet's view says of this generation: whether all have heard of it, and whether some hold another."""
+        """Apply what the fleet's view reports of this generation: whether all members know it, and whether any disagree."""
         if (all_informed, disputed) != (self._all_informed, self._disputed):
             self._all_informed, self._disputed = all_informed, disputed
             self._log("generation_seen", told=all_informed, disputed=disputed)
             self.update_slot()
 
     def check_list_time(self, list_ms: float) -> None:
-        """The list's own clock, against this one."""
+        """Compare the list's clock, in ms, with this host's."""
         if self._guard.hear(self.now(), self.loop.wall(), list_ms):
             self._log("clock_off" if self._guard.off else "clock_good", host_leads_ms=round(self._guard.lead_ms))
             self.update_slot()
 
     def update_slot(self) -> None:
-        """Tell the module where we sit, now and whenever that changes by itself."""
+        """Tell the scheduler this placer's slot, now and again when the next scheduled change is due."""
         if self._slot_timer is not None:
             self._slot_timer.cancel()
             self._slot_timer = None
--- a/sprucepost/placing/late_messages.py
+++ b/sprucepost/placing/late_messages.py
@@ -1,5 +1,8 @@
-"""Words that no attempt waits for: an acceptance after its time-out, what a machine held through a restart of this
-placer, and owners' hand-overs. What each means against the books is ``ledger.late_action``."""
+"""Handles messages that no attempt waits for.
+
+These are an acceptance after its time-out, a task that a machine held while this placer restarted, and an owner's
+hand-over. ``ledger.late_action`` decides what each means.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +20,11 @@
 from sprucepost.v1 import common_pb2, machine_pb2
 from sprucepost.v1 import placer_pb2 as pb
 
-HAND_OVER_MS = 30_000.0  # how long a handed-over task waits for its machine to attach
+HAND_OVER_TIMEOUT_MS = 30_000.0  # how long a handed-over task waits for its machine to attach
 
 
 class LateMessages:
-    """``machines`` is set by whoever puts the parts together."""
+    """Acts on late messages and hand-overs. ``machines`` is set by the code that assembles the placer."""
 
     machines: MachinesPort
 
@@ -38,13 +41,15 @@
     ) -> None:
         self.loop, self._driver, self._ledger, self._reporter = loop, driver, ledger, reporter
         self._attempts, self._catalog, self._log, self.counters = attempts, catalog, log, counters
-        self._hand_overs: dict[str, dict[str, tuple[bytes, common_pb2.Task]]] = {}  # by machine, then task
-        self._surfaced: dict[str, tuple[str, machine_pb2.Held]] = {}  # by task: where, and as what
+        self._hand_overs: dict[
+            str, dict[str, tuple[bytes, common_pb2.Task]]
+        ] = {}  # by machine, then task: the session and the task
+        self._surfaced: dict[str, tuple[str, machine_pb2.Held]] = {}  # by task: the machine, and what it holds
 
-    # A machine's word
+    # Machines
 
     def on_accepted(self, machine: str, frame: machine_pb2.FromMachine) -> None:
-        """Accepted after its time-out. The entry may be over; the name finds it while a late word can matter."""
+        """Handle an acceptance that came after the attempt's time-out. The task may be settled by now."""
         entry = self._ledger.by_request(frame.request)
         self.counters["late_accepts"] += 1
         if entry is None:
@@ -60,7 +65,7 @@
         self.on_held(machine, held)
 
     def on_held(self, machine: str, held: machine_pb2.Held) -> None:
-        """A machine holds a task that no attempt of ours waits for."""
+        """Handle a task that a machine holds and that no attempt of this placer waits for."""
         entry = self._ledger.by_name(held.name)
         action = late_action(entry)
         self.counters[f"late {action.value}"] += 1
@@ -83,14 +88,14 @@
             self._attempts.withdraw(machine, held.request, held.attempt, held.incarnation)
 
     def _place(self, machine: str, held: machine_pb2.Held, entry: Entry) -> None:
-        """It is the answer to a task still open."""
+        """Bind an open task to the machine that holds it."""
         self._driver.push(i.RequestAbandoned(entry.request))
         self._reporter.settle(entry, Outcome.PLACED)
         self._ledger.renumber(entry)
         self._attempts.adopt(machine, held, entry, self._catalog.request(entry, 0.0))
 
     def _take_over(self, machine: str, held: machine_pb2.Held, token: bytes | None) -> None:
-        """A task that runs and is nobody's here becomes ours."""
+        """Take over a running task that this placer does not know."""
         if self._catalog.problem(held.name, held.task) is not None:
             self._attempts.withdraw(machine, held.request, held.attempt, held.incarnation)
             return
@@ -102,10 +107,10 @@
         entry.ask = held.task
         self._attempts.adopt(machine, held, entry, self._catalog.request(entry, 0.0))
 
-    # An owner's word
+    # Owners
 
     def hand_over(self, session: SessionPort, name: str, hand_over: pb.HandOver) -> None:
-        """An owner says that the task runs on that machine."""
+        """Handle an owner's statement that the task runs on that machine."""
         entry, machine = self._ledger.current(name), hand_over.machine
         if entry is not None and entry.outcome is Outcome.PLACED:
             entry.sessions.setdefault(session.token, 0)
@@ -120,9 +125,9 @@
         if entry is not None or self._catalog.problem(name, hand_over.task) or link is None or link.attached:
             session.send(pb.PlacerFrame(task=name, ended=pb.Ended(how=pb.Ended.LOST)))
             return
-        # The machine is known and has not attached yet: what it holds will tell.
+        # The machine is known but not attached yet: its attach will name what it holds.
         self._hand_overs.setdefault(machine, {})[name] = session.token, hand_over.task
-        self.loop.call_later(HAND_OVER_MS, lambda: self._fail_hand_over(machine, name))
+        self.loop.call_later(HAND_OVER_TIMEOUT_MS, lambda: self._fail_hand_over(machine, name))
 
     def _fail_hand_over(self, machine: str, name: str) -> None:
         waiting = self._hand_overs.get(machine, {}).pop(name, None)
@@ -130,12 +135,15 @@
             self._reporter.owners.tell(waiting[0], pb.PlacerFrame(task=name, ended=pb.Ended(how=pb.Ended.LOST)))
 
     def fail_missing_hand_overs(self, machine: str) -> None:
-        """All that the machine holds has been named, or it is gone: what was handed over and is not there is lost."""
+        """Report as lost the handed-over tasks that the machine does not hold.
+
+        Called once the machine has named all that it holds, or is gone.
+        """
         for name in list(self._hand_overs.get(machine, {})):
             self._fail_hand_over(machine, name)
         self._hand_overs.pop(machine, None)
 
     def purge(self) -> None:
-        """Forget surfaced copies of tasks that the books have forgotten."""
+        """Drop surfaced tasks that the ledger no longer keeps."""
         for name in [name for name in self._surfaced if self._ledger.by_name(name) is None]:
             del self._surfaced[name]
--- a/sprucepost/placing/ledger.py
+++ b/sprucepost/placing/ledger.py
@@ -1,8 +1,8 @@
-"""The settlement ledger: every task taken is open, then exactly one of placed, refused, failed.
+"""The ledger of tasks: every task is open, then exactly one of placed, refused, failed.
 
-Free of I/O and clock. The ledger, not the order of callbacks, makes a second answer impossible: :meth:`Ledger.settle`
-raises where a task is not open. It also says what a late word of a machine means (:func:`late_word`), for a task that
-a machine turns out to hold after its offer was given up, or after a restart.
+Free of I/O and clock. :meth:`Ledger.settle` raises where a task is not open, so a second outcome is impossible in any
+order of callbacks. :func:`late_action` decides what to do with a task that a machine turns out to hold after its offer was
+given up, or after a restart.
 """
 
 from __future__ import annotations
@@ -14,6 +14,8 @@
 
 
 class Outcome(Enum):
+    """The state of a task: open, or its one outcome."""
+
     OPEN = "open"
     PLACED = "placed"
     REFUSED = "refused"
@@ -21,49 +23,52 @@
 
 
 class DuplicateOutcomeError(Exception):
-    """Something tried to answer a task that has its answer."""
+    """Raised on an attempt to settle a task that already has its outcome."""
 
 
 @dataclass(eq=False)
 class Entry:
-    """One task of this placer. ``sessions`` are those that are to hear of it, in the order in which they
-    came; one that has asked twice while the task is open is owed two outcomes."""
+    """One task of this placer.
+
+    ``sessions`` are those to notify, in the order in which they submitted the task; one that has submitted it twice while
+    it is open gets two outcomes.
+    """
 
     request: int
     name: str
     task_class: int
     service: str
     outcome: Outcome = Outcome.OPEN
-    sessions: dict[bytes, int] = field(default_factory=dict)  # and how many outcomes each is owed
+    sessions: dict[bytes, int] = field(default_factory=dict)  # number of outcomes still to be sent to each
     attempts: int = 0
-    pending_attempt: int | None = None  # the attempt that is out
-    machine: str = ""  # where it is placed
-    attempt: int = 0  # by which attempt
-    cancelled: bool = False  # its owner wants it no more
+    pending_attempt: int | None = None  # number of the attempt that is not answered yet
+    machine: str = ""  # the machine on which it is placed
+    attempt: int = 0  # number of the attempt that placed it
+    cancelled: bool = False  # its owner has cancelled it
     may_have_run: bool = False  # an attempt ended without proof that it never ran
-    owner: str | None = None  # whose share of the room it counts for, while it is open
-    deadline: float = 0.0  # when its owner gives up
+    owner: str | None = None  # the owner in whose share of open tasks it counts, while it is open
+    deadline: float = 0.0  # when its owner gives up, in ms on the loop's clock
     opened_at: float = 0.0
-    dequeued_at: float = 0.0  # when it came out of the line, on the loop's clock; 0 while it waits there
-    repeat: bool = False  # its owner had asked before
-    ask: Any = None  # what the task asks for, as it came
+    dequeued_at: float = 0.0  # when it left the admission queue, in ms on the loop's clock; 0 while it is queued
+    repeat: bool = False  # its owner has submitted it before
+    ask: Any = None  # what the task asks for, as submitted
 
 
 class LateAction(Enum):
-    """What to do with a task that a machine holds and that no attempt of ours waits for."""
+    """What to do with a task that a machine holds and that no attempt of this placer waits for."""
 
-    PLACE = "place"  # it is the answer to a task still open
-    TAKE_OVER = "take_over"  # nobody here knows it: it is ours to look after
-    SURFACE = "surface"  # its owner was told of a failure and may hand it over
-    WITHDRAW = "withdraw"  # a copy: another attempt counts
+    PLACE = "place"  # bind it: the task is still open
+    TAKE_OVER = "take_over"  # this placer does not know it, and becomes responsible for it
+    SURFACE = "surface"  # its owner was told that it failed, and may hand it over
+    WITHDRAW = "withdraw"  # a duplicate: another attempt counts
 
 
 def late_action(entry: Entry | None) -> LateAction:
-    """``entry``: the task of that name, the latest one where it came several times; None where there is none."""
+    """Decide on such a task. ``entry``: the latest task of that name, or None."""
     if entry is None:
         return LateAction.TAKE_OVER
     if entry.outcome is Outcome.OPEN:
-        # With an attempt out, that one counts: two may not both be bound. Of a keyed task the group keeps one copy.
+        # A pending attempt takes precedence, as two must not both be bound. Of a keyed task the group keeps one copy.
         return LateAction.PLACE if entry.pending_attempt is None and not entry.cancelled else LateAction.WITHDRAW
     if entry.outcome is Outcome.FAILED and not entry.cancelled:
         return LateAction.SURFACE
@@ -71,7 +76,10 @@
 
 
 class Ledger:
-    """Tasks by request and by name. Open and placed ones are kept until they end, the others until :meth:`forget`."""
+    """Tasks by request number and by name.
+
+    Open and placed tasks are kept until they end, the others until :meth:`forget`. ``open`` is the number of open tasks.
+    """
 
     def __init__(self) -> None:
         self._requests = 0
@@ -85,22 +93,24 @@
         return len(self._by_request)
 
     def by_request(self, request: int) -> Entry | None:
+        """The task of that request number, if it is kept."""
         return self._by_request.get(request)
 
     def by_name(self, name: str) -> Entry | None:
-        """The latest task of that name that is open, placed, or answered a short while ago."""
+        """The latest task of that name that is open, placed, or recently settled."""
         return self._by_name.get(name)
 
     def current(self, name: str) -> Entry | None:
-        """The task of that name if it is open or placed: a further ask joins it."""
+        """The task of that name if it is open or placed; a further submission joins it."""
         entry = self._by_name.get(name)
         return entry if entry is not None and entry.outcome in (Outcome.OPEN, Outcome.PLACED) else None
 
     def open_entries(self) -> list[Entry]:
+        """All open tasks."""
         return [entry for entry in self._by_request.values() if entry.outcome is Outcome.OPEN]
 
     def take(self, name: str, task_class: int, service: str, now: float) -> Entry:
-        """A new open task. One of that name must not be open or placed."""
+        """Open a new task. None of that name may be open or placed."""
         assert self.current(name) is None, f"{name} is open or placed"
         self._requests += 1
         entry = Entry(self._requests, name, task_class, service, opened_at=now)
@@ -109,7 +119,7 @@
         return entry
 
     def settle(self, entry: Entry, outcome: Outcome, now: float) -> None:
-        """The one outcome of an open task."""
+        """Record the one outcome of an open task."""
         if entry.outcome is not Outcome.OPEN:
             raise DuplicateOutcomeError(f"{entry.name}: {outcome.value} after {entry.outcome.value}")
         assert outcome is not Outcome.OPEN
@@ -120,7 +130,7 @@
             self._settled.append((now, entry))
 
     def renumber(self, entry: Entry) -> int:
-        """A new request number for the same task (it was found running: the module knows it by a new one)."""
+        """Give a task that was found running a new request number, under which the scheduler learns of it."""
         del self._by_request[entry.request]
         self._requests += 1
         entry.request = self._requests
@@ -128,14 +138,14 @@
         return entry.request
 
     def end(self, entry: Entry) -> None:
-        """A placed task is over."""
+        """Remove a placed task that has ended."""
         assert entry.outcome is Outcome.PLACED, f"{entry.name} is {entry.outcome.value}"
         del self._by_request[entry.request]
         if self._by_name.get(entry.name) is entry:
             del self._by_name[entry.name]
 
     def forget(self, before: float) -> None:
-        """Drop what was refused or failed before that time: no late word of it is expected any more."""
+        """Drop tasks that were refused or failed before that time; no late message is expected for them."""
         kept = []
         for at, entry in self._settled:
             if at >= before:
--- a/sprucepost/placing/outcome_reporter.py
+++ b/sprucepost/placing/outcome_reporter.py
@@ -1,4 +1,4 @@
-"""The one outcome of each task: settled in the ledger, taken off its owner's share, told to all that asked."""
+"""Settles the one outcome of each task: in the ledger, in the owner's share of open tasks, and to all that wait for it."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from sprucepost.settings import Cluster, TaskClass
 from sprucepost.v1 import placer_pb2 as pb
 
-SETTLED_RETENTION_MS = 60_000.0  # how long an answered task is remembered for a machine's late word
+SETTLED_RETENTION_MS = 60_000.0  # how long a settled task is kept, so that a late message of a machine finds it
 
 
 class OutcomeReporter:
-    """``owners`` is set by whoever puts the parts together."""
+    """Settles tasks and notifies sessions. ``owners`` is set by the code that assembles the placer."""
 
     owners: OwnersPort
 
@@ -40,23 +40,27 @@
         self.on_settled: Callable[[], None] = lambda: None
 
     def class_of(self, entry: Entry) -> TaskClass:
+        """The class of a task."""
         return self._cluster.classes[entry.task_class]
 
     def notify(self, entry: Entry, **body: Any) -> None:
-        """A frame about the task to every session that asked for it."""
+        """Send a frame about the task to every session that asked for it."""
         for token in entry.sessions:
             self.owners.tell(token, pb.PlacerFrame(task=entry.name, **body))
 
     def report(self, entry: Entry, **body: Any) -> None:
-        """The outcome, once for each ask: also for each of several asks of one session, which were joined. A session that
-        asked again while its placer stood still got one answer for both, and waited for the other for ever."""
-        for token, owed in entry.sessions.items():
+        """Send the outcome once per submission, also where several submissions of one session were joined.
+
+        One answer for all of them is not enough: a session that submitted again while its placer was stalled got a
+        single answer for both and waited for the other forever.
+        """
+        for token, pending_outcomes in entry.sessions.items():
             entry.sessions[token] = 0
-            for _ in range(owed):
+            for _ in range(pending_outcomes):
                 self.owners.tell(token, pb.PlacerFrame(task=entry.name, **body))
 
     def settle(self, entry: Entry, outcome: Outcome) -> None:
-        """The outcome, in the books only."""
+        """Record the outcome without reporting it."""
         self.ledger.settle(entry, outcome, self._driver.now())
         if entry.owner is not None:
             self._admission.open_tasks.closed(entry.owner)
@@ -67,15 +71,17 @@
         self.counters[f"outcome {outcome.value} {self.class_of(entry).name}"] += 1
 
     def refuse(self, entry: Entry, why: str, retry_after_ms: float = 0.0) -> None:
+        """Settle an open task as refused and report it."""
         self.settle(entry, Outcome.REFUSED)
         self.report(entry, refused=pb.Refused(why=why, retry_after_ms=retry_after_ms))
 
     def fail(self, entry: Entry, why: str) -> None:
+        """Settle an open task as failed and report it."""
         self.settle(entry, Outcome.FAILED)
         self.report(entry, failed=pb.Failed(why=why))
 
     def abandon(self, entry: Entry, why: str) -> None:
-        """Answer an open task that nobody here works on any more: refused where that is true, else failed."""
+        """Settle an open task that is no longer worked on: as refused where a retry is safe, else as failed."""
         self._driver.push(i.RequestAbandoned(entry.request))
         if self.refusal_is_safe(entry):
             self.refuse(entry, why)
@@ -83,7 +89,7 @@
             self.fail(entry, why)
 
     def on_decision(self, action: i.Refuse | i.Fail) -> None:
-        """The module's final answer."""
+        """Carry out the scheduler's final decision on a task."""
         entry = self.ledger.by_request(action.request)
         if entry is None or entry.outcome is not Outcome.OPEN:
             self.counters["late_answers"] += 1  # the task was placed in the same turn
@@ -93,14 +99,14 @@
             self.fail(entry, "an attempt may have run")
 
     def refusal_is_safe(self, entry: Entry) -> bool:
-        """Whether a refusal, which promises that asking again does no harm, is true of this task now."""
+        """Whether the task can be refused now. A refusal promises that a retry does no harm."""
         cls = self.class_of(entry)
         if cls.effect == "safe" or (cls.effect == "keyed" and cls.group == "all"):
             return True
         return entry.pending_attempt is None and not entry.may_have_run
 
     def report_end(self, entry: Entry, ended: pb.Ended) -> None:
-        """A placed task has come to its end."""
+        """Remove a placed task that has ended and report its end."""
         self.counters[f"ended {pb.Ended.How.Name(ended.how).lower()}"] += 1
         self.ledger.end(entry)
         self.notify(entry, ended=ended)
@@ -108,11 +114,14 @@
     # Stopping
 
     def last_deadline(self) -> float:
-        """When the last owner of an open task gives up, on the loop's clock."""
+        """When the last owner of an open task gives up, in ms on the loop's clock."""
         return max((entry.deadline for entry in self.ledger.open_entries()), default=self._driver.loop.now())
 
     def refuse_unattempted(self) -> int:
-        """Refuse every open task that no attempt waits for, where that does no harm: its owner can go elsewhere at once."""
+        """Refuse every open task without a pending attempt, where that is safe, so that its owner can go elsewhere at once.
+
+        Returns how many were refused.
+        """
         chosen = [e for e in self.ledger.open_entries() if e.pending_attempt is None and self.refusal_is_safe(e)]
         for entry in chosen:
             self.abandon(entry, "this placer is leaving")
@@ -120,12 +129,12 @@
         return len(chosen)
 
     def settle_all(self) -> int:
-        """At the end of a stop: an outcome for every task still open; how many there were."""
+        """Settle every task still open, at the end of a stop. Returns how many there were."""
         entries = self.ledger.open_entries()
         for entry in entries:
             self.abandon(entry, "this placer is leaving")
         return len(entries)
 
     def purge_settled(self) -> None:
-        """Drop the answered tasks of which no late word is expected any more."""
+        """Drop settled tasks for which no late message is expected any more."""
         self.ledger.forget(self._driver.now() - SETTLED_RETENTION_MS)
--- a/sprucepost/placing/ports.py
+++ b/sprucepost/placing/ports.py
@@ -1,4 +1,4 @@
-"""What the streams to owners and machines must offer to the walk of a task."""
+"""The interfaces of the streams to owners and machines, as the placing modules use them."""
 
 from __future__ import annotations
 
@@ -7,72 +7,90 @@
 from sprucepost.v1 import machine_pb2, placer_pb2
 
 Key = tuple[int, int]
-"""An attempt: its request and its number."""
+"""The key of an attempt: its request number and its own number."""
 
 
 class MachinePort(Protocol):
-    """The stream to one machine, which comes and goes."""
+    """The stream to one machine, which may break and be established again."""
 
     @property
     def machine_incarnation(self) -> int:
-        """The machine's own incarnation, as it said when it last attached; 0 before that."""
+        """The machine's incarnation as of its last attach; 0 before the first."""
         ...
 
     @property
-    def attached(self) -> bool: ...
+    def attached(self) -> bool:
+        """Whether the stream is established."""
+        ...
 
     def offer(self, key: Key) -> None:
-        """Ask :meth:`Writing.write` for that offer as soon as the stream takes it."""
+        """Request the frame of that offer (:meth:`Attempts.build_offer`) and send it as soon as the stream accepts it."""
         ...
 
     def drop(self, key: Key) -> None:
-        """Do not ask for it any more."""
+        """Remove an offer that is not written yet."""
         ...
 
     def close_to_offers(self, closed: bool) -> None:
-        """The machine takes no new work, or does again; what waits to be written is dropped."""
+        """Stop offers to the machine, or allow them again; offers not written yet are dropped."""
         ...
 
     def give_up_buffered(self) -> None:
-        """An offer's time is over: if bytes still lie on this side, they must not go out."""
+        """Discard bytes still buffered on this side, because the time of an offer among them is over."""
         ...
 
     def send(self, frame: machine_pb2.ToMachine) -> None:
-        """A numbered frame; it goes out now or when the session is resumed."""
+        """Send a numbered frame, now or when the session is resumed."""
         ...
 
 
 class MachinesPort(Protocol):
-    """All machines' streams."""
+    """The streams to all machines. ``incarnation`` is this placer's own."""
 
     incarnation: int
 
-    def get(self, machine: str) -> MachinePort | None: ...
-    def gone(self, machine: str) -> None: ...
+    def get(self, machine: str) -> MachinePort | None:
+        """The stream to that machine, if the machine is known."""
+        ...
+
+    def gone(self, machine: str) -> None:
+        """Close the stream to a machine that was removed."""
+        ...
 
 
 class SessionPort(Protocol):
     """One owner's session."""
 
     @property
-    def token(self) -> bytes: ...
+    def token(self) -> bytes:
+        """The session's identifier."""
+        ...
+
     @property
-    def owner(self) -> str: ...
-    def send(self, frame: placer_pb2.PlacerFrame) -> None: ...
+    def owner(self) -> str:
+        """The owner's name."""
+        ...
+
+    def send(self, frame: placer_pb2.PlacerFrame) -> None:
+        """Send a numbered frame, now or when the session is resumed."""
+        ...
+
     def refuse(self, task: str, why: str, retry_after_ms: float) -> None:
-        """Its ask is refused at once; several may go out in one frame, before any other."""
+        """Refuse a submission at once; several refusals may share a frame, which is sent before any other."""
         ...
 
     def released(self, task: str, asks: int) -> None:
-        """So many of its asks for the task will have no outcome: it has cancelled them, while others wait."""
+        """``asks`` submissions of the task will get no outcome: this session cancelled them while others wait."""
         ...
 
     def waited_ms(self) -> float:
-        """How long, at most, the frame that is being taken had waited in this host."""
+        """How long, at most, the frame being handled has waited on this host, in ms."""
         ...
 
 
 class OwnersPort(Protocol):
     """All owners' sessions."""
 
-    def tell(self, token: bytes, frame: placer_pb2.PlacerFrame) -> None: ...
+    def tell(self, token: bytes, frame: placer_pb2.PlacerFrame) -> None:
+        """Send a frame to that session, if it is still known."""
+        ...
--- a/sprucepost/placing/roster.py
+++ b/sprucepost/placing/roster.py
@@ -1,6 +1,8 @@
-"""Which machines take work now: the list, the machines' own word on their lives, streams, and what a pause puts in doubt.
+"""Which machines take work now.
 
-The module hears of all machines, but a ready one that cannot be offered anything now is updates to it as draining.
+This follows from the machine list, the machines' own reports of their starts, their streams, and stalls of this process
+(``pause_recovery``). The scheduler knows all machines, but a ready one that cannot be offered anything now is shown to it
+as draining.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 
 
 class Roster:
-    """``machines`` is set by whoever puts the parts together."""
+    """All listed machines. ``machines`` is set by the code that assembles the placer."""
 
     machines: MachinesPort
 
@@ -39,11 +41,11 @@
             late_messages,
             log,
         )
-        self._kinds, self._warm_after = cluster.kinds, cluster.warm_after_ms + cluster.clock_apart_ms
+        self._kinds, self._warm_after_ms = cluster.kinds, cluster.warm_after_ms + cluster.clock_apart_ms
         self._entries: dict[str, i.MachineEntry] = {}
         self._attached: set[str] = set()  # machines that have a stream
-        self._hidden: set[str] = set()  # ready ones that the module is updates as draining
-        self._changed: dict[str, None] = {}  # machines whose showing has to be looked at
+        self._hidden: set[str] = set()  # ready machines that the scheduler sees as draining
+        self._changed: dict[str, None] = {}  # machines whose visible state must be checked again, in order
         self.pause_recovery = PauseRecovery(cluster.drain_grace_ms, cluster.list_ask_every_ms)
         self.listed = False  # a list has arrived
         self.on_listed: Callable[[], None] = lambda: None
@@ -51,7 +53,7 @@
     # The list
 
     def on_list(self, change: i.MachineList) -> None:
-        """What the list says goes to the module; streams learn which machines take nothing new."""
+        """Pass a change of the list to the scheduler, and close or open machines' streams for offers."""
         if change.kind is i.ListKind.FAILED:
             self.pause_recovery.on_list_failure()
             if self.pause_recovery.suspect_until is not None:
@@ -71,14 +73,16 @@
         self._driver.push(change)
 
     def on_list_heartbeat(self) -> None:
-        """The list has spoken, whatever it said: its stream is whole, so nothing it told before has been missed."""
+        """Handle any message of the list: its stream is intact, so no earlier message has been missed."""
         if self.pause_recovery.suspect_until is not None:
             self.pause_recovery.on_list_message()
             self._mark_all_changed()
 
     def _update_entry(self, entry: i.MachineEntry) -> None:
         machine, before = entry.machine, self._entries.get(entry.machine)
-        if before is not None and before.started > entry.started:  # its own word: a list behind takes nothing back
+        if (
+            before is not None and before.started > entry.started
+        ):  # the machine reported a later start: a list that lags does not undo it
             entry = replace(entry, started=before.started)
         self._entries[machine] = entry
         self._update_cold_until(entry)
@@ -90,7 +94,7 @@
                 self._remove_machine(machine)
 
     def _remove_machine(self, machine: str) -> None:
-        """Gone from the list and without a stream: what it held is lost."""
+        """Remove a machine that is gone from the list and has no stream: the tasks that it held are lost."""
         self._entries.pop(machine, None)
         self._hidden.discard(machine)
         self.machines.gone(machine)
@@ -99,13 +103,13 @@
         self._attempts.cold_until.pop(machine, None)
         self._late_messages.fail_missing_hand_overs(machine)
 
-    # The machines themselves
+    # Machines
 
     def on_attached(self, machine: str, started_ms: float, restarted: bool) -> bool:
-        """The machine has attached; whether it has started anew since the list last told of it.
+        """Handle an attach. Returns whether the machine has restarted since the list last reported its start.
 
-        Another life is a fresh start, cold and empty, and the machine says so before any list can: without this word a
-        late list had placers offer to it as to a warm one.
+        Another incarnation is a fresh start, cold and empty, and the machine reports it before any list can. Without that,
+        a late list made placers offer to it as to a warm one.
         """
         self._attached.add(machine)
         self.pause_recovery.on_machine_message(machine)
@@ -125,13 +129,13 @@
         return True
 
     def on_machine_frame(self, machine: str) -> None:
-        """A frame of the machine has come."""
+        """Handle the arrival of any frame of the machine."""
         if self.pause_recovery.suspect_until is not None:
             self.pause_recovery.on_machine_message(machine)
             self._mark_changed(machine)
 
     def on_detached(self, machine: str) -> None:
-        """Its stream has broken: what was not written goes to others, and nothing new to it, until it is back."""
+        """Handle a broken stream: unwritten offers go to other machines, and this one gets none until it attaches again."""
         self._attached.discard(machine)
         self._attempts.drop_unwritten(machine)
         self._mark_changed(machine)
@@ -139,17 +143,17 @@
         if entry is not None and entry.state is i.MachineState.GONE:
             self._remove_machine(machine)
 
-    # What the module is updates
+    # What the scheduler sees
 
     def _reachable(self, entry: i.MachineEntry) -> bool:
-        """Whether a ready machine can be offered anything now: it has a stream, and no pause has put it in doubt."""
+        """Whether a ready machine can be offered anything now: it has a stream and is not suspect after a stall."""
         return entry.machine in self._attached and not self.pause_recovery.is_suspect(entry.machine, self.loop.now())
 
     def _visible_entry(self, entry: i.MachineEntry) -> i.MachineEntry:
-        """The entry as the module is to see it: a ready machine that cannot be offered anything drains.
+        """The entry as the scheduler is to see it: a ready machine that cannot be offered anything is draining.
 
-        An offer that waits for a stream spends a cold machine's allowance at another time than the module reckons with:
-        decided 1,500 ms apart, two went out 1,488 ms apart, and a machine that bears four got five.
+        An offer that waits for a stream spends a cold machine's allowance at another time than the scheduler assumes: two
+        offers decided 1,500 ms apart were sent 1,488 ms apart, and a machine that can start four tasks at once got five.
         """
         hidden = entry.state is i.MachineState.READY and not self._reachable(entry)
         (self._hidden.add if hidden else self._hidden.discard)(entry.machine)
@@ -157,7 +161,7 @@
 
     def _update_cold_until(self, entry: i.MachineEntry) -> None:
         if entry.started:
-            self._attempts.cold_until[entry.machine] = entry.started + self._warm_after
+            self._attempts.cold_until[entry.machine] = entry.started + self._warm_after_ms
         else:
             self._attempts.cold_until.pop(entry.machine, None)
 
@@ -170,7 +174,7 @@
         self._driver.schedule_batch()
 
     def publish_changes(self) -> None:
-        """Before the module decides: show it what has changed."""
+        """Send the scheduler what has changed about machines; runs ahead of each batch."""
         if not self._changed:
             return
         changed, self._changed = self._changed, {}
@@ -189,10 +193,10 @@
         if updates:
             self._driver.push(i.MachineList(i.ListKind.DELTA, tuple(updates)))
 
-    # A pause of this process
+    # Stalls of this process
 
     def on_pause(self, length_ms: float) -> None:
-        """The loop had not looked at its sockets for so long."""
+        """Handle a stall: the loop has not polled its sockets for ``length_ms``."""
         if self.pause_recovery.on_pause(self.loop.now(), length_ms):
             self._log("paused", for_ms=round(length_ms))
             self.loop.call_later(
--- a/sprucepost/placing/scheduler_driver.py
+++ b/sprucepost/placing/scheduler_driver.py
@@ -1,6 +1,6 @@
-"""The decision module's driver: all that comes in during a turn of the loop becomes one batch for it, at the turn's end.
+"""Drives the scheduler: all events of one turn of the loop become one batch, which is decided at the end of the turn.
 
-``now`` is the aligned wall clock, so that placers agree on turns and cold windows.
+``now`` is the aligned wall clock, so that all placers agree on turns and on the time windows of cold machines.
 """
 
 from __future__ import annotations
@@ -14,7 +14,11 @@
 
 
 class SchedulerDriver:
-    """``carry`` gets the offers, refusals and failures that the module decides; ``before`` runs ahead of each batch."""
+    """Feeds events to a scheduler and carries out its actions.
+
+    ``on_action`` receives the offers, refusals and failures that the scheduler decides; ``before_batch`` runs ahead of
+    each batch. Both are set by the code that assembles the placer.
+    """
 
     def __init__(
         self,
@@ -35,16 +39,16 @@
         self._batch_scheduled = False
 
     def now(self) -> float:
-        """Aligned wall-clock ms."""
+        """Aligned wall-clock time in ms."""
         return self._clock.read(self.loop.now(), self.loop.wall())
 
     def push(self, event: i.Event) -> None:
-        """An event for the batch of this turn."""
+        """Add an event to the batch of this turn."""
         self._events.append(event)
         self.schedule_batch()
 
     def schedule_batch(self) -> None:
-        """A batch at this turn's end, with events or without."""
+        """Run a batch at the end of this turn, even if there are no events."""
         if not self._batch_scheduled:
             self._batch_scheduled = True
             self.loop.at_turn_end(self._decide)
