--- a/sprucepost/admission/__init__.py
+++ b/sprucepost/admission/__init__.py
@@ -1,9 +1,16 @@
-"""Which asks are let in, and in what order they are taken up. Free of I/O and clock.
+"""Admission control: which submissions are admitted, and in what order they are processed. Free of I/O and clock.
 
-``retries`` bounds what repeats may add; ``room`` how many tasks may be open and whose; ``line`` holds what waits to be taken
-up, in order; ``drain`` learns how fast it moves, ``standing`` whether it ever empties; ``admission`` puts them together.
-``sessions`` bounds what hellos may leave behind; ``credit`` says how many asks owners may have open, ``reading`` whose
-stream is left unread for a while.
+=======================  ==============================================================================================
+``admission``            combines the parts below
+``open_task_limit``      bounds how many tasks may be open, and each owner's share of them
+``weighted_fair_queue``  holds admitted requests in the order in which they are processed
+``service_time``         measures what processing a request costs
+``overload``             tells an overload from a burst by whether the queue ever empties
+``retries``              bounds the load that repeated submissions may add
+``credit``               bounds how many submissions owners may have open, before they send them
+``read_pauses``          decides whose stream is not read for a while
+``sessions``             bounds how many sessions are kept
+=======================  ==============================================================================================
 """
 
 from sprucepost.admission.admission import Admission, AdmissionRequest, Verdict
--- a/sprucepost/admission/admission.py
+++ b/sprucepost/admission/admission.py
@@ -1,4 +1,4 @@
-"""Admission: every ask gets a verdict before any work is done on it, and those let in are taken up in the line's order."""
+"""Decides on every submission before any work is done on it, and hands out the admitted ones in the queue's order."""
 
 from __future__ import annotations
 
@@ -14,17 +14,20 @@
 from sprucepost.admission.weighted_fair_queue import QueuedRequest, WeightedFairQueue
 
 T = TypeVar("T")
-MAX_OWNERS_KEPT = 1024  # owners whose retry budget is remembered; the longest quiet is forgotten first
-GOLDEN_RATIO_STEP = 0.6180339887498949  # steps of it fill the unit interval evenly, whoever counts
-FIRST_QUOTA = 16  # asks taken up in one turn before their cost is known: few, so that it is known soon
+MAX_OWNERS_KEPT = 1024  # owners whose retry budget is kept; the one idle for the longest is dropped first
+GOLDEN_RATIO_STEP = 0.6180339887498949  # multiples of it, modulo 1, are spread evenly over the unit interval
+FIRST_QUOTA = 16  # requests dequeued per turn before their cost is known: few, so that it is known soon
 QUEUE_TOO_LONG = "too much waits here already"
-PLACEMENT_TIME_GAIN = 0.125  # of a new answer time, RFC 6298
+PLACEMENT_TIME_GAIN = 0.125  # weight of a new sample in the smoothed placement time, RFC 6298
 
 
 @dataclass(slots=True)
 class AdmissionRequest:
-    """One submission. ``worth``: of its class, relative to the dearest, 0 to 1; ``left_ms`` until it must have been taken up
-    and answered; ``aim_ms`` of its class."""
+    """One submission.
+
+    ``worth`` of its class, relative to the most valuable one, 0 to 1; ``left_ms``: the time until it must be answered;
+    ``aim_ms`` of its class; ``repeat``: its owner has submitted it before.
+    """
 
     owner: str
     worth: float
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """``why`` empty: let in. Else the ask is refused, with the time after which another is worth it."""
+    """The decision on a request: admitted if ``why`` is empty, else refused, with the time after which to retry."""
 
     why: str = ""
     retry_after_ms: float = 0.0
@@ -45,54 +48,64 @@
 
 
 class Admission(Generic[T]):
-    """``shortest_aim_ms`` of the deployment's classes; ``turn_ms`` that one turn may spend on taking asks up,
-    at the most an eighth of that aim.
+    """Admission control of one placer.
+
+    ``max_open`` tasks may be open; ``shortest_aim_ms`` of the deployment's classes; ``turn_ms``: the time that one turn may
+    spend on dequeued requests, at most an eighth of that aim; ``max_retry_ms``: the longest retry time of the settings.
+
+    These checks are made in order, the cheapest first:
 
     ===================  ===========================================================================================
-    room                 refused where all is taken, or scarce and the ask too cheap or its owner over its share
-    the line is empty    let in
-    the line drains      let in where it will be taken up in time to be placed within its class's aim (where machines take
-                         more than half of that, within half of it), and within its owner's time
-    the line stands      the same within a quarter of the aim, also for an interval after the last refusal: under overload
-                         a long wait helps nobody
-    a repeat             spends its owner's and the placer's retry budgets, else refused
+    open tasks           refused at the limit; near it, refused if its worth is too low or its owner over its share
+    the queue is empty   admitted
+    the queue drains     admitted if it will be dequeued early enough to be placed within its class's aim (within half of
+                         the aim if machines need more than the other half) and within its owner's time
+    overload             the same within a quarter of the aim, also for an interval after the last refusal: under overload
+                         a long wait helps no request
+    a repeat             must be covered by its owner's and the placer's retry budgets
     ===================  ===========================================================================================
 
-    In this order, the cheapest first; what is refused spends no budget.
+    A refused request spends no budget.
     """
 
     def __init__(self, now: float, max_open: int, shortest_aim_ms: float, turn_ms: float, max_retry_ms: float) -> None:
         self.open_tasks, self.queue, self.service_time = OpenTaskLimit(max_open), WeightedFairQueue[T](), ServiceTime()
-        self.overload = OverloadDetector(
-            shortest_aim_ms / 8.0, shortest_aim_ms
-        )  # half of what a line that stands bears
+        # The target is half of the wait allowed under overload.
+        self.overload = OverloadDetector(shortest_aim_ms / 8.0, shortest_aim_ms)
         self.credit = Credit()
-        self._queue_was_empty = True  # the line, since the last look at the credit
-        self._queue_refusals = 0  # by the line, since then
+        self._queue_was_empty = True  # at some moment since the last update of the credit
+        self._queue_refusals = 0  # requests refused because of the queue, since then
         self.read_pauses: ReadPauses[bytes] = ReadPauses(shortest_aim_ms / 4.0)
         self.max_retry_ms, self._shortest_aim_ms = max_retry_ms, shortest_aim_ms
-        # No more than half of what a line that stands max_wait_ms: each ask waits for a turn besides.
+        # At most half of the wait allowed under overload: each request waits for a turn in addition.
         self._turn_ms = min(turn_ms, shortest_aim_ms / 8.0)
-        self._retries = RetryBudget(now, burst=200.0, per_s=10.0)
+        self._retry_budget = RetryBudget(now, burst=200.0, per_s=10.0)
         self._owner_retries: dict[str, RetryBudget] = {}
-        # Owners for whose asks the line was too long: of what worth and aim at the most, and until when that counts.
+        # Owners refused because of the queue: the request's worth and aim, and until when similar requests are refused.
         self._recent_refusals: dict[str, tuple[float, float, float]] = {}
-        self._immediate: list[T] = []  # let in this turn while nobody waited
+        self._immediate: list[T] = []  # admitted in this turn while the queue was empty
         self._placement_ms = 0.0
         self._spread_phase = 0.0
-        self._refusal_rate: list[float] = [0.0, now]  # how many of late, as of when
+        self._recent_refusal_count: list[float] = [
+            0.0,
+            now,
+        ]  # refusals within about the last second, and the time of the last update
 
     def refusal_if_full(self) -> tuple[str, float] | None:
-        """Why, whatever an ask is like, it is refused now, and its retry time; None where that depends on the ask. Under
-        the worst most asks end here, so this costs next to nothing."""
+        """The reason and retry time in ms if any request must be refused now; None where that depends on the request.
+
+        Under the heaviest overload most requests end here, so this check costs next to nothing.
+        """
         if self.open_tasks.total < self.open_tasks.max_open:
             return None
         return TOO_MANY_OPEN, self._spread_ms(2.0 * self.max_retry_ms)
 
     def recent_refusal(self, owner: str, worth: float, aim_ms: float, now: float) -> tuple[str, float] | None:
-        """The same where, within a turn, an ask of that owner that was worth as much and could wait as long has been
-        refused. Under overload most asks end here: it costs a third of :meth:`decide`, and the line moves by no more than a
-        turn meanwhile."""
+        """The same if, within a turn, a request of that owner with at least this worth and aim has been refused.
+
+        Under overload most requests end here. It costs a third of :meth:`decide`, and the queue advances by no more than
+        one turn meanwhile.
+        """
         previous = self._recent_refusals.get(owner)
         if previous is None or worth > previous[0] or aim_ms > previous[1]:
             return None
@@ -103,7 +116,7 @@
         return QUEUE_TOO_LONG, self._retry_ms(now)
 
     def decide(self, request: AdmissionRequest, now: float) -> Verdict:
-        """Whether the ask is let in; then call :meth:`enqueue`."""
+        """Decide on a request; if it is admitted, call :meth:`enqueue`."""
         reason = self.open_tasks.refusal_reason(request.owner, request.worth, now)
         if reason:
             retry_ms = self._spread_ms(2.0 * self.max_retry_ms)
@@ -116,10 +129,9 @@
             ) * self.service_time.pace_ms + self._turn_ms
             max_wait_ms = request.aim_ms / 4.0 if self.overload.recent(now) else self._max_wait_ms(request)
             if wait_ms > min(max_wait_ms, request.left_ms - self._placement_ms):
-                if wait_ms > max_wait_ms:  # else it was too late for this one alone
-                    if (
-                        len(self._recent_refusals) >= MAX_OWNERS_KEPT
-                    ):  # an overload may last for hours, with ever new owners
+                if wait_ms > max_wait_ms:  # else only this request's own time was too short
+                    # Bounded, as an overload may last for hours, with new owners all the time.
+                    if len(self._recent_refusals) >= MAX_OWNERS_KEPT:
                         self._recent_refusals.clear()
                     self._recent_refusals[request.owner] = (request.worth, request.aim_ms, now + self._turn_ms)
                 self._record_queue_refusal(now)
@@ -128,11 +140,11 @@
             own = self._owner_retry_budget(request.owner, now)
             if not own.try_repeat(now):
                 return Verdict("too many repeats of this owner", max(own.wait_ms(), self.max_retry_ms))
-            if not self._retries.try_repeat(now):
-                return Verdict("too many repeats", max(self._retries.wait_ms(), self.max_retry_ms))
+            if not self._retry_budget.try_repeat(now):
+                return Verdict("too many repeats", max(self._retry_budget.wait_ms(), self.max_retry_ms))
         else:
             self._owner_retry_budget(request.owner, now).record_first()
-            self._retries.record_first()
+            self._retry_budget.record_first()
         return ADMITTED
 
     def _record_queue_refusal(self, now: float) -> None:
@@ -141,32 +153,34 @@
         self.overload.record_refusal(now)
 
     def _max_wait_ms(self, request: AdmissionRequest) -> float:
-        """How long it can wait and still be placed within its aim."""
+        """How long a request can wait and still be placed within its aim."""
         return max(request.aim_ms - self._placement_ms, request.aim_ms / 2.0)
 
     def _retry_ms(self, now: float) -> float:
-        """When the line, and all that was turned away within the last second before it, will have drained."""
-        count, at = self._refusal_rate
-        self._refusal_rate = [count * max(0.0, 1.0 - (now - at) / 1000.0) + 1.0, now]
-        return self._spread_ms((len(self.queue) + self._refusal_rate[0]) * self.service_time.cost_ms)
+        """The time until the queue, and all that was refused within the last second, could be processed."""
+        count, at = self._recent_refusal_count
+        self._recent_refusal_count = [count * max(0.0, 1.0 - (now - at) / 1000.0) + 1.0, now]
+        return self._spread_ms((len(self.queue) + self._recent_refusal_count[0]) * self.service_time.cost_ms)
 
     def _spread_ms(self, ms: float) -> float:
-        """Within half to one and a half times of it, evenly, and at most twice the longest retry time of the settings: those
-        refused together must not come back together."""
+        """A retry time spread evenly over half to one and a half times ``ms``, at most twice the settings' longest.
+
+        Requests that are refused together must not come back together.
+        """
         self._spread_phase = (self._spread_phase + GOLDEN_RATIO_STEP) % 1.0
         return max(1.0, min(ms, self.max_retry_ms * 4.0 / 3.0) * (0.5 + self._spread_phase))
 
     def _owner_retry_budget(self, owner: str, now: float) -> RetryBudget:
         budget = self._owner_retries.pop(owner, None) or RetryBudget(now)
-        self._owner_retries[owner] = budget  # the latest heard of stands last
+        self._owner_retries[owner] = budget  # the most recently active owner comes last
         if len(self._owner_retries) > MAX_OWNERS_KEPT:
             del self._owner_retries[next(iter(self._owner_retries))]
         return budget
 
-    # The line
+    # The queue
 
     def enqueue(self, item: T, request: AdmissionRequest, now: float) -> None:
-        """The ask was let in: it stands in line, or, where nobody does and this turn has room, it is taken up at once."""
+        """Queue an admitted request, or process it in this turn if the queue is empty and the turn's quota allows."""
         if not len(self.queue) and len(self._immediate) < self._quota():
             self._immediate.append(item)
             return
@@ -176,19 +190,19 @@
 
     @property
     def has_queued(self) -> bool:
-        """Whether :meth:`dequeue` has anything to give."""
+        """Whether :meth:`dequeue` would return anything."""
         return bool(self._immediate) or len(self.queue) > 0
 
     def _quota(self) -> int:
-        """How many one turn takes up."""
-        cost = self.service_time.cost_ms
-        return max(1, int(self._turn_ms / cost)) if cost else FIRST_QUOTA
+        """How many requests one turn dequeues."""
+        cost_ms = self.service_time.cost_ms
+        return max(1, int(self._turn_ms / cost_ms)) if cost_ms else FIRST_QUOTA
 
     def dequeue(self, now: float) -> tuple[list[T], list[T]]:
-        """Those to be taken up in this turn, and those whose time is over instead.
+        """The requests to process in this turn, and those that have expired.
 
-        While the line stands, what has waited for half of its aim is over too: dearer asks have overtaken it, and it would
-        take the time of one that can still be placed within its aim. A line that drains has time for it.
+        Under overload a request that has waited for half of its aim expires too: more valuable ones have overtaken it, and
+        it would take the time of one that can still be placed within its aim. A queue that drains has time for it.
         """
         if not len(self.queue):
             self._recent_refusals.clear()
@@ -203,33 +217,34 @@
         return chosen, expired
 
     def record_placement(self, ms: float) -> None:
-        """A task that was taken up so long ago has been placed."""
+        """Record that a task was placed ``ms`` after its request was dequeued."""
         self._placement_ms += PLACEMENT_TIME_GAIN * (ms - self._placement_ms) if self._placement_ms else ms
 
-    # What owners are told, and whose streams are left unread
+    # Credit and read pauses
 
     def update_credit(self, now: float) -> None:
-        """To be called at intervals while owners ask, or are bound."""
-        # What counts is that the line refuses: as it is bounded then, a turn takes up most of it, and at the moment of
-        # the look it is as likely short as long.
+        """Recompute the credit. To be called at intervals while owners submit tasks, or have a credit."""
+        # Refusals count, not the queue's length: while the queue is bounded, a turn dequeues most of it, so that at this
+        # moment it is as likely to be short as long.
         refuses = self.overload.recent(now) and self._queue_refusals > 0
         self._queue_refusals = 0
-        empty, self._queue_was_empty = self._queue_was_empty or not len(self.queue), False
+        was_empty, self._queue_was_empty = self._queue_was_empty or not len(self.queue), False
         pace_ms = self.service_time.pace_ms
-        # What a line that stands bears, and what machines look at meanwhile. With the turn in it, or at the pace without
-        # refusals, owners were let ask for a third more than the line then took.
+        # What is processed within the wait allowed under overload plus the machines' own time. Counting the turn in, or
+        # using the cost without refusals, let owners submit a third more than the queue then accepted.
         affordable = (
             (self._shortest_aim_ms / 4.0 - self._turn_ms + self._placement_ms) / pace_ms
             if pace_ms
             else self.open_tasks.max_open
         )
-        self.credit.update(refuses, empty, affordable, self.open_tasks.max_open)
+        self.credit.update(refuses, was_empty, affordable, self.open_tasks.max_open)
 
     def read_pause_ms(self, session: bytes, now: float) -> float:
-        """An ask of that session has been refused: for how long nothing more of its stream should be read."""
+        """Record a refusal of that session. Returns for how long its stream should not be read, in ms."""
         return self.read_pauses.record_refusal(session, now, REFUSAL_COST_SHARE * self.service_time.cost_ms)
 
-    # A reload
+    # Reload of the settings
 
     def set_max_open(self, max_open: int) -> None:
+        """Apply another limit on open tasks."""
         self.open_tasks.max_open = max_open
--- a/sprucepost/admission/credit.py
+++ b/sprucepost/admission/credit.py
@@ -1,45 +1,49 @@
-"""How many asks each owner may have open, told before it asks, so that under overload most of them are never sent."""
+"""Bounds how many submissions owners may have open, so that under overload most of them are never sent."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
 
-def max_min_bound(wants: Sequence[float], total: float) -> float:
-    """Max-min fairness: the bound for each under which they take ``total`` together; inf where all they want fits.
+def max_min_bound(demands: Sequence[float], total: float) -> float:
+    """The max-min fair bound on each demand under which all together use ``total``; inf if all demands fit.
 
-    Who wants less than the bound gets what it wants, and what it leaves goes to the others evenly.
+    A demand below the bound is met in full, and what it leaves is divided evenly among the others.
     """
     remaining = total
-    for n, want in enumerate(sorted(wants)):
-        share = remaining / (len(wants) - n)
-        if want > share:
+    for n, demand in enumerate(sorted(demands)):
+        share = remaining / (len(demands) - n)
+        if demand > share:
             return share
-        remaining -= want
+        remaining -= demand
     return float("inf")
 
 
 class Credit:
-    """``total`` asks that may be without an outcome together; 0: no bound.
+    """``total``: how many submissions may be without an outcome in all; 0: no bound.
 
     =======================  =====================================================================================
-    the line drains          no bound: bursts are what the line is for
-    it stands and refuses    as many as are answered within a quarter of the aim and the machines' own time (Little's law)
-    it was empty since       a quarter more at each look, until they are more than may be open in all
-    neither                  as before
+    the queue drains         no bound: the queue is there to absorb bursts
+    overload, refusals       as many as are answered within a quarter of the aim plus the machines' time (Little's law)
+    it was empty meanwhile   a quarter more at each update, until it exceeds the limit on open tasks
+    neither                  unchanged
     =======================  =====================================================================================
 
-    A line that runs empty while owners hold asks back is time lost: what fits is an estimate, and where it came out too
-    small it must grow at once. But not be lifted at once: all that owners hold back would arrive as one burst,
-    the line would stand again, and placer and owners would swing between too much and nothing.
+    A queue that runs empty while owners hold submissions back wastes time. The bound is an estimate, and where it is too
+    low it must grow immediately. It is not lifted at once: all held submissions would arrive as one burst, the placer would
+    be overloaded again, and the load would oscillate between too much and nothing.
     """
 
     def __init__(self) -> None:
         self.total = 0
 
     def update(self, refuses: bool, was_empty: bool, affordable: float, max_open: int) -> None:
-        """``was_empty``: the line was, at some moment since the last look. ``affordable``: as many as are answered in
-        a bearable time, at the pace of now. ``max_open`` may be open in all."""
+        """Recompute the bound.
+
+        ``refuses``: the queue is overloaded and has refused requests since the last update; ``was_empty``: it was empty at
+        some moment since then; ``affordable``: how many are answered in an acceptable time at the current pace;
+        ``max_open`` tasks may be open in all.
+        """
         if refuses:
             self.total = max(1, min(int(affordable), max_open))
         elif self.total and was_empty:
@@ -47,11 +51,13 @@
             if self.total >= max_open:
                 self.total = 0
 
-    def per_owner_bound(self, open_asks: Sequence[int], previous: int) -> int:
-        """The bound for each owner, of those that have asks open, where ``told`` was it so far; 0: no bound. Who is at its
-        bound may want any number more."""
+    def per_owner_bound(self, open_submissions: Sequence[int], previous: int) -> int:
+        """The bound for each owner, by the open submissions of each; ``previous``: the bound so far; 0: no bound.
+
+        An owner that has reached its bound may want any number more.
+        """
         if not self.total:
             return 0
-        wants = [float("inf") if not previous or count >= previous else float(count) for count in open_asks]
-        bound = max_min_bound(wants, float(self.total))
+        demands = [float("inf") if not previous or count >= previous else float(count) for count in open_submissions]
+        bound = max_min_bound(demands, float(self.total))
         return max(1, self.total if bound == float("inf") else int(bound))
--- a/sprucepost/admission/retries.py
+++ b/sprucepost/admission/retries.py
@@ -1,13 +1,14 @@
-"""What asks that came before may add to the load."""
+"""Bounds the load that repeated submissions may add."""
 
 from __future__ import annotations
 
 
 class RetryBudget:
-    """A share of the fresh asks, and a small rate besides.
+    """A token bucket: repeats may amount to a share of first submissions, plus a small rate.
 
-    Each fresh ask earns ``share`` of a token, up to ``burst``; a repeat spends one. So a thousand owners that ask again at
-    once add at most ``burst`` and then ``share`` of what comes anew, while the odd repeat of a quiet owner always passes.
+    Each first submission earns ``share`` of a token, and time ``per_s`` tokens a second, up to ``burst``; a repeat spends
+    one. So a thousand owners that retry at once add at most ``burst`` and then ``share`` of the first submissions, while the
+    occasional repeat of a quiet owner always passes.
     """
 
     __slots__ = ("_burst", "_per_s", "_refilled_at", "_share", "_tokens")
@@ -22,11 +23,11 @@
         self._refilled_at = max(now_ms, self._refilled_at)
 
     def record_first(self) -> None:
-        """One more that is no repeat. What time has earned is reckoned when a repeat asks for it: every ask passes here."""
+        """Count a first submission. Tokens earned by time are added only on a repeat, as every submission passes here."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def try_repeat(self, now_ms: float) -> bool:
-        """Whether one more repeat passes."""
+        """Spend a token on a repeat. Returns whether there was one."""
         self._refill(now_ms)
         if self._tokens < 1.0:
             return False
@@ -34,5 +35,5 @@
         return True
 
     def wait_ms(self) -> float:
-        """When a repeat would pass, were nothing else to come."""
+        """The time until a repeat would pass if nothing else came, in ms."""
         return max(0.0, (1.0 - self._tokens) / self._per_s * 1000.0)
--- a/sprucepost/admission/sessions.py
+++ b/sprucepost/admission/sessions.py
@@ -1,4 +1,4 @@
-"""How many sessions are kept, and which is evicted when one more comes. Free of I/O and clock."""
+"""Bounds how many sessions are kept, and decides which is evicted for a new one. Free of I/O and clock."""
 
 from __future__ import annotations
 
@@ -6,81 +6,82 @@
 
 
 class SessionTable:
-    """``most`` sessions in all, ``per_peer`` of one peer (a remote host).
+    """At most ``max_sessions`` sessions in all and ``per_peer`` of one peer (a remote host).
 
-    A session is *attached* (it has a stream), *owed* (none, but outcomes of it are still to come) or *free*. Where a bound
-    is reached the free session that has been without a stream for the longest goes, of that peer where its own bound
-    is; where there is none, the newcomer is turned away: nobody loses an outcome to a stranger's hello.
+    A session is *attached* (it has a stream), *pending* (it has none, but outcomes are still to be delivered to it) or
+    *free*. At the limit the free session that has been without a stream for the longest is evicted; at a peer's own limit,
+    the longest of that peer. If there is none, the new session is refused, so that no owner loses an outcome to a
+    stranger's hello.
     """
 
-    def __init__(self, most: int, per_peer: int) -> None:
-        if not 1 <= per_peer <= most:
-            raise ValueError("per_peer: must be at least 1 and at most most")
-        self.most, self.per_peer = most, per_peer
+    def __init__(self, max_sessions: int, per_peer: int) -> None:
+        if not 1 <= per_peer <= max_sessions:
+            raise ValueError("per_peer: must be at least 1 and at most max_sessions")
+        self.max_sessions, self.per_peer = max_sessions, per_peer
         self._peer_of: dict[bytes, str] = {}
-        self._of_peer: Counter[str] = Counter()
-        self._owed: set[bytes] = set()
-        self._free: dict[bytes, None] = {}  # the longest without a stream first
-        self._free_of: dict[str, dict[bytes, None]] = {}
+        self._count_by_peer: Counter[str] = Counter()
+        self._pending: set[bytes] = set()
+        self._free: dict[bytes, None] = {}  # those without a stream for the longest come first
+        self._free_by_peer: dict[str, dict[bytes, None]] = {}
 
     def __len__(self) -> int:
         return len(self._peer_of)
 
     def add(self, token: bytes, peer: str) -> tuple[bool, bytes | None]:
-        """A new session, attached. Whether there is room for it, and the session that has to go for it."""
+        """Add a new, attached session. Returns whether it was added, and the session evicted for it."""
         evicted: bytes | None = None
-        if self._of_peer[peer] >= self.per_peer:
-            evicted = next(iter(self._free_of.get(peer, ())), None)
+        if self._count_by_peer[peer] >= self.per_peer:
+            evicted = next(iter(self._free_by_peer.get(peer, ())), None)
             if evicted is None:
                 return False, None
-        elif len(self) >= self.most:
+        elif len(self) >= self.max_sessions:
             evicted = next(iter(self._free), None)
             if evicted is None:
                 return False, None
         if evicted is not None:
             self.remove(evicted)
         self._peer_of[token] = peer
-        self._of_peer[peer] += 1
+        self._count_by_peer[peer] += 1
         return True, evicted
 
-    def detach(self, token: bytes, owed: bool) -> None:
-        """Its stream has ended."""
-        if owed:
-            self._owed.add(token)
+    def detach(self, token: bytes, pending: bool) -> None:
+        """Record that the session's stream has ended; ``pending``: outcomes are still to be delivered to it."""
+        if pending:
+            self._pending.add(token)
         else:
-            self._set_free(token)
+            self._mark_free(token)
 
     def outcomes_delivered(self, token: bytes) -> None:
-        """The last outcome that it was owed has been told."""
-        if token in self._owed:
-            self._owed.discard(token)
-            self._set_free(token)
+        """Record that no outcome is left to be delivered to the session."""
+        if token in self._pending:
+            self._pending.discard(token)
+            self._mark_free(token)
 
     def attach(self, token: bytes) -> None:
-        """It has a stream again."""
-        self._owed.discard(token)
-        self._not_free(token)
+        """Record that the session has a stream again."""
+        self._pending.discard(token)
+        self._unmark_free(token)
 
     def remove(self, token: bytes) -> None:
-        """It is forgotten."""
+        """Remove a session."""
         peer = self._peer_of.pop(token, None)
         if peer is None:
             return
-        self._owed.discard(token)
-        self._of_peer[peer] -= 1
-        if not self._of_peer[peer]:
-            del self._of_peer[peer]
-        self._not_free(token, peer)
+        self._pending.discard(token)
+        self._count_by_peer[peer] -= 1
+        if not self._count_by_peer[peer]:
+            del self._count_by_peer[peer]
+        self._unmark_free(token, peer)
 
-    def _set_free(self, token: bytes) -> None:
+    def _mark_free(self, token: bytes) -> None:
         self._free[token] = None
-        self._free_of.setdefault(self._peer_of[token], {})[token] = None
+        self._free_by_peer.setdefault(self._peer_of[token], {})[token] = None
 
-    def _not_free(self, token: bytes, peer: str | None = None) -> None:
+    def _unmark_free(self, token: bytes, peer: str | None = None) -> None:
         if token not in self._free:
             return
         del self._free[token]
         peer = self._peer_of[token] if peer is None else peer
-        del self._free_of[peer][token]
-        if not self._free_of[peer]:
-            del self._free_of[peer]
+        del self._free_by_peer[peer][token]
+        if not self._free_by_peer[peer]:
+            del self._free_by_peer[peer]
--- a/sprucepost/admission/weighted_fair_queue.py
+++ b/sprucepost/admission/weighted_fair_queue.py
@@ -1,9 +1,9 @@
-"""The line of asks that wait to be taken up: fair between owners, weighted by worth, the dearest and most urgent first.
+"""The queue of admitted requests: fair between owners, weighted by worth, the most valuable and most urgent first.
 
 Start-time fair queueing (Goyal, Vin, Cheng 1996): each owner has a tag, the work done for it in units of worth, and the
-owner with the smallest tag is next. A dear ask advances its owner's tag by less than a cheap one, so that worth counts, and
-an owner that asks little is served soon whatever another has piled up. Within an owner: dearest first, then the one whose
-time ends first.
+owner with the smallest tag is served next. A valuable request advances its owner's tag by less than a cheap one, so that
+worth counts, and an owner with few requests is served soon however many another has queued. Within an owner the most
+valuable request comes first, then the one with the earliest deadline.
 """
 
 from __future__ import annotations
@@ -14,14 +14,17 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-MIN_WEIGHT = 1e-3  # weight of a class that is worth nothing: it waits long, but it is served
-STALE_ENTRIES_ALLOWED = 64  # entries of the heaps that may be over before they are swept
-MAX_TAGS_KEPT = 1024  # owners without asks whose tag is remembered
+MIN_WEIGHT = 1e-3  # weight of a class with no worth: it waits long, but is served
+STALE_ENTRIES_ALLOWED = 64  # removed entries that a heap may hold beyond its length before it is rebuilt
+MAX_TAGS_KEPT = 1024  # owners without queued requests whose tag is kept
 
 
 class QueuedRequest(Generic[T]):
-    """One ask in line. ``due``: when it cannot be taken up any more; ``late``: from when on it will hardly be placed
-    within its aim. Times in ms, of one clock."""
+    """One queued request.
+
+    After ``deadline`` it cannot be processed any more; after ``aim_deadline`` it will hardly be placed within its aim. Both
+    in ms, on one clock.
+    """
 
     __slots__ = ("aim_deadline", "deadline", "item", "owner", "removed", "weight")
 
@@ -31,26 +34,28 @@
 
 
 class _Owner(Generic[T]):
+    """The queued requests of one owner."""
+
     __slots__ = ("by_weight", "head_weight", "heap", "start", "version")
 
     def __init__(self, start: float) -> None:
-        self.start = start  # its tag: where its next ask begins
+        self.start = start  # its tag: the virtual start time of its next request
         self.heap: list[tuple[float, float, int, QueuedRequest[T]]] = []
         self.by_weight: Counter[float] = Counter()
         self.version = 0
-        self.head_weight = 0.0  # weight of its first
+        self.head_weight = 0.0  # weight of its next request
 
 
 class WeightedFairQueue(Generic[T]):
-    """``len`` counts what is neither popped nor expired."""
+    """A fair queue of requests. ``len`` counts those neither popped nor expired."""
 
     def __init__(self) -> None:
         self._owners: dict[str, _Owner[T]] = {}
-        self._idle_tags: dict[str, float] = {}  # of owners that have none in line
-        self._order: list[tuple[float, int, str, int]] = []  # finish of the head, serial, owner, version
+        self._idle_tags: dict[str, float] = {}  # of owners without queued requests
+        self._order: list[tuple[float, int, str, int]] = []  # virtual finish time of the head, serial, owner, version
         self._by_deadline: list[tuple[float, int, QueuedRequest[T]]] = []
         self._virtual_time = 0.0
-        self._head_weights = 0.0  # the heads' weights together
+        self._head_weights = 0.0  # sum of the weights of all owners' heads
         self._serial = 0
         self._length = 0
 
@@ -58,6 +63,7 @@
         return self._length
 
     def push(self, queued: QueuedRequest[T]) -> None:
+        """Add a request."""
         owner = self._owners.get(queued.owner)
         if owner is None:
             owner = _Owner(max(self._virtual_time, self._idle_tags.pop(queued.owner, 0.0)))
@@ -67,16 +73,15 @@
         owner.by_weight[queued.weight] += 1
         heapq.heappush(self._by_deadline, (queued.deadline, self._serial, queued))
         self._length += 1
-        if (
-            len(self._by_deadline) > 2 * self._length + STALE_ENTRIES_ALLOWED
-        ):  # owners may wait an hour for what was taken up at once
+        # Deadlines may be an hour away, long after the requests have been dequeued.
+        if len(self._by_deadline) > 2 * self._length + STALE_ENTRIES_ALLOWED:
             self._by_deadline = [entry for entry in self._by_deadline if not entry[2].removed]
             heapq.heapify(self._by_deadline)
         if owner.heap[0][3] is queued:
             self._push_order(queued.owner, owner)
 
     def _push_order(self, name: str, owner: _Owner[T]) -> None:
-        """Its head is another one now."""
+        """Order the owner by its new head."""
         weight = owner.heap[0][3].weight
         self._head_weights += weight - owner.head_weight
         owner.head_weight = weight
@@ -91,7 +96,7 @@
         return owner is not None and owner.version == version
 
     def pop(self) -> QueuedRequest[T] | None:
-        """The next to be taken up; None where the line is empty."""
+        """Remove and return the next request; None if the queue is empty."""
         while self._order:
             finish, _, name, version = heapq.heappop(self._order)
             if not self._is_current(name, version):
@@ -119,7 +124,7 @@
         self._head_weights -= owner.head_weight
         del self._owners[name]
         self._idle_tags[name] = owner.start
-        if not self._owners:  # nobody waits: all begin anew
+        if not self._owners:  # the queue is empty: restart virtual time
             self._idle_tags.clear()
             self._order.clear()
             self._virtual_time = self._head_weights = 0.0
@@ -129,7 +134,7 @@
                 del self._idle_tags[next(iter(self._idle_tags))]
 
     def expire(self, now: float, past_aim_too: bool = False) -> list[QueuedRequest[T]]:
-        """Take out those whose time is over; ``past_aim_too``: also those that will miss their aim, by a look at each."""
+        """Remove and return the expired requests; ``past_aim_too``: also those past their aim, by a scan of all."""
         expired = []
         while self._by_deadline and (self._by_deadline[0][2].removed or self._by_deadline[0][0] <= now):
             queued = heapq.heappop(self._by_deadline)[2]
@@ -148,10 +153,10 @@
         return expired
 
     def requests_ahead(self, name: str, weight: float) -> float:
-        """How many asks would be taken up before one that joined now, at most, were no more to come.
+        """How many requests, at most, would be dequeued before one that joined now if no more came.
 
-        Of its own owner those of its weight and above; of each other owner what it is given until this one's turn,
-        reckoned by the weights in line now.
+        Of its own owner those of at least its weight; of each other owner what is served before this one's turn, by the
+        weights queued now.
         """
         weight = max(weight, MIN_WEIGHT)
         owner = self._owners.get(name)
--- a/sprucepost/placing/roster.py
+++ b/sprucepost/placing/roster.py
@@ -153,7 +153,7 @@
         """The entry as the scheduler is to see it: a ready machine that cannot be offered anything is draining.
 
         An offer that waits for a stream spends a cold machine's allowance at another time than the scheduler assumes: two
-        offers decided 1,500 ms apart were sent 1,488 ms apart, and a machine that can start four tasks at once got five.
+        offers decided 1,500 ms apart were sent 1,488 ms apart, and a machine with an allowance of four got five.
         """
         hidden = entry.state is i.MachineState.READY and not self._reachable(entry)
         (self._hidden.add if hidden else self._hidden.discard)(entry.machine)
