--- a/tests/admission/test_sessions.py
+++ b/tests/admission/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions that hellos leave behind: bounded, and none that is owed an outcome goes for another."""
+"""The number of sessions is bounded, and no session with pending outcomes is evicted for another."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 from sprucepost.admission import SessionTable
 
 
-class SessionsAsSaid(RuleBasedStateMachine):
-    """The book against its own words, over any order of comings and goings."""
+class SessionTableModel(RuleBasedStateMachine):
+    """Compares the session table with a simple model over any order of calls."""
 
     def __init__(self) -> None:
         super().__init__()
         self.table = SessionTable(6, 4)
-        self.state: dict[bytes, str] = {}  # attached, owed or free, the longest without a stream first
+        # attached, pending or free; those without a stream for the longest come first
+        self.state: dict[bytes, str] = {}
         self.peer: dict[bytes, str] = {}
         self.next = 0
 
@@ -30,34 +31,34 @@
         if pool is None or free is not None:
             self.state[token], self.peer[token] = "attached", peer
 
-    def _in(self, number: int, *states: str) -> bytes | None:
+    def _pick(self, number: int, *states: str) -> bytes | None:
         chosen = [t for t, state in self.state.items() if state in states]
         return chosen[number % len(chosen)] if chosen else None
 
-    @rule(number=st.integers(0, 9), owed=st.booleans())
-    def leaves(self, number: int, owed: bool) -> None:
-        if token := self._in(number, "attached"):
+    @rule(number=st.integers(0, 9), pending=st.booleans())
+    def stream_ends(self, number: int, pending: bool) -> None:
+        if token := self._pick(number, "attached"):
             del self.state[token]
-            self.state[token] = "owed" if owed else "free"
-            self.table.detach(token, owed)
+            self.state[token] = "pending" if pending else "free"
+            self.table.detach(token, pending)
 
     @rule(number=st.integers(0, 9))
-    def is_told(self, number: int) -> None:
-        if token := self._in(number, "owed", "attached"):
-            if self.state[token] == "owed":
+    def outcomes_delivered(self, number: int) -> None:
+        if token := self._pick(number, "pending", "attached"):
+            if self.state[token] == "pending":
                 del self.state[token]
                 self.state[token] = "free"
             self.table.outcomes_delivered(token)
 
     @rule(number=st.integers(0, 9))
-    def comes_back(self, number: int) -> None:
-        if token := self._in(number, "owed", "free"):
+    def resumes(self, number: int) -> None:
+        if token := self._pick(number, "pending", "free"):
             self.state[token] = "attached"
             self.table.attach(token)
 
     @rule(number=st.integers(0, 9))
-    def is_forgotten(self, number: int) -> None:
-        if token := self._in(number, "owed", "free", "attached"):
+    def removed(self, number: int) -> None:
+        if token := self._pick(number, "pending", "free", "attached"):
             del self.state[token]
             self.table.remove(token)
 
@@ -66,4 +67,4 @@
         assert len(self.table) == len(self.state) <= 6
 
 
-TestSessionsAsSaid = SessionsAsSaid.TestCase
+TestSessionTable = SessionTableModel.TestCase
--- a/tests/placing/support.py
+++ b/tests/placing/support.py
@@ -1,4 +1,4 @@
-"""The walk of a task without sockets: a loop on virtual time, machines and owners that only write down."""
+"""A placer without sockets: a loop on virtual time, and machines and owners that record what they are sent."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class VirtualLoop(Loop):
-    """Time passes only where the loop would wait; there are no sockets."""
+    """A loop whose time advances only where it would wait; there are no sockets."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -53,21 +53,21 @@
         self._after_poll(began, wait_ms)
 
     def pass_ms(self, ms: float) -> None:
-        """Turns until so much later."""
+        """Run turns until ``ms`` have passed."""
         done: list[bool] = []
         self.call_later(ms, lambda: done.append(True))
         while not done:
             self.turn()
 
-    def pause(self, ms: float) -> None:
-        """As SIGSTOP does: time passes without a turn, and the wait comes back late."""
+    def stall(self, ms: float) -> None:
+        """Stall as on SIGSTOP: time passes without a turn, and the poll returns late."""
         self._after_poll(self.time, 0.0)
         self.time += ms
         self._after_poll(self.time - ms, 0.0)
 
 
 class Link:
-    """A machine's stream that writes when told to."""
+    """A machine's stream; while ``behind`` is set, it writes only on :meth:`flush`."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
@@ -75,7 +75,7 @@
         self.queue: list[Key] = []
         self.offers: list[machine_pb2.Offer] = []
         self.sent: list[machine_pb2.ToMachine] = []
-        self.gave_up = 0
+        self.discarded_buffers = 0
 
     def offer(self, key: Key) -> None:
         self.queue.append(key)
@@ -97,20 +97,20 @@
             self.queue.clear()
 
     def give_up_buffered(self) -> None:
-        self.gave_up += 1
+        self.discarded_buffers += 1
 
     def send(self, frame: machine_pb2.ToMachine) -> None:
         self.sent.append(frame)
 
 
 class Streams:
-    """All machines and one owner."""
+    """The streams of all machines and of one owner."""
 
     incarnation = 9
 
     def __init__(self) -> None:
         self.links: dict[str, Link] = {}
-        self.told: list[pb.PlacerFrame] = []
+        self.owner_frames: list[pb.PlacerFrame] = []
 
     def get(self, machine: str) -> Link | None:
         return self.links.get(machine)
@@ -119,17 +119,19 @@
         self.links.pop(machine, None)
 
     def tell(self, token: bytes, frame: pb.PlacerFrame) -> None:
-        self.told.append(frame)
+        self.owner_frames.append(frame)
 
 
 class Session:
+    """The session of the one owner."""
+
     token, owner = b"o", "owner"
 
     def __init__(self, streams: Streams) -> None:
         self._streams = streams
 
     def send(self, frame: pb.PlacerFrame) -> None:
-        self._streams.told.append(frame)
+        self._streams.owner_frames.append(frame)
 
     def released(self, task: str, asks: int) -> None: ...
 
@@ -141,7 +143,7 @@
 
 
 class PlacerHarness:
-    """One engine on a virtual loop."""
+    """One placer's engine on a virtual loop."""
 
     def __init__(self, settings: Cluster | None = None, **options: Any) -> None:
         self.loop = VirtualLoop()
@@ -162,7 +164,7 @@
         self.logs[event] += 1
 
     def machine(self, name: str = "m1", life: int = 1, state: int = 1, started: float = 0.0) -> Link:
-        """The list names it and it has attached."""
+        """Add a machine that is listed and, if ``life`` is not 0, attached."""
         link = self.streams.links[name] = Link(self.engine)
         self.tell_list(name, state=state, started=started)
         if life:
@@ -195,5 +197,5 @@
         self.loop.pass_ms(0.0)
 
     def outcomes(self, name: str = "t") -> list[str]:
-        kinds = [str(frame.WhichOneof("body")) for frame in self.streams.told if frame.task == name]
+        kinds = [str(frame.WhichOneof("body")) for frame in self.streams.owner_frames if frame.task == name]
         return [kind for kind in kinds if kind in ("bound", "refused", "failed")]
--- a/tests/placing/test_attempts.py
+++ b/tests/placing/test_attempts.py
@@ -1,4 +1,4 @@
-"""An offer is for one life of a machine and for the time that is left; both are held at the moment at which it goes out."""
+"""An offer holds for one machine incarnation and for the time that is left; both are checked when it is sent."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.placing.support import Link, PlacerHarness
 
 
-def waiting(harness: PlacerHarness, task_class: str = "web") -> Link:
-    """A machine whose stream takes nothing, and a task whose offer waits for it."""
+def waiting_offer(harness: PlacerHarness, task_class: str = "web") -> Link:
+    """A machine whose stream accepts nothing, and a task whose offer waits for it."""
     link = harness.machine()
     link.behind = True
     harness.submit(task_class=task_class)
@@ -17,9 +17,9 @@
     return link
 
 
-def test_an_offer_that_waited_carries_what_is_left_of_its_time() -> None:
+def test_a_delayed_offer_carries_the_time_that_is_left() -> None:
     harness = PlacerHarness()
-    link = waiting(harness)
+    link = waiting_offer(harness)
     attempt = harness.engine.attempts.get(link.queue[0])
     assert attempt is not None
     timeout = attempt.deadline - attempt.decided_at
@@ -28,9 +28,9 @@
     assert link.offers[0].wait_ms == pytest.approx(timeout * 0.6, abs=1.0)
 
 
-def test_an_offer_with_too_little_time_left_is_not_written_and_never_ran() -> None:
+def test_an_offer_with_too_little_time_left_is_not_written_and_known_never_to_have_run() -> None:
     harness = PlacerHarness()
-    link = waiting(harness, "once")
+    link = waiting_offer(harness, "once")
     attempt = harness.engine.attempts.get(link.queue[0])
     assert attempt is not None
     harness.loop.pass_ms(attempt.deadline - attempt.decided_at - 12.0)
@@ -39,10 +39,10 @@
     harness.loop.pass_ms(60.0)
     assert harness.engine.counters["unsent"] == 1 and harness.outcomes() == [
         "refused"
-    ]  # unsafe: so it was known never to run
+    ]  # the class is unsafe, so the task is known never to have run
 
 
-def test_an_offer_that_is_sent_again_carries_what_is_left_or_is_void() -> None:
+def test_an_offer_sent_again_carries_the_time_that_is_left_or_is_void() -> None:
     harness = PlacerHarness()
     link = harness.machine()
     harness.submit()
@@ -54,18 +54,18 @@
     assert harness.engine.write(key, 1) is None
 
 
-def test_an_offer_that_waited_is_not_for_the_machine_s_next_life() -> None:
+def test_a_delayed_offer_is_not_sent_to_the_next_incarnation_of_its_machine() -> None:
     harness = PlacerHarness()
-    link = waiting(harness, "once")
+    link = waiting_offer(harness, "once")
     first = link.queue[0]
     assert harness.engine.write(first, 2) is None
     harness.attach("m1", 2)
     assert first not in link.queue and not link.offers and harness.engine.attempts.get(first) is None
     entry = harness.engine.ledger.by_request(first[0])
-    assert entry is not None and not entry.may_have_run  # it is known never to have run: a refusal is still true
+    assert entry is not None and not entry.may_have_run  # it is known never to have run, so a refusal is still safe
 
 
-def test_an_offer_that_went_out_to_the_life_before_may_have_run() -> None:
+def test_an_offer_sent_to_the_previous_incarnation_may_have_run() -> None:
     harness = PlacerHarness()
     link = harness.machine()
     harness.submit(task_class="once", left_ms=1000.0)
@@ -75,19 +75,19 @@
     assert harness.outcomes() == ["failed"] and len(link.offers) == 1
 
 
-def test_a_machine_s_own_word_of_a_fresh_start_reaches_the_module_before_any_list() -> None:
+def test_a_machine_s_report_of_a_fresh_start_reaches_the_scheduler_before_any_list() -> None:
     harness = PlacerHarness()
     link = harness.machine()
     harness.attach("m1", 2, started_ms=harness.loop.wall() - 100.0)
     harness.loop.pass_ms(0.0)
     known = harness.engine.driver.scheduler.machines["m1"]
     assert known.started == harness.loop.wall() - 100.0 and harness.logs["fresh_start"] == 1
-    harness.tell_list("m1", started=0.0)  # a list that is behind takes nothing back
+    harness.tell_list("m1", started=0.0)  # a list that lags does not undo it
     harness.loop.pass_ms(0.0)
     assert known.started > 0 and not link.offers
 
 
-def test_a_machine_without_a_stream_is_offered_nothing_until_it_has_one() -> None:
+def test_a_machine_without_a_stream_gets_no_offers_until_it_has_one() -> None:
     harness = PlacerHarness()
     link = harness.machine(life=0)
     harness.submit()
@@ -97,9 +97,9 @@
     assert len(link.offers) == 1
 
 
-def test_what_waits_for_a_broken_stream_goes_to_another_machine_at_once() -> None:
+def test_an_offer_that_waits_for_a_broken_stream_goes_to_another_machine_at_once() -> None:
     harness = PlacerHarness()
-    link = waiting(harness, "once")
+    link = waiting_offer(harness, "once")
     other = harness.machine("m2")
     harness.engine.detached("m1")
     harness.loop.pass_ms(0.0)
@@ -108,9 +108,11 @@
     assert not link.queue and len(other.offers) == 2
 
 
-def test_an_offer_to_a_cold_machine_goes_out_in_the_turn_of_its_decision_or_not_at_all() -> None:
+def test_an_offer_to_a_cold_machine_is_sent_in_the_turn_of_its_decision_or_not_at_all() -> None:
     harness = PlacerHarness()
-    harness.loop.pass_ms(3 * harness.cluster.fall_ms)  # what an earlier life of this placer may have spent has passed
+    harness.loop.pass_ms(
+        3 * harness.cluster.fall_ms
+    )  # the allowance that an earlier incarnation of this placer may have used has expired
     link = harness.machine(started=harness.loop.wall() - 10.0)
     link.behind = True
     harness.submit(task_class="once")
@@ -123,9 +125,9 @@
     assert [offer.name for offer in link.offers] == ["u"]
 
 
-def test_what_was_never_written_is_moot_when_the_machine_drains() -> None:
+def test_an_unwritten_offer_is_void_when_its_machine_drains() -> None:
     harness = PlacerHarness()
-    link = waiting(harness, "once")
+    link = waiting_offer(harness, "once")
     harness.tell_list("m1", state=2)
     harness.loop.pass_ms(0.0)
     assert not link.queue and not len(list(harness.engine.attempts))
@@ -133,15 +135,15 @@
     assert harness.outcomes() == ["refused"]
 
 
-def test_an_offer_whose_time_is_over_while_bytes_wait_has_them_given_up() -> None:
+def test_buffered_bytes_are_discarded_when_an_offer_times_out() -> None:
     harness = PlacerHarness()
     link = harness.machine()
     harness.submit()
     harness.loop.pass_ms(link.offers[0].wait_ms + 5.0)
-    assert link.gave_up == 1 and harness.engine.counters["timeouts"] == 1
+    assert link.discarded_buffers == 1 and harness.engine.counters["timeouts"] == 1
 
 
-def test_another_machine_s_word_on_an_attempt_is_no_answer() -> None:
+def test_a_message_of_another_machine_does_not_answer_an_attempt() -> None:
     harness = PlacerHarness()
     link = harness.machine()
     harness.machine("m2", state=2)
@@ -152,8 +154,8 @@
     assert harness.outcomes() == ["bound"]
 
 
-def test_a_list_that_is_behind_takes_no_start_back() -> None:
-    """It did, and the next attach of the same life then counted as another one: what was out there was given up."""
+def test_a_list_that_lags_does_not_undo_a_reported_start() -> None:
+    """Otherwise the next attach of the same incarnation counts as a restart, and its pending attempts are ended."""
     harness = PlacerHarness()
     harness.loop.pass_ms(3 * harness.cluster.fall_ms)
     link = harness.machine()
@@ -171,7 +173,7 @@
     assert harness.engine.attempts.get(key) is not None and harness.logs["fresh_start"] == 1
 
 
-def test_of_a_machine_that_is_gone_nothing_is_kept() -> None:
+def test_no_state_is_kept_of_a_machine_that_is_gone() -> None:
     harness = PlacerHarness()
     harness.machine(started=harness.loop.wall() - 10.0)
     harness.engine.detached("m1")
@@ -180,9 +182,12 @@
     assert not harness.engine.attempts.cold_until and not harness.engine.attempts.closed_machines
 
 
-def test_a_machine_is_cold_for_as_much_longer_as_clocks_may_be_apart() -> None:
-    """A host's clock had stepped: its placer, 100 ms ahead, took a machine for warm that others still shared out."""
+def test_the_cold_period_is_extended_by_the_allowed_clock_difference() -> None:
+    """Otherwise a placer whose host's clock has stepped 100 ms ahead takes a machine for warm that others treat as cold."""
     harness = PlacerHarness()
-    apart = harness.cluster.clock_apart_ms
+    clock_apart_ms = harness.cluster.clock_apart_ms
     settings = harness.engine.driver.scheduler.settings
-    assert apart == harness.cluster.fall_ms / 4 and settings.warm_after == harness.cluster.warm_after_ms + apart
+    assert (
+        clock_apart_ms == harness.cluster.fall_ms / 4
+        and settings.warm_after == harness.cluster.warm_after_ms + clock_apart_ms
+    )
--- a/tests/placing/test_intake.py
+++ b/tests/placing/test_intake.py
@@ -1,4 +1,4 @@
-"""Asks of one name: joined while the task is open, each answered once."""
+"""Submissions of one name are joined while the task is open, and each is answered once."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from tests.placing.support import PlacerHarness
 
 
-def test_a_session_that_asks_twice_is_owed_two_outcomes() -> None:
+def test_a_session_that_submits_a_task_twice_gets_two_outcomes() -> None:
     harness = PlacerHarness()
-    harness.submit(left_ms=400.0)  # no machine: it waits
+    harness.submit(left_ms=400.0)  # there is no machine, so it waits
     harness.submit(left_ms=400.0)
     harness.loop.pass_ms(400.0)
     assert harness.outcomes() == ["refused", "refused"] and harness.engine.counters["joined"] == 1
@@ -17,7 +17,7 @@
     assert harness.outcomes() == ["refused"] * 3
 
 
-def test_a_joined_ask_of_a_placed_task_is_answered_at_once_and_only_it() -> None:
+def test_a_submission_of_a_placed_task_is_answered_at_once_and_only_it() -> None:
     harness = PlacerHarness()
     link = harness.machine()
     harness.submit()
@@ -28,7 +28,7 @@
     assert harness.outcomes() == ["bound"] * 3
 
 
-def test_a_cancelled_task_answers_every_ask_of_its_owner() -> None:
+def test_a_cancelled_task_answers_every_submission_of_its_owner() -> None:
     harness = PlacerHarness()
     harness.submit()
     harness.submit()
--- a/tests/placing/test_ledger.py
+++ b/tests/placing/test_ledger.py
@@ -1,4 +1,4 @@
-"""The settlement ledger: one outcome, whatever is tried."""
+"""The ledger records exactly one outcome per task in any order of calls."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from sprucepost.placing.ledger import DuplicateOutcomeError, Entry, LateAction, Ledger, Outcome, late_action
 
-ANSWERS = (Outcome.PLACED, Outcome.REFUSED, Outcome.FAILED)
+OUTCOMES = (Outcome.PLACED, Outcome.REFUSED, Outcome.FAILED)
 
 
-@pytest.mark.parametrize("first", ANSWERS)
-@pytest.mark.parametrize("second", ANSWERS)
-def test_a_second_answer_is_impossible(first: Outcome, second: Outcome) -> None:
+@pytest.mark.parametrize("first", OUTCOMES)
+@pytest.mark.parametrize("second", OUTCOMES)
+def test_a_second_outcome_is_rejected(first: Outcome, second: Outcome) -> None:
     ledger = Ledger()
     entry = ledger.take("t", 0, "s", 0.0)
     ledger.settle(entry, first, 1.0)
@@ -22,8 +22,8 @@
     assert ledger.open == 0 and ledger.outcomes.total() == 1
 
 
-@given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from([*ANSWERS, "end", "forget"])), max_size=40))
-def test_counts_and_names_agree_whatever_happens(steps: list[tuple[str, object]]) -> None:
+@given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from([*OUTCOMES, "end", "forget"])), max_size=40))
+def test_counts_and_names_agree_after_any_steps(steps: list[tuple[str, object]]) -> None:
     ledger, now, taken = Ledger(), 0.0, 0
     for name, step in steps:
         now += 1.0
@@ -56,7 +56,7 @@
         (Outcome.FAILED, None, True, LateAction.WITHDRAW),
     ],
 )
-def test_what_a_late_word_means(
+def test_the_action_for_a_late_message(
     outcome: Outcome | None, pending: int | None, cancelled: bool, action: LateAction
 ) -> None:
     entry = None if outcome is None else Entry(1, "t", 0, "s", outcome, pending_attempt=pending, cancelled=cancelled)
