--- a/sprucepost/admission/admission.py
+++ b/sprucepost/admission/admission.py
@@ -86,10 +86,8 @@
         self._immediate: list[T] = []  # admitted in this turn while the queue was empty
         self._placement_ms = 0.0
         self._spread_phase = 0.0
-        self._recent_refusal_count: list[float] = [
-            0.0,
-            now,
-        ]  # refusals within about the last second, and the time of the last update
+        # Refusals within about the last second, and the time of the last update.
+        self._recent_refusal_count: list[float] = [0.0, now]
 
     def refusal_if_full(self) -> tuple[str, float] | None:
         """The reason and retry time in ms if any request must be refused now; None where that depends on the request.
--- a/sprucepost/placing/fleet_driver.py
+++ b/sprucepost/placing/fleet_driver.py
@@ -26,20 +26,20 @@
         slew: float,
         clock_apart_ms: float,
         generation: Generation,
-        ask_list: Callable[[], None],
+        request_list: Callable[[], None],
         log: Callable[..., None],
         counters: Counter[str],
     ) -> None:
-        super().__init__(loop, settings, seed, slew, ask_list, log, counters)
+        super().__init__(loop, settings, seed, slew, request_list, log, counters)
         self._number = settings.number
         self._generation, self.side = generation, Side.NEW
         self._all_informed, self._disputed = True, False  # until the fleet's view reports otherwise
-        self._guard = ClockGuard(clock_apart_ms)
+        self._clock_guard = ClockGuard(clock_apart_ms)
         self._slot_timer: Timer | None = None
 
     def now(self) -> float:
         """Aligned wall-clock time in ms, corrected to the list's time."""
-        return self._clock.read(self.loop.now(), self.loop.wall() - self._guard.lead_ms)
+        return self._clock.read(self.loop.now(), self.loop.wall() - self._clock_guard.lead_ms)
 
     @property
     def stance(self) -> Stance:
@@ -60,8 +60,10 @@
 
     def check_list_time(self, list_ms: float) -> None:
         """Compare the list's clock, in ms, with this host's."""
-        if self._guard.hear(self.now(), self.loop.wall(), list_ms):
-            self._log("clock_off" if self._guard.off else "clock_good", host_leads_ms=round(self._guard.lead_ms))
+        if self._clock_guard.hear(self.now(), self.loop.wall(), list_ms):
+            self._log(
+                "clock_off" if self._clock_guard.off else "clock_good", host_leads_ms=round(self._clock_guard.lead_ms)
+            )
             self.update_slot()
 
     def update_slot(self) -> None:
@@ -69,9 +71,9 @@
         if self._slot_timer is not None:
             self._slot_timer.cancel()
             self._slot_timer = None
-        found = self.stance
-        seats = 0 if self._guard.off or self._disputed else found.seats
-        self.push(i.Membership(found.n_instances, found.seat if seats else 0, seats))
-        self._log("seat", phase=found.phase.value, seat=found.seat, seats=seats, why=found.why or None)
-        if found.until_ms is not None:
-            self._slot_timer = self.loop.call_later(found.until_ms - self.now() + 1.0, self.update_slot)
+        current = self.stance
+        seats = 0 if self._clock_guard.off or self._disputed else current.seats
+        self.push(i.Membership(current.n_instances, current.seat if seats else 0, seats))
+        self._log("seat", phase=current.phase.value, seat=current.seat, seats=seats, why=current.why or None)
+        if current.until_ms is not None:
+            self._slot_timer = self.loop.call_later(current.until_ms - self.now() + 1.0, self.update_slot)
--- a/sprucepost/placing/intake.py
+++ b/sprucepost/placing/intake.py
@@ -77,15 +77,15 @@
         if not left_ms > 2 * self._margin_ms:
             self._refuse(session, name, NO_TIME)
             return
-        now, number = self.loop.now(), self._catalog.classes[task.task_class]
-        worth, aim = self._catalog.worth[task.task_class], self._catalog.aim_ms[number]
-        request = AdmissionRequest(session.owner, worth, left_ms - 2 * self._margin_ms, aim, submission.repeat)
+        now, class_number = self.loop.now(), self._catalog.classes[task.task_class]
+        worth, aim_ms = self._catalog.worth[task.task_class], self._catalog.aim_ms[class_number]
+        request = AdmissionRequest(session.owner, worth, left_ms - 2 * self._margin_ms, aim_ms, submission.repeat)
         verdict = self._admission.decide(request, now)
         if verdict.why:
             self.counters["turned_away"] += 1
             self._refuse(session, name, verdict.why, verdict.retry_after_ms)
             return
-        entry = self._ledger.take(name, number, task.service, self._driver.now())
+        entry = self._ledger.take(name, class_number, task.service, self._driver.now())
         entry.sessions[session.token] = 1
         entry.ask, entry.deadline, entry.owner, entry.repeat = task, now + left_ms, session.owner, submission.repeat
         self._admission.open_tasks.opened(session.owner)
@@ -94,11 +94,11 @@
 
     def _early_refusal(self, owner: str, task_class: str) -> tuple[str, float] | None:
         """Why no submission of that owner and class can be admitted now, and the retry time in ms; None if one may be."""
-        full = self._admission.refusal_if_full()
-        if full is None and task_class in self._catalog.worth:
-            aim = self._catalog.aim_ms[self._catalog.classes[task_class]]
-            return self._admission.recent_refusal(owner, self._catalog.worth[task_class], aim, self.loop.now())
-        return full
+        refusal = self._admission.refusal_if_full()
+        if refusal is None and task_class in self._catalog.worth:
+            aim_ms = self._catalog.aim_ms[self._catalog.classes[task_class]]
+            return self._admission.recent_refusal(owner, self._catalog.worth[task_class], aim_ms, self.loop.now())
+        return refusal
 
     def dequeue_tasks(self) -> None:
         """Pass the queued tasks whose turn it is to the scheduler; runs ahead of each batch.
--- a/sprucepost/placing/late_messages.py
+++ b/sprucepost/placing/late_messages.py
@@ -41,9 +41,8 @@
     ) -> None:
         self.loop, self._driver, self._ledger, self._reporter = loop, driver, ledger, reporter
         self._attempts, self._catalog, self._log, self.counters = attempts, catalog, log, counters
-        self._hand_overs: dict[
-            str, dict[str, tuple[bytes, common_pb2.Task]]
-        ] = {}  # by machine, then task: the session and the task
+        # By machine, then by task: the session and the task.
+        self._hand_overs: dict[str, dict[str, tuple[bytes, common_pb2.Task]]] = {}
         self._surfaced: dict[str, tuple[str, machine_pb2.Held]] = {}  # by task: the machine, and what it holds
 
     # Machines
--- a/sprucepost/placing/roster.py
+++ b/sprucepost/placing/roster.py
@@ -79,14 +79,14 @@
             self._mark_all_changed()
 
     def _update_entry(self, entry: i.MachineEntry) -> None:
-        machine, before = entry.machine, self._entries.get(entry.machine)
+        machine, previous = entry.machine, self._entries.get(entry.machine)
         if (
-            before is not None and before.started > entry.started
+            previous is not None and previous.started > entry.started
         ):  # the machine reported a later start: a list that lags does not undo it
-            entry = replace(entry, started=before.started)
+            entry = replace(entry, started=previous.started)
         self._entries[machine] = entry
         self._update_cold_until(entry)
-        if before is None or before.state is not entry.state:
+        if previous is None or previous.state is not entry.state:
             self._attempts.set_closed(machine, entry.state is not i.MachineState.READY)
         if entry.state is i.MachineState.GONE:
             link = self.machines.get(machine)
@@ -183,10 +183,10 @@
             entry = self._entries.get(machine)
             if entry is None or entry.state is not i.MachineState.READY:
                 continue
-            was = machine in self._hidden
-            now = self._visible_entry(entry)
-            if was is not (machine in self._hidden):
-                updates.append(now)
+            was_hidden = machine in self._hidden
+            visible = self._visible_entry(entry)
+            if was_hidden is not (machine in self._hidden):
+                updates.append(visible)
             suspect = self.pause_recovery.is_suspect(machine, self.loop.now())
             if suspect is not (machine in self._attempts.closed_machines):
                 self._attempts.set_closed(machine, suspect)
--- a/sprucepost/placing/scheduler_driver.py
+++ b/sprucepost/placing/scheduler_driver.py
@@ -26,11 +26,11 @@
         settings: i.Settings,
         seed: int,
         slew: float,
-        ask_list: Callable[[], None],
+        request_list: Callable[[], None],
         log: Callable[..., None],
         counters: Counter[str],
     ) -> None:
-        self.loop, self._log, self._ask_list, self.counters = loop, log, ask_list, counters
+        self.loop, self._log, self._request_list, self.counters = loop, log, request_list, counters
         self.scheduler = Scheduler(settings, seed)
         self.on_action: Callable[[i.Offer | i.Refuse | i.Fail], None] = lambda action: None
         self.before_batch: Callable[[], None] = lambda: None
@@ -62,7 +62,7 @@
             if isinstance(action, i.SetTimer):
                 self._set_timer(action)
             elif isinstance(action, i.Subscribe):
-                self._ask_list()
+                self._request_list()
             elif isinstance(action, i.Log):
                 self._log("module", text=action.text)
             else:
