--- a/sprucepost/placing/roster.py
+++ b/sprucepost/placing/roster.py
@@ -80,9 +80,8 @@
 
     def _update_entry(self, entry: i.MachineEntry) -> None:
         machine, previous = entry.machine, self._entries.get(entry.machine)
-        if (
-            previous is not None and previous.started > entry.started
-        ):  # the machine reported a later start: a list that lags does not undo it
+        if previous is not None and previous.started > entry.started:
+            # The machine reported a later start, which a lagging list does not undo.
             entry = replace(entry, started=previous.started)
         self._entries[machine] = entry
         self._update_cold_until(entry)
--- a/tests/placing/test_attempts.py
+++ b/tests/placing/test_attempts.py
@@ -37,9 +37,8 @@
     link.flush()
     assert not link.offers
     harness.loop.pass_ms(60.0)
-    assert harness.engine.counters["unsent"] == 1 and harness.outcomes() == [
-        "refused"
-    ]  # the class is unsafe, so the task is known never to have run
+    # The class is unsafe, so a refusal shows that the task is known never to have run.
+    assert harness.engine.counters["unsent"] == 1 and harness.outcomes() == ["refused"]
 
 
 def test_an_offer_sent_again_carries_the_time_that_is_left_or_is_void() -> None:
@@ -110,9 +109,8 @@
 
 def test_an_offer_to_a_cold_machine_is_sent_in_the_turn_of_its_decision_or_not_at_all() -> None:
     harness = PlacerHarness()
-    harness.loop.pass_ms(
-        3 * harness.cluster.fall_ms
-    )  # the allowance that an earlier incarnation of this placer may have used has expired
+    # Afterwards the allowance that an earlier incarnation of this placer may have used has expired.
+    harness.loop.pass_ms(3 * harness.cluster.fall_ms)
     link = harness.machine(started=harness.loop.wall() - 10.0)
     link.behind = True
     harness.submit(task_class="once")
