--- a/sprucepost/loop/__init__.py
+++ b/sprucepost/loop/__init__.py
@@ -1,18 +1,18 @@
 """An event loop on ``select.epoll`` whose coroutines are plain generators.
 
-Everything that touches the clock, a socket, a signal or randomness goes through a :class:`Loop`; the code above it
-(``wire``, ``placer``, ``standin``) imports none of ``time``, ``socket``, ``random`` or ``os.urandom``. A second
-implementation of :class:`Loop` on virtual time therefore runs the same code unchanged.
+All access to the clock, to sockets, signals and random numbers goes through a :class:`Loop`. The code above it (``wire``,
+``placer``, ``standin``) imports none of ``time``, ``socket``, ``random`` or ``os.urandom``, so the same code runs
+unchanged on a second implementation of :class:`Loop` that uses virtual time.
 
 ============== ==================================================================================
-``core``       the turn of a loop, what an implementation must supply, socket and timer interfaces
-``task``       coroutines: tasks, scopes (structured concurrency), cancellation, time limits
+``core``       one turn of the loop, what an implementation must supply, socket and timer interfaces
+``task``       coroutines: tasks, scopes (structured concurrency), cancellation, timeouts
 ``timers``     the timer heap
 ``queue``      bounded queues with back-pressure
 ``transport``  a buffered byte stream over one socket
-``accept``     new connections, also when descriptors run out
-``clock``      wall time that never runs backwards and follows a stepped system clock slowly
-``epoll``      the real loop
+``accept``     accepting connections, including when file descriptors run out
+``clock``      wall time that never runs backwards and follows a stepped system clock by slewing
+``epoll``      the implementation on real sockets and the real clock
 ============== ==================================================================================
 """
 
--- a/sprucepost/loop/queue.py
+++ b/sprucepost/loop/queue.py
@@ -11,15 +11,18 @@
 
 
 class Full(Exception):
-    """The queue holds all that it may."""
+    """The queue is at its capacity."""
 
 
 class Closed(Exception):
-    """The queue has been closed and holds nothing more."""
+    """The queue has been closed; a getter sees this only once the queue is also empty."""
 
 
 class Queue(Generic[T]):
-    """First in, first out, at most ``size`` items: a putter waits for room, a getter for an item, each in turn."""
+    """A first-in, first-out queue of at most ``size`` items.
+
+    A putter waits for free capacity and a getter for an item, each in order of arrival.
+    """
 
     def __init__(self, size: int) -> None:
         if size < 1:
@@ -34,7 +37,7 @@
         return len(self._items)
 
     def put_now(self, item: T) -> None:
-        """Put without waiting; Full where there is no room."""
+        """Put without waiting; raises Full when the queue is at its capacity and Closed when it is closed."""
         if self._closed:
             raise Closed
         if self._getters:
@@ -45,6 +48,7 @@
             raise Full
 
     def put(self, item: T) -> Co[None]:
+        """Put ``item``, waiting while the queue is full; raises Closed when the queue is closed."""
         try:
             self.put_now(item)
         except Full:
@@ -57,12 +61,12 @@
             yield trap
 
     def get(self) -> Co[T]:
-        """The next item; Closed once the queue is closed and empty."""
+        """Return the next item, waiting for one; raises Closed once the queue is closed and empty."""
         if self._items:
             item = self._items.popleft()
             if self._putters:
-                putter, waiting = self._putters.popleft()
-                self._items.append(waiting)
+                putter, putter_item = self._putters.popleft()
+                self._items.append(putter_item)
                 putter.wake(())
             return item
         if self._closed:
@@ -76,7 +80,7 @@
         return item
 
     def close(self) -> None:
-        """Take no more items; those held can still be got. Waiting putters and getters see Closed."""
+        """Accept no more items; queued items can still be taken. Waiting putters and getters raise Closed."""
         self._closed = True
         while self._getters:
             self._getters.popleft().wake(error=Closed())
--- a/sprucepost/loop/timers.py
+++ b/sprucepost/loop/timers.py
@@ -1,4 +1,4 @@
-"""The timer heap: free of any clock, so that real and virtual loops share it."""
+"""The timer heap. It reads no clock, so real and virtual loops share it."""
 
 from __future__ import annotations
 
@@ -7,77 +7,80 @@
 
 
 class Timer:
-    """One call that is due at ``when`` (ms on the loop's clock). Cancelling twice, or late, does nothing."""
+    """A callback that is due at ``due_ms`` on the loop's clock. Cancelling it twice, or after it fired, does nothing."""
 
-    __slots__ = ("_heap", "call", "order", "when")
+    __slots__ = ("_heap", "callback", "due_ms", "sequence")
 
-    def __init__(self, heap: TimerHeap, when: float, order: int, call: Callable[[], None]) -> None:
+    def __init__(self, heap: TimerHeap, due_ms: float, sequence: int, callback: Callable[[], None]) -> None:
         self._heap: TimerHeap | None = heap
-        self.when, self.order = when, order
-        self.call: Callable[[], None] | None = call
+        self.due_ms, self.sequence = due_ms, sequence
+        self.callback: Callable[[], None] | None = callback
 
     def __lt__(self, other: Timer) -> bool:
-        return (self.when, self.order) < (other.when, other.order)
+        return (self.due_ms, self.sequence) < (other.due_ms, other.sequence)
 
     @property
     def pending(self) -> bool:
-        return self.call is not None
+        """Whether the timer has neither fired nor been cancelled."""
+        return self.callback is not None
 
     def cancel(self) -> None:
-        """Never fire. O(1) now; the dead entry costs O(log n) once, when it is removed from the heap."""
-        if self.call is not None:
-            self.call = None
+        """Keep the timer from firing. O(1) now; removing the cancelled entry from the heap later costs O(log n) once."""
+        if self.callback is not None:
+            self.callback = None
             heap, self._heap = self._heap, None
             if heap is not None:
-                heap.note_dead()
+                heap.note_cancelled()
 
 
 class TimerHeap:
-    """Timers by due time, those of one moment in the order in which they were set.
+    """Timers ordered by due time; those due at the same time fire in the order in which they were added.
 
-    Cancelled entries stay in the heap until they come up or until they are more than half of it, when the heap is
-    rebuilt: cancel is O(log n) amortised and memory stays within twice the live timers. A placer cancels nearly
-    every timer it sets (each answer's deadline), so dead entries must not wait for their time.
+    Cancelled entries stay in the heap until they reach its top or make up more than half of it, when the heap is
+    rebuilt: cancelling is O(log n) amortised and memory stays within twice the pending timers. A placer cancels nearly
+    every timer it sets (the deadline of each answer), so cancelled entries must not stay until they are due.
     """
 
-    COMPACT_OVER = 64
+    COMPACT_OVER = 64  # cancelled entries below which the heap is never rebuilt
 
     def __init__(self) -> None:
         self._heap: list[Timer] = []
-        self._order = 0
-        self._dead = 0
+        self._sequence = 0
+        self._cancelled = 0
 
     def __len__(self) -> int:
-        return len(self._heap) - self._dead
+        return len(self._heap) - self._cancelled
 
-    def add(self, when: float, call: Callable[[], None]) -> Timer:
-        self._order += 1
-        timer = Timer(self, when, self._order, call)
+    def add(self, due_ms: float, callback: Callable[[], None]) -> Timer:
+        """Add a timer that is due at ``due_ms`` on the loop's clock."""
+        self._sequence += 1
+        timer = Timer(self, due_ms, self._sequence, callback)
         heapq.heappush(self._heap, timer)
         return timer
 
-    def note_dead(self) -> None:
-        self._dead += 1
-        if self._dead > self.COMPACT_OVER and self._dead * 2 > len(self._heap):
+    def note_cancelled(self) -> None:
+        """Count a cancelled entry; rebuild the heap when more than half of the entries are cancelled."""
+        self._cancelled += 1
+        if self._cancelled > self.COMPACT_OVER and self._cancelled * 2 > len(self._heap):
             self._heap = [timer for timer in self._heap if timer.pending]
             heapq.heapify(self._heap)
-            self._dead = 0
+            self._cancelled = 0
 
-    def _drop_dead(self) -> None:
+    def _drop_cancelled(self) -> None:
         while self._heap and not self._heap[0].pending:
             heapq.heappop(self._heap)
-            self._dead -= 1
+            self._cancelled -= 1
 
     def next_due(self) -> float | None:
-        """When the next timer is due, or None."""
-        self._drop_dead()
-        return self._heap[0].when if self._heap else None
+        """When the next timer is due, in ms on the loop's clock, or None."""
+        self._drop_cancelled()
+        return self._heap[0].due_ms if self._heap else None
 
     def pop_due(self, now: float) -> Callable[[], None] | None:
-        """The call of the first timer due by ``now``; it counts as fired."""
-        self._drop_dead()
-        if not self._heap or self._heap[0].when > now:
+        """Remove the first timer that is due by ``now`` and return its callback, or None; the timer counts as fired."""
+        self._drop_cancelled()
+        if not self._heap or self._heap[0].due_ms > now:
             return None
         timer = heapq.heappop(self._heap)
-        call, timer.call, timer._heap = timer.call, None, None
-        return call
+        callback, timer.callback, timer._heap = timer.callback, None, None
+        return callback
