--- a/sprucepost/loop/__init__.py
+++ b/sprucepost/loop/__init__.py
@@ -1,8 +1,8 @@
 """An event loop on ``select.epoll`` whose coroutines are plain generators.
 
-All access to the clock, to sockets, signals and random numbers goes through a :class:`Loop`. The code above it (``wire``,
-``placer``, ``standin``) imports none of ``time``, ``socket``, ``random`` or ``os.urandom``, so the same code runs
-unchanged on a second implementation of :class:`Loop` that uses virtual time.
+All access to the clock, to sockets, signals and random numbers goes through a :class:`Loop`. The code above it
+(``wire``, ``placer``, ``standin``) imports none of ``time``, ``socket``, ``random`` or ``os.urandom``, so the same code
+runs unchanged on a second implementation of :class:`Loop` that uses virtual time.
 
 ============== ==================================================================================
 ``core``       one turn of the loop, what an implementation must supply, socket and timer interfaces
--- a/sprucepost/loop/clock.py
+++ b/sprucepost/loop/clock.py
@@ -8,9 +8,9 @@
 
     The decision module divides time into turns and cold windows by ``now / length`` and assumes that all placers read
     nearly the same clock. This clock therefore starts at the system's wall time and then runs on the monotonic clock.
-    Each read compares the two and moves towards the system clock by at most ``slew`` of the time elapsed since the read
-    before. Following a step of +-5 s takes 100 s at the usual 5 %; during that time no duration is off by more than that
-    share, and no placer sees the same moment twice.
+    Each read compares the two and moves towards the system clock by at most ``slew`` of the time elapsed since the
+    read before. Following a step of +-5 s takes 100 s at the usual 5 %; during that time no duration is off by more
+    than that share, and no placer sees the same moment twice.
 
     ``read(mono, wall)`` takes the readings of both clocks in ms, so the class itself reads neither.
     """
--- a/sprucepost/loop/core.py
+++ b/sprucepost/loop/core.py
@@ -45,7 +45,7 @@
 
     @abstractmethod
     def recv(self, max_bytes: int) -> bytes | None:
-        """Return up to ``max_bytes`` bytes; ``b""`` at the end of the peer's stream; None when nothing has arrived yet."""
+        """Return up to ``max_bytes`` bytes; ``b""`` at the end of the stream; None when nothing has arrived yet."""
 
     @abstractmethod
     def send(self, data: bytes | memoryview) -> int:
@@ -254,8 +254,8 @@
         now, first = self.now(), self._timers.next_due()
         if first is not None:
             self.late_ms = max(0.0, now - first)
-        # Timers are due by the time of the poll, not by now: in a process stopped in the middle of a turn, timeouts would
-        # otherwise fire before the data that arrived meanwhile is read. That once closed a watch stream whose
+        # Timers are due by the time of the poll, not by now: in a process stopped in the middle of a turn, timeouts
+        # would otherwise fire before the data that arrived meanwhile is read. That once closed a watch stream whose
         # notification of a drain was still unread.
         polled_at = now if self._polled_at is None else self._polled_at
         while (callback := self._timers.pop_due(polled_at)) is not None:
--- a/sprucepost/loop/task.py
+++ b/sprucepost/loop/task.py
@@ -10,8 +10,8 @@
 - Cancellation raises :class:`Cancelled` where the task waits, once, so that ``finally`` blocks run and may wait
   themselves. A task that has been woken but has not run yet gets its value first, so that no item taken from a queue
   is lost.
-- :func:`within` limits the time of a coroutine. Only its own limit becomes :class:`TimedOut`; a cancellation from outside
-  passes through.
+- :func:`within` limits the time of a coroutine. Only its own limit becomes :class:`TimedOut`; a cancellation from
+  outside passes through.
 """
 
 from __future__ import annotations
--- a/sprucepost/loop/timers.py
+++ b/sprucepost/loop/timers.py
@@ -7,7 +7,7 @@
 
 
 class Timer:
-    """A callback that is due at ``due_ms`` on the loop's clock. Cancelling it twice, or after it fired, does nothing."""
+    """A callback that is due at ``due_ms`` on the loop's clock. Cancelling it again, or after it fired, is a no-op."""
 
     __slots__ = ("_heap", "callback", "due_ms", "sequence")
 
@@ -25,7 +25,7 @@
         return self.callback is not None
 
     def cancel(self) -> None:
-        """Keep the timer from firing. O(1) now; removing the cancelled entry from the heap later costs O(log n) once."""
+        """Keep the timer from firing. O(1) now; removing the cancelled entry from the heap costs O(log n) later."""
         if self.callback is not None:
             self.callback = None
             heap, self._heap = self._heap, None
--- a/sprucepost/loop/transport.py
+++ b/sprucepost/loop/transport.py
@@ -9,21 +9,23 @@
 from sprucepost.loop.task import Co, Task, Undo, within
 from sprucepost.loop.timers import Timer
 
-READ_MOST = 65536  # bytes taken from one socket in one turn: a loud peer cannot keep the others waiting
-LOOK_MOST = 4  # reads of one look: what has come, and the end behind it
+MAX_READ_BYTES = 65536  # per connection and turn: a fast sender must not starve the other connections
+MAX_READS = 4  # of one read_now(): the data that has arrived, and the end of the stream behind it
 
 
 class Transport:
-    """Owns a connected socket.
-
-    ``on_data(bytes)`` for each read, ``on_end()`` when the peer has sent all (reading stops), ``on_lost(error)`` once
-    when the stream is gone for a cause other than :meth:`close` or :meth:`abort`. ``on_drained()`` after a flush that
-    left nothing buffered. Written bytes are sent in one call at the end of the turn.
-
-    With ``linger_ms`` :meth:`close` sends the end of the stream and reads on, for ``on_linger_data`` alone, until the
-    peer's end comes or that time is over. A socket closed with bytes unread, or to which some come afterwards, is reset
-    by the system, and the reset may take away what was sent before it and not read yet. The time also bounds how long
-    :meth:`close` waits for a peer that does not read.
+    """A buffered stream that owns a connected socket.
+
+    ``on_data(bytes)`` is called for each read, ``on_end()`` at the end of the peer's stream (reading stops), and
+    ``on_lost(error)`` once when the connection is lost for a cause other than :meth:`close` or :meth:`abort`.
+    ``on_drained()`` is called after a flush that left nothing buffered. Written bytes are sent in one call at the end
+    of the turn.
+
+    With ``linger_ms``, :meth:`close` sends the end of the stream and keeps reading, passing the data to
+    ``on_linger_data`` only, until the peer's end arrives or that time has passed. The system resets a socket that is
+    closed with unread bytes, or to which bytes arrive after the close, and the reset may discard data that was sent
+    before it and that the peer has not read yet. ``linger_ms`` also bounds how long :meth:`close` waits for a peer that
+    does not read.
     """
 
     def __init__(self, loop: Loop, sock: Sock) -> None:
@@ -33,175 +35,181 @@
         self.on_end: Callable[[], None] = lambda: None
         self.on_lost: Callable[[OSError | None], None] = lambda error: None
         self.on_drained: Callable[[], None] | None = None
-        self.may_send: Callable[[], bool] = lambda: (
-            True
-        )  # asked right before what this turn wrote goes out; else it is reset
+        # Asked right before the data of this turn is sent; when it returns False the connection is reset instead.
+        self.may_send: Callable[[], bool] = lambda: True
         self._out: list[bytes] = []
-        self.buffered = 0  # bytes written and not yet taken by the system
+        self.buffered = 0  # bytes written and not yet accepted by the system
         self._reading = False
         self._blocked = False  # the system's send buffer is full
         self._flush_due = False
-        self._ended = False  # the peer's end was seen
+        self._ended = False  # the end of the peer's stream was read
         self._closing = False
-        self._half = False
-        self.closed = False  # nothing more is passed on or taken
-        self.socket_closed = False  # the socket has been given back
-        self.linger_ms = 0.0
-        self.on_linger_data: Callable[[bytes], None] = lambda data: None  # what comes while it lingers
-        self.on_socket_closed: Callable[[], None] = lambda: None  # called once, when the socket has been given back
-        self._lingering: Timer | None = None
-        self._delivering = False  # within on_data
-        self.sent = 0  # bytes that the system has taken, ever
-        self.waited_ms = 0.0  # how long, at most, the bytes that came last had waited for us
-        self._more = 0.0  # when a read that may have left bytes behind took place, 0 where none was left
+        self._write_shutdown = False  # shutdown_write() was called
+        self.closed = False  # no more data is delivered or accepted
+        self.socket_closed = False  # the socket itself has been closed
+        self.linger_ms = 0.0  # 0: close() does not wait for the peer
+        self.on_linger_data: Callable[[bytes], None] = lambda data: None  # data that arrives while lingering
+        self.on_socket_closed: Callable[[], None] = lambda: None  # called once, after the socket has been closed
+        self._linger_timer: Timer | None = None
+        self._delivering = False  # within on_data()
+        self.sent = 0  # total bytes accepted by the system
+        self.waited_ms = 0.0  # how long, at most, the data delivered last had waited to be read
+        self._partial_read_at = 0.0  # when a read that may have left more data unread took place; 0 if none was left
 
     def start(self) -> None:
-        """Begin to read, once the callbacks are set."""
+        """Begin to read; called once the callbacks are set."""
         self.resume()
 
     @property
     def written(self) -> int:
-        """Bytes given to :meth:`write` so far; what is there now has gone out once ``sent`` is that many."""
+        """Total bytes passed to :meth:`write`; all of them have been sent once ``sent`` reaches this value."""
         return self.sent + self.buffered
 
     @property
     def blocked(self) -> bool:
-        """Whether the system takes no more bytes for now."""
+        """Whether the system accepts no more bytes for now."""
         return self._blocked
 
     def pause(self) -> None:
-        """Take no more bytes: the system's buffer fills and the peer has to wait."""
+        """Stop reading: the system's receive buffer fills up and the peer has to wait."""
         if self._reading:
             self._reading = False
             self._rewatch()
 
     def resume(self) -> None:
+        """Read again after :meth:`pause`."""
         if not self._reading and not self._ended and not self.closed:
             self._reading = True
             self._rewatch()
 
     def write(self, data: bytes) -> None:
-        if self.closed or self._closing or self._half or not data:
+        """Buffer ``data`` for sending at the end of the turn; ignored once the stream is closed for writing."""
+        if self.closed or self._closing or self._write_shutdown or not data:
             return
         self._out.append(data)
         self.buffered += len(data)
         if not self._flush_due and not self._blocked:
             self._flush_due = True
-            self._loop.at_turn_end(self._first_flush)
+            self._loop.at_turn_end(self._flush_at_turn_end)
 
     def shutdown_write(self) -> None:
-        """Send the stream's end after what is buffered."""
-        self._half = True
+        """Send the end of the stream after the buffered data."""
+        self._write_shutdown = True
         if not self._out and not self.closed:
             self._sock.shutdown_write()
 
     def close(self) -> None:
-        """Send what is buffered, then close."""
+        """Send the buffered data, then close."""
         if self.closed:
             return
         self._closing = True
         if not self._out:
-            self._finish()
+            self._sent_all()
         elif self.linger_ms:
             self.pause()
-            self._lingering = self._loop.call_later(self.linger_ms, lambda: self._shut(True))
+            self._linger_timer = self._loop.call_later(self.linger_ms, lambda: self._close_socket(True))
 
     def abort(self) -> None:
         """Close at once; the peer sees a reset."""
         if not self.closed:
-            self._shut(True)
+            self._close_socket(True)
 
     def end_linger(self) -> None:
-        """End a close that lingers now; the peer sees a reset where the system does not take all that was written."""
+        """End a lingering close now; the peer sees a reset if the system does not accept all of the buffered data."""
         if self._out:
             self._flush()
         if not self.socket_closed:
-            self._shut(bool(self._out))
+            self._close_socket(bool(self._out))
 
-    def _shut(self, reset: bool) -> None:
+    def _close_socket(self, reset: bool) -> None:
         self.closed = self.socket_closed = True
-        if self._lingering is not None:
-            self._lingering.cancel()
+        if self._linger_timer is not None:
+            self._linger_timer.cancel()
         self._loop.watch(self._sock, None, None)
         self._sock.close(reset)
         self._out, self.buffered = [], 0
         self.on_socket_closed()
 
-    def _finish(self) -> None:
-        """All is sent: close, or see the peer's end first."""
+    def _sent_all(self) -> None:
+        """Close once everything is sent; with ``linger_ms``, wait for the end of the peer's stream first."""
         if not self.linger_ms or self._ended:
-            self._shut(False)
+            self._close_socket(False)
             return
         self.closed = True
         self._sock.shutdown_write()
-        self._loop.watch(self._sock, self._discard, None)
-        if self._lingering is None:
-            self._lingering = self._loop.call_later(self.linger_ms, lambda: self._shut(False))
+        self._loop.watch(self._sock, self._linger_readable, None)
+        if self._linger_timer is None:
+            self._linger_timer = self._loop.call_later(self.linger_ms, lambda: self._close_socket(False))
 
-    def _discard(self) -> None:
+    def _linger_readable(self) -> None:
         try:
-            data = self._sock.recv(READ_MOST)
+            data = self._sock.recv(MAX_READ_BYTES)
         except OSError:
             data = b""
         if data:
             self.on_linger_data(data)
         elif data == b"":
-            self._shut(False)
+            self._close_socket(False)
 
     def _rewatch(self) -> None:
         self._loop.watch(
             self._sock, self._readable if self._reading else None, self._writable if self._blocked else None
         )
 
-    def _lost(self, error: OSError | None) -> None:
+    def _connection_lost(self, error: OSError | None) -> None:
         if not self.closed:
-            self._shut(error is not None)
+            self._close_socket(error is not None)
             self.on_lost(error)
 
     def read_now(self) -> bool:
-        """Read now what lies there, the peer's end included; whether there was anything. Within ``on_data`` it does nothing:
-        what comes later must not be taken earlier."""
-        found = 0
+        """Read now what has arrived, including the end of the peer's stream; return whether there was anything.
+
+        Does nothing within ``on_data``: data that arrived later must not be processed earlier.
+        """
+        reads = 0
         while (
-            found < LOOK_MOST
+            reads < MAX_READS
             and self._reading
             and not (self.closed or self._delivering)
             and self._read(self._loop.since_poll_ms)
         ):
-            found += 1
-        return found > 0
+            reads += 1
+        return reads > 0
 
     @property
     def has_unread_backlog(self) -> bool:
-        """Whether the last read was a whole one, and the latest look found that more lies there or came before it: what is
-        unread may be older than that look. It is read in the next turn."""
-        return self._more > 0.0 and self._more >= self._loop.polled_at
+        """Whether data may be unread that arrived before the latest poll of the sockets.
+
+        That is so after a read of ``MAX_READ_BYTES`` if the latest poll found more data or preceded that read.
+        The rest is read in the next turn.
+        """
+        return self._partial_read_at > 0.0 and self._partial_read_at >= self._loop.polled_at
 
     def _readable(self) -> None:
-        if self._delivering:  # a look at all sockets in the midst of it: it is read in the next turn
+        if self._delivering:  # polled from within on_data(): the rest is read in the next turn
             return
-        looking = self._loop.polling_mid_turn
-        if looking and self._more:  # it has had its part of this turn: a loud peer cannot keep the others waiting
+        mid_turn = self._loop.polling_mid_turn
+        if mid_turn and self._partial_read_at:  # it has had its share of this turn: it must not starve the others
             now = self._loop.now()
-            self.waited_ms, self._more = self.waited_ms + now - self._more, now
+            self.waited_ms, self._partial_read_at = self.waited_ms + now - self._partial_read_at, now
             return
-        if self._read(self._loop.unpolled_ms) and looking and not self._more:
-            self.read_now()  # the peer's end may lie right behind what was read
+        if self._read(self._loop.unpolled_ms) and mid_turn and not self._partial_read_at:
+            self.read_now()  # the end of the peer's stream may follow directly
 
-    def _read(self, unseen_ms: float) -> bool:
-        """Take what is there, which may have waited so long; False where nothing was."""
+    def _read(self, unpolled_ms: float) -> bool:
+        """Read once; the data may have waited for ``unpolled_ms``. Returns False when there was nothing."""
         try:
-            data = self._sock.recv(READ_MOST)
+            data = self._sock.recv(MAX_READ_BYTES)
         except OSError as error:
-            self._lost(error)
+            self._connection_lost(error)
             return True
         if data is None:
-            self._more = 0.0
+            self._partial_read_at = 0.0
             return False
         if data:
             now = self._loop.now()
-            self.waited_ms = self.waited_ms + now - self._more if self._more else unseen_ms
-            self._more = now if len(data) == READ_MOST else 0.0
+            self.waited_ms = self.waited_ms + now - self._partial_read_at if self._partial_read_at else unpolled_ms
+            self._partial_read_at = now if len(data) == MAX_READ_BYTES else 0.0
             self._delivering = True
             try:
                 self.on_data(data)
@@ -220,14 +228,14 @@
             self._rewatch()
 
     def flush(self) -> None:
-        """Send what was written now, and not at the turn's end."""
-        self._first_flush()
+        """Send the buffered data now instead of at the end of the turn."""
+        self._flush_at_turn_end()
 
-    def _first_flush(self) -> None:
-        if not self._flush_due:  # sent already
+    def _flush_at_turn_end(self) -> None:
+        if not self._flush_due:  # already sent
             return
         if not self.closed and not self.may_send():
-            self._lost(OSError("stood still with bytes that must not be late"))
+            self._connection_lost(OSError("process stalled before sending data that must not be late"))
             return
         self._flush()
 
@@ -239,13 +247,13 @@
         sent = 0
         try:
             while sent < len(data):
-                took = self._sock.send(memoryview(data)[sent:])
-                if not took:
+                accepted = self._sock.send(memoryview(data)[sent:])
+                if not accepted:
                     break
-                sent += took
-                self.sent += took
+                sent += accepted
+                self.sent += accepted
         except OSError as error:
-            self._lost(error)
+            self._connection_lost(error)
             return
         self.buffered -= sent
         if sent < len(data):
@@ -256,15 +264,15 @@
             return
         self._out = []
         if self._closing:
-            self._finish()
-        elif self._half:
+            self._sent_all()
+        elif self._write_shutdown:
             self._sock.shutdown_write()
         elif self.on_drained is not None:
             self.on_drained()
 
 
 def connect(loop: Loop, task: Task[Any], address: Address, limit_ms: float, source: str | None = None) -> Co[Transport]:
-    """A transport to ``address``; OSError, or TimedOut after ``limit_ms``."""
+    """Connect to ``address`` and return the transport; raises OSError, or TimedOut after ``limit_ms``."""
     sock = loop.dial(address, source)
 
     def trap(waiting: Task[Any]) -> Undo:
