--- a/sprucepost/node/hosts.py
+++ b/sprucepost/node/hosts.py
@@ -17,16 +17,16 @@
 from sprucepost.loop import Co, Loop, Scope, TimedOut, connect, current, is_local_shortage
 from sprucepost.node import health
 from sprucepost.node.attempt import Attempt
-from sprucepost.node.bounds import LINGER_MS
-from sprucepost.node.bulletin import Address, Told
+from sprucepost.node.bulletin import Address, ListUpdate
 from sprucepost.node.descriptors import Descriptors
 from sprucepost.node.dispatch import Dispatcher
+from sprucepost.node.framing import LINGER_MS
 from sprucepost.node.health import HealthChecks
 from sprucepost.node.host import Host, HostLink
-from sprucepost.node.jsonl import Line, Word, encode
+from sprucepost.node.jsonl import Line, MessageType, encode
 from sprucepost.node.log import Log
 from sprucepost.node.start_times import StartTimes
-from sprucepost.node.tasks import GIVEN_UP, Tasks
+from sprucepost.node.tasks import CAUSE_WITHDRAWN, Tasks
 
 REDIAL_MS = 200.0  # until a connection that failed is tried again, doubled for each before unless the host is suspected
 REDIAL_MOST_MS = 1600.0  # five in the time until it is silent: a host that is back is found while that helps
@@ -57,7 +57,7 @@
 
     # The list
 
-    def see(self, told: Told) -> None:
+    def apply_list(self, told: ListUpdate) -> None:
         """Take what the bulletin has changed, before the module acts on it."""
         if told.list.kind is not i.ListKind.DELTA:
             named = {entry.machine for entry in told.list.entries}
@@ -65,13 +65,13 @@
                 self._leave(self.hosts[uid])
         for entry in told.list.entries:
             ready = entry.state is i.MachineState.READY
-            self._tasks.close(entry.machine, not ready)
+            self._tasks.set_closed(entry.machine, not ready)
             host, address = self.hosts.get(entry.machine), told.addresses.get(entry.machine)
             if entry.state is i.MachineState.GONE:
                 if host is not None:
                     self._leave(host)
                 else:
-                    self._tasks.close(entry.machine, False)
+                    self._tasks.set_closed(entry.machine, False)
                 continue
             if address is None:
                 continue
@@ -80,7 +80,7 @@
             host.gone = False
             if entry.started > host.started:
                 host.started = entry.started
-                self._lost(host, "restarted", before=self._start_times.on_loop(entry.started))
+                self._lost(host, "restarted", before=self._start_times.to_loop_time(entry.started))
             if not ready:
                 self._unwritten(host)
 
@@ -99,7 +99,7 @@
         if host.gone:
             return
         host.gone = True
-        self._tasks.close(host.uid, True)
+        self._tasks.set_closed(host.uid, True)
         self._unwritten(host)
         self._tidy(host)
         self._check_all(host)
@@ -108,11 +108,11 @@
     def _unwritten(self, host: Host) -> None:
         waiting, host.waiting = host.waiting, []
         for attempt in waiting:
-            self._tasks.end(attempt, i.Ending.MOOT)
+            self._tasks.end_attempt(attempt, i.Ending.VOID)
 
     def _tidy(self, host: Host) -> None:
         """A host that has gone is forgotten once nothing of ours is left there."""
-        if host.gone and host.uid not in self._tasks.standing and not any(link.open for link in host.links):
+        if host.gone and host.uid not in self._tasks.placed and not any(link.open for link in host.links):
             self._remove(host)
 
     def _remove(self, host: Host) -> None:
@@ -120,20 +120,20 @@
             del self.hosts[host.uid]
             if self._at.get(host.address) is host:
                 del self._at[host.address]
-            self._tasks.close(host.uid, False)
+            self._tasks.set_closed(host.uid, False)
         for link in list(host.links):
             self._end(host, link, "gone")
 
     # Set-ups
 
-    def place(self, attempt: Attempt) -> None:
+    def send_offer(self, attempt: Attempt) -> None:
         """Write the offer on a connection of its own, or as soon as there is one."""
         host = self.hosts.get(attempt.machine)
         if host is None:  # the module knows a host that is not listed any more
-            self._tasks.end(attempt, i.Ending.CONNECT_FAILED)
+            self._tasks.end_attempt(attempt, i.Ending.CONNECT_FAILED)
             return
-        if attempt.machine in self._tasks.closed:
-            self._tasks.end(attempt, i.Ending.MOOT)
+        if attempt.machine in self._tasks.closed_hosts:
+            self._tasks.end_attempt(attempt, i.Ending.VOID)
             return
         host.waiting.append(attempt)
         self._serve(host)
@@ -144,23 +144,25 @@
         held = 0
         while held < len(host.waiting):
             now, attempt = self.loop.now(), host.waiting[0]
-            usable = [link for link in host.links if link.usable and now - link.used < self._idle / 2]
+            usable = [link for link in host.links if link.usable and now - link.last_used < self._idle / 2]
             free = [link for link in usable if not link.open]
-            full = len(host.links) + host.dialing >= max(2, self._descriptors.share // max(1, len(self.hosts)))
+            full = len(host.links) + host.dialing >= max(
+                2, self._descriptors.guaranteed_share // max(1, len(self.hosts))
+            )
             if free:
-                link = max(free, key=lambda link: (attempt.sid not in link.ended, link.used))
+                link = max(free, key=lambda link: (attempt.sid not in link.ended_unanswered, link.last_used))
             elif usable and full and host.dialing < len(host.waiting):
                 link = min(usable, key=lambda link: len(link.open))
             else:
                 wanted = host.dialing < len(host.waiting) and not full
-                if wanted and (self._descriptors.spare() > 0 or self.make_room()):
+                if wanted and (self._descriptors.available() > 0 or self.close_idle_connection()):
                     self._dial(host)
                 return
             if not self._dispatcher.may_write:
                 self._dispatcher.add(host)
                 return
             host.waiting.remove(attempt)
-            if not self._tasks.caught_up(attempt):
+            if not self._tasks.owner_input_read(attempt):
                 held += 1
                 host.waiting.append(attempt)
                 self._dispatcher.postpone(host)
@@ -168,31 +170,31 @@
             self._write(host, link, attempt)
 
     def _write(self, host: Host, link: HostLink, attempt: Attempt) -> None:
-        data = self._tasks.write(attempt)
+        data = self._tasks.encode_offer(attempt)
         if data is None:
-            self._tasks.end(
-                attempt, i.Ending.MOOT if attempt.machine in self._tasks.closed else i.Ending.CONNECT_FAILED
+            self._tasks.end_attempt(
+                attempt, i.Ending.VOID if attempt.machine in self._tasks.closed_hosts else i.Ending.CONNECT_FAILED
             )
             return
         attempt.link = link
         link.open[attempt.sid] = attempt
-        link.used = self.loop.now()
+        link.last_used = self.loop.now()
         link.transport.write(data)
-        attempt.mark = link.transport.written
+        attempt.end_offset = link.transport.written
         self._tasks.trace(attempt.sid, "sent", host=host.uid, link=link.number)
         link.transport.flush()
 
-    def went_out(self, attempt: Attempt) -> bool:
+    def was_sent(self, attempt: Attempt) -> bool:
         """Whether it was written and the system has taken all of it. A part of it is a line without an end, which no host
         obeys."""
-        return attempt.link is not None and attempt.link.transport.sent >= attempt.mark
+        return attempt.link is not None and attempt.link.transport.sent >= attempt.end_offset
 
-    def kept_from_dialling(self, attempt: Attempt) -> bool:
+    def connection_failed_locally(self, attempt: Attempt) -> bool:
         """Whether it has no connection since the last dial never left this machine."""
         host = self.hosts.get(attempt.machine)
-        return attempt.link is None and host is not None and host.not_dialled
+        return attempt.link is None and host is not None and host.dial_never_left
 
-    def give_up(self, attempt: Attempt) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         """Take it back: where it was written the host is told, and the connection is used for nothing else. Where the host
         cannot have read it whole, the connection ends at once: nothing of it needs to arrive."""
         host = self.hosts.get(attempt.machine)
@@ -203,10 +205,10 @@
             return
         del link.open[attempt.sid]
         link.withdrawn.add(attempt.sid)
-        if not self.went_out(attempt) and not link.open:
+        if not self.was_sent(attempt) and not link.open:
             self._end(host, link, "unsent")
             return
-        link.transport.write(encode(Word.CLOSE, attempt.sid, code=GIVEN_UP))
+        link.transport.write(encode(MessageType.CLOSE, attempt.sid, code=CAUSE_WITHDRAWN))
         link.retired = True
         self._retire(host, link)
 
@@ -214,34 +216,34 @@
         if link.retired and not link.open:
             self._end(host, link, "retired")
 
-    def let_go(self, machine: str, sid: str) -> None:
+    def end_task(self, machine: str, sid: str) -> None:
         """Have the host end a standing task, now or when it can be reached."""
         host = self.hosts.get(machine)
         if host is None:
             return
         link = next((link for link in host.links if not link.transport.closed and not link.retired), None)
         if link is not None:
-            link.transport.write(encode(Word.CLOSE, sid, code=GIVEN_UP))
+            link.transport.write(encode(MessageType.CLOSE, sid, code=CAUSE_WITHDRAWN))
             self._tasks.trace(sid, "let_go", host=machine)
         else:
             self._tasks.trace(sid, "let_go", host=machine, why="when it can be reached")
-            host.letting[sid] = self.loop.now() + health.SILENT_AFTER_MS
+            host.pending_releases[sid] = self.loop.now() + health.SILENT_AFTER_MS
 
     def adopt(self, machine: str, sid: str) -> bool:
         """An owner has handed the task back: it is not to be let go any more."""
         host = self.hosts.get(machine)
         if host is not None:
-            host.letting.pop(sid, None)
+            host.pending_releases.pop(sid, None)
         return host is not None
 
-    def recall(self, services: set[str]) -> None:
+    def withdraw_unsent(self, services: set[str]) -> None:
         """Offers that still wait for a connection, decided before such tasks were known to stand, are decided anew."""
         for host in self.hosts.values():
             if host.waiting:
                 for attempt in [attempt for attempt in host.waiting if attempt.entry.service in services]:
                     host.waiting.remove(attempt)
                     self.counters["recalled"] += 1
-                    self._tasks.end(attempt, i.Ending.MOOT)
+                    self._tasks.end_attempt(attempt, i.Ending.VOID)
 
     # Connections
 
@@ -250,11 +252,11 @@
         """Those that there are, and those that are being opened."""
         return sum(len(host.links) + host.dialing for host in self.hosts.values())
 
-    def make_room(self) -> bool:
+    def close_idle_connection(self) -> bool:
         """Close the connection that has been idle for longest, those last that are kept for words of standing tasks: a host
         sends these on the next connection as well. False where none is idle."""
         idle = [
-            (host.uid in self._tasks.standing, link.used, host, link)
+            (host.uid in self._tasks.placed, link.last_used, host, link)
             for host in self.hosts.values()
             for link in host.links
             if not link.open and not host.waiting
@@ -283,40 +285,40 @@
                 self._not_connected(host, error, began)
             return
         host.dialing -= 1
-        host.failures = 0
-        host.not_dialled = host.unheard = False
+        host.failed_dials = 0
+        host.dial_never_left = host.needs_reconnect = False
         if self.hosts.get(host.uid) is not host:
             transport.abort()
             return
         transport.linger_ms = LINGER_MS
-        host.opened += 1
-        link = HostLink(transport, self.loop.now(), host.opened)
+        host.connections_opened += 1
+        link = HostLink(transport, self.loop.now(), host.connections_opened)
         host.links.append(link)
         self._log.host(host.uid, "connected", link=link.number)
         transport.on_data = lambda data: self._data(host, link, data)
         transport.on_end = lambda: self._end(host, link, "ended")
         transport.on_lost = lambda error: self._end(host, link, "reset")
         transport.start()
-        for sid in host.letting:
-            transport.write(encode(Word.CLOSE, sid, code=GIVEN_UP))
-        host.letting.clear()
+        for sid in host.pending_releases:
+            transport.write(encode(MessageType.CLOSE, sid, code=CAUSE_WITHDRAWN))
+        host.pending_releases.clear()
         self._serve(host)
         if self._health.suspected(host):
             self._health.check(host, link)
 
     def _not_connected(self, host: Host, error: Exception, began: float) -> None:
-        host.failures += 1
-        host.not_dialled = False
+        host.failed_dials += 1
+        host.dial_never_left = False
         suspected = self._health.suspected(host)
-        pause = REDIAL_MS if suspected else min(REDIAL_MS * 2.0 ** (host.failures - 1), REDIAL_MOST_MS)
-        host.dial_at = self.loop.now() + pause
+        pause = REDIAL_MS if suspected else min(REDIAL_MS * 2.0 ** (host.failed_dials - 1), REDIAL_MOST_MS)
+        host.redial_at = self.loop.now() + pause
         refused = isinstance(error, ConnectionRefusedError)
         self.counters["connect_refused" if refused else "connect_failed"] += 1
         self._log("host_not_connected", host=host.uid, why=str(error) or type(error).__name__)
         if not host.dialing and host not in self._dispatcher:
             waiting, host.waiting = host.waiting, []
             for attempt in waiting:
-                self._tasks.end(attempt, i.Ending.CONNECT_FAILED)
+                self._tasks.end_attempt(attempt, i.Ending.CONNECT_FAILED)
         if refused:
             self._lost(host, "refused", before=began)  # what stands since came from its next life
             self._tidy(host)
@@ -326,9 +328,9 @@
     def _not_dialled(self, host: Host) -> None:
         """The system had no descriptor for the dial, which says nothing of the host: what waits is dialled for again."""
         self.counters["dials_short"] += 1
-        host.not_dialled = True
-        self.make_room()
-        host.dial_at = self.loop.now() + REDIAL_MS
+        host.dial_never_left = True
+        self.close_idle_connection()
+        host.redial_at = self.loop.now() + REDIAL_MS
 
         def again() -> None:
             if self.hosts.get(host.uid) is host:
@@ -341,10 +343,12 @@
         """Dial a host on which something of ours stands, or is to end, where no connection may still bring word, or one has
         broken on which a release may have lain: the host says it again on the next connection alone."""
         now = self.loop.now()
-        wanted = self._listed(host) and (host.uid in self._tasks.standing or bool(host.letting))
+        wanted = self._listed(host) and (host.uid in self._tasks.placed or bool(host.pending_releases))
         hopeful = bool(self._health.answering(host))
-        due = wanted and (host.unheard or not hopeful) and not host.dialing and now >= host.dial_at
-        if due and (self._descriptors.spare() > 0 or (self._health.suspected(host) and self.make_room())):
+        due = wanted and (host.needs_reconnect or not hopeful) and not host.dialing and now >= host.redial_at
+        if due and (
+            self._descriptors.available() > 0 or (self._health.suspected(host) and self.close_idle_connection())
+        ):
             self._dial(host)
 
     def _end(self, host: Host, link: HostLink, why: str) -> None:
@@ -356,13 +360,13 @@
         self._log.host(host.uid, "disconnected", link=link.number, why=why, open=len(link.open) or None)
         if why in ("retired", "idle", "room"):
             link.transport.on_linger_data = lambda data: self._late(host, link, data)
-            self._descriptors.end(link.transport)
+            self._descriptors.close(link.transport)
         else:
             link.transport.abort()
-        host.unheard |= why in ("reset", "malformed", "untested") and host.uid in self._tasks.standing
+        host.needs_reconnect |= why in ("reset", "malformed", "untested") and host.uid in self._tasks.placed
         attempts, link.open = list(link.open.values()), {}
         for attempt in attempts:
-            self._tasks.end(attempt, i.Ending.RESET if self.went_out(attempt) else i.Ending.MOOT)
+            self._tasks.end_attempt(attempt, i.Ending.RESET if self.was_sent(attempt) else i.Ending.VOID)
         if why != "room":
             self._serve(host)
             self._find(host)
@@ -373,7 +377,7 @@
 
     def _data(self, host: Host, link: HostLink, data: bytes) -> None:
         for line in link.decoder.feed(data):
-            link.used = self.loop.now()
+            link.last_used = self.loop.now()
             self._health.heard(host, link)
             self._line(link, host, line)
         if link.decoder.error is not None:
@@ -386,48 +390,50 @@
         connection, which may be long in coming."""
         if self.hosts.get(host.uid) is host:
             for line in link.decoder.feed(data):
-                if line.word in (Word.CLOSE, Word.EVENT):
+                if line.type in (MessageType.CLOSE, MessageType.EVENT):
                     self._heard(host, link, line)
 
     def _line(self, link: HostLink, host: Host, line: Line) -> None:
         attempt = link.open.get(line.sid)
-        if attempt is not None and (line.word is Word.CLOSE or (line.word is Word.READY and line.text is not None)):
+        if attempt is not None and (
+            line.type is MessageType.CLOSE or (line.type is MessageType.READY and line.text is not None)
+        ):
             del link.open[line.sid]
-            if line.word is Word.CLOSE:
-                link.ended.append(line.sid)
-            self._tasks.answered(attempt, line)
+            if line.type is MessageType.CLOSE:
+                link.ended_unanswered.append(line.sid)
+            self._tasks.handle_answer(attempt, line)
             self._retire(host, link)
             self._serve(host)
-        elif attempt is not None and line.word is Word.EVENT:
+        elif attempt is not None and line.type is MessageType.EVENT:
             attempt.noted = True
-        elif attempt is None and line.word in (Word.READY, Word.CLOSE, Word.EVENT):
+        elif attempt is None and line.type in (MessageType.READY, MessageType.CLOSE, MessageType.EVENT):
             self._heard(host, link, line)
 
     def _heard(self, host: Host, link: HostLink, line: Line) -> None:
         if line.sid in link.withdrawn:
-            self._tasks.heard_of_withdrawn(host.uid, line)
+            self._tasks.handle_withdrawn_message(host.uid, line)
         else:
-            self._tasks.heard(host.uid, line)
+            self._tasks.handle_message(host.uid, line)
 
     # Standing tasks
 
     def tick(self) -> None:
         """Look after the hosts on which something of ours stands."""
         now = self.loop.now()
-        for uid in self._tasks.standing.keys() - self.hosts.keys():  # handed to us; no list has told of their host
-            self._tasks.lost(uid, "unlisted", before=self.loop.now() - health.SILENT_AFTER_MS)
+        for uid in self._tasks.placed.keys() - self.hosts.keys():  # handed to us; no list has told of their host
+            self._tasks.host_lost(uid, "unlisted", before=self.loop.now() - health.SILENT_AFTER_MS)
         for host in list(self.hosts.values()):
-            standing = host.uid in self._tasks.standing
+            standing = host.uid in self._tasks.placed
             for link in list(host.links):
-                idle = not link.open and now - link.used > self._idle / 2 and (len(host.links) > 1 or not standing)
+                idle = not link.open and now - link.last_used > self._idle / 2 and (len(host.links) > 1 or not standing)
                 if idle and not link.transport.read_now():
                     self._end(host, link, "idle")
-            host.letting = {sid: until for sid, until in host.letting.items() if until > now}
+            host.pending_releases = {sid: until for sid, until in host.pending_releases.items() if until > now}
             self._health.review(host)
             if not standing:
-                host.unheard = False
+                host.needs_reconnect = False
                 self._tidy(host)
-                if not host.letting:
+                if not host.pending_releases:
                     continue
             self._find(host)
 
@@ -443,14 +449,14 @@
     def _release_silent(self, host: Host) -> None:
         """Its tasks count as over; it is to end them should it come back. Nothing more will pass on its connections."""
         now = self.loop.now()
-        sids = list(self._tasks.standing[host.uid])
+        sids = list(self._tasks.placed[host.uid])
         self._log.host(host.uid, "silent", heard=round(now - host.last_heard), late=round(self.loop.late_ms, 1))
         self._lost(host, "silent")
-        host.letting.update((sid, now + self._idle) for sid in sids)
+        host.pending_releases.update((sid, now + self._idle) for sid in sids)
         for link in [link for link in host.links if not link.open]:
             self._end(host, link, "silent")
 
     def _lost(self, host: Host, why: str, before: float | None = None) -> None:
-        number = self._tasks.lost(host.uid, why, before)
+        number = self._tasks.host_lost(host.uid, why, before)
         if number:
             self._log("host_lost", host=host.uid, why=why, tasks=number)
--- a/tests/node/test_log.py
+++ b/tests/node/test_log.py
@@ -10,45 +10,45 @@
 from sprucepost.loop import Co
 from sprucepost.node import log
 from sprucepost.node.binary import Kind
-from sprucepost.node.jsonl import Word
+from sprucepost.node.jsonl import MessageType
 from sprucepost.node.log import Log, Output
-from tests.node.platform import Day, heard, play, setup
+from tests.node.platform import Platform, run_on_platform, setup, wait_for_message
 from tests.placing.support import VirtualLoop
 
 TASK = "c0255aa5c7e00002"
 
 
-def way(day: Day, sid: str) -> list[tuple[str, Any]]:
+def way(platform: Platform, sid: str) -> list[tuple[str, Any]]:
     """The states of a task as the log names them, each with its host."""
-    lines = [json.loads(line) for line in day.lines]
+    lines = [json.loads(line) for line in platform.lines]
     assert [line["up_ms"] for line in lines] == sorted(line["up_ms"] for line in lines)
     return [(line["state"], line.get("host")) for line in lines if line.get("task") == sid]
 
 
 def test_each_step_of_a_task_is_named_with_its_id(tmp_path: Path) -> None:
-    def body(day: Day) -> Co[None]:
-        host = day.host("s-1")
-        day.start()
-        owner = yield from day.owner()
+    def body(platform: Platform) -> Co[None]:
+        host = platform.host("s-1")
+        platform.start()
+        owner = yield from platform.owner()
         owner.transport.write(setup(TASK))
-        yield from heard(owner, TASK, Kind.ANSWER)
-        host.links[0].say(Word.CLOSE, TASK, code=16)
-        yield from heard(owner, TASK, Kind.RELEASE)
-        assert way(day, TASK) == [
+        yield from wait_for_message(owner, TASK, Kind.ANSWER)
+        host.links[0].send(MessageType.CLOSE, TASK, code=16)
+        yield from wait_for_message(owner, TASK, Kind.RELEASE)
+        assert way(platform, TASK) == [
             ("taken", None), ("offered", "s-1"), ("sent", "s-1"), ("stands", "s-1"), ("over", "s-1"), ("released", None),
         ]  # fmt: skip
 
-    play(tmp_path, body)
+    run_on_platform(tmp_path, body)
 
 
 def test_a_flood_of_steps_is_counted_and_the_second_after_it_says_how_many() -> None:
     loop, lines = VirtualLoop(), list[dict[str, Any]]()
     written = Log(loop, "n0", lambda line: lines.append(json.loads(line)))
-    for _ in range(log.STEPS_PER_SECOND + 5):
+    for _ in range(log.STATE_LINES_PER_SECOND + 5):
         written.task(TASK, "taken")
     loop.pass_ms(1000.0)
     written("ready")
-    assert len(lines) == log.STEPS_PER_SECOND + 2
+    assert len(lines) == log.STATE_LINES_PER_SECOND + 2
     assert lines[-2]["event"] == "log_held_back" and lines[-2]["task"] == 5
 
 
@@ -59,7 +59,7 @@
     written = Log(loop, "n0", output.write, output.flush)
     for number in range(10):
         written.task(f"{number:016x}", "taken")
-    loop.pass_ms(log.STEPS_WAIT_MS)
+    loop.pass_ms(log.STATE_LINES_DELAY_MS)
     os.set_blocking(reading, False)
     lines = os.read(reading, 65536).decode().splitlines()
     assert [json.loads(line)["task"] for line in lines] == [f"{number:016x}" for number in range(10)]
