--- a/conftest.py
+++ b/conftest.py
@@ -1,3 +1,3 @@
-"""What every run of the tests heeds."""
+"""Plugins that every test run loads."""
 
 pytest_plugins = ["tests.known_red"]
--- a/tests/loop/test_net.py
+++ b/tests/loop/test_net.py
@@ -1,4 +1,4 @@
-"""Transports, signals and running out of descriptors, over real sockets."""
+"""Transports, signals and file descriptor exhaustion, over real sockets."""
 
 from __future__ import annotations
 
@@ -27,13 +27,15 @@
     loop.close()
 
 
-class Echo:
+class EchoServer:
+    """Sends back what each connection receives."""
+
     def __init__(self, loop: EpollLoop) -> None:
         self.transports: list[Transport] = []
         self.loop = loop
-        self.acceptor = Acceptor(loop, loop.listen(("127.0.0.1", 0)), self.take)
+        self.acceptor = Acceptor(loop, loop.listen(("127.0.0.1", 0)), self.on_connection)
 
-    def take(self, sock: Sock) -> None:
+    def on_connection(self, sock: Sock) -> None:
         transport = Transport(self.loop, sock)
         transport.on_data = transport.write
         transport.on_end = transport.close
@@ -41,14 +43,14 @@
         transport.start()
 
 
-def test_bytes_come_back_whole_whatever_the_size(loop: EpollLoop) -> None:
-    data = bytes(range(256)) * 20_000  # several times a socket buffer: partial writes happen
+def test_data_larger_than_the_socket_buffers_is_echoed_completely(loop: EpollLoop) -> None:
+    data = bytes(range(256)) * 20_000  # several times the size of a socket buffer, to force partial writes
 
     def main() -> Co[bytes]:
-        echo = Echo(loop)
+        echo = EchoServer(loop)
         client = yield from connect(loop, (yield from current()), echo.acceptor.address, 1000)
-        got: list[bytes] = []
-        client.on_data = got.append
+        received: list[bytes] = []
+        client.on_data = received.append
         done: list[bool] = []
         client.on_end = lambda: done.append(True)
         client.start()
@@ -58,40 +60,40 @@
             yield from sleep(1)
         client.close()
         echo.acceptor.close()
-        return b"".join(got)
+        return b"".join(received)
 
     assert loop.run(main) == data
 
 
-def test_a_paused_reader_stops_the_sender(loop: EpollLoop) -> None:
+def test_a_reader_that_does_not_read_stops_the_sender(loop: EpollLoop) -> None:
     def main() -> Co[tuple[int, int]]:
-        taken: list[Transport] = []
+        accepted: list[Transport] = []
 
-        def take(sock: Sock) -> None:
-            taken.append(Transport(loop, sock))
+        def on_connection(sock: Sock) -> None:
+            accepted.append(Transport(loop, sock))
 
-        acceptor = Acceptor(loop, loop.listen(("127.0.0.1", 0)), take)
+        acceptor = Acceptor(loop, loop.listen(("127.0.0.1", 0)), on_connection)
         client = yield from connect(loop, (yield from current()), acceptor.address, 1000)
         client.start()
         client.write(bytes(50_000_000))
         yield from sleep(50)
-        held = client.buffered
+        before = client.buffered
         yield from sleep(50)
-        still = client.buffered
+        after = client.buffered
         client.abort()
-        for transport in taken:
+        for transport in accepted:
             transport.abort()
         acceptor.close()
-        return held, still
+        return before, after
 
-    held, still = loop.run(main)
-    assert held == still > 10_000_000
+    before, after = loop.run(main)
+    assert before == after > 10_000_000
 
 
-def test_refused_connections_raise(loop: EpollLoop) -> None:
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        address = ("127.0.0.1", free.getsockname()[1])
+def test_a_refused_connection_raises_and_leaves_nothing_watched(loop: EpollLoop) -> None:
+    with socket.socket() as unused:
+        unused.bind(("127.0.0.1", 0))
+        address = ("127.0.0.1", unused.getsockname()[1])
 
     def main() -> Co[None]:
         yield from connect(loop, (yield from current()), address, 1000)
@@ -101,7 +103,7 @@
     assert not loop._watched
 
 
-def test_signals_arrive_in_the_loop(loop: EpollLoop) -> None:
+def test_a_signal_runs_its_callback_in_the_loop(loop: EpollLoop) -> None:
     got: list[int] = []
 
     def main() -> Co[None]:
@@ -124,10 +126,10 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
 
     def main(scope: Scope) -> Co[tuple[int, int, int]]:
-        echo = Echo(loop)
+        echo = EchoServer(loop)
         assert isinstance(echo.acceptor.address, tuple)
-        clients = [socket.create_connection(echo.acceptor.address) for _ in range(3)]  # wait in the backlog
-        # What earlier tests left to the collector gives its descriptors back whenever that runs: now, and not meanwhile.
+        clients = [socket.create_connection(echo.acceptor.address) for _ in range(3)]  # they wait in the backlog
+        # Garbage collection of objects of earlier tests frees descriptors: do it now, and not during the test.
         gc.collect()
         gc.disable()
         highest = max(int(fd) for fd in os.listdir("/proc/self/fd"))
@@ -141,7 +143,7 @@
         loop.turns = 0
         yield from sleep(300)
         turns = loop.turns
-        starved, short = len(echo.transports), echo.acceptor.failed_accepts
+        accepted_exhausted, failed = len(echo.transports), echo.acceptor.failed_accepts
         for fd in fillers:
             os.close(fd)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
@@ -151,18 +153,18 @@
             client.close()
         yield from sleep(20)
         echo.acceptor.close()
-        assert short >= 1 and turns < 30
-        return starved, accepted, turns
+        assert failed >= 1 and turns < 30
+        return accepted_exhausted, accepted, turns
 
     try:
-        starved, accepted, _ = loop.run(lambda: in_scope(main))
+        accepted_exhausted, accepted, _ = loop.run(lambda: in_scope(main))
     finally:
         gc.enable()
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    assert starved < 3 and accepted == 3
+    assert accepted_exhausted < 3 and accepted == 3
 
 
-_STOPPED = """
+_CLIENT = """
 import sys
 from sprucepost.loop import Co, Transport, connect, current, sleep, within, TimedOut, park
 from sprucepost.loop.epoll import EpollLoop
@@ -188,10 +190,10 @@
 """
 
 
-def test_after_sigstop_an_answer_in_the_socket_goes_before_its_time_out() -> None:
+def test_after_sigstop_an_answer_in_the_socket_wins_over_its_timeout() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         child = subprocess.Popen(
-            [sys.executable, "-c", _STOPPED, str(server.getsockname()[1])], stdout=subprocess.PIPE, text=True
+            [sys.executable, "-c", _CLIENT, str(server.getsockname()[1])], stdout=subprocess.PIPE, text=True
         )
         assert child.stdout is not None
         try:
@@ -211,58 +213,58 @@
             peer.close()
 
 
-def test_without_a_descriptor_left_a_datagram_is_dropped_and_nothing_else(loop: EpollLoop) -> None:
-    """The watchdog's beat of a placer whose owners had taken every descriptor ended the placer."""
+def test_without_a_descriptor_left_a_datagram_is_dropped_without_an_error(loop: EpollLoop) -> None:
+    """A watchdog heartbeat must not raise: it once stopped a placer whose owners held every descriptor."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     highest = max(int(name) for name in os.listdir("/proc/self/fd"))
     resource.setrlimit(resource.RLIMIT_NOFILE, (highest + 1, hard))
-    filled = []
+    fillers = []
     try:
         with contextlib.suppress(OSError):
             while True:
-                filled.append(os.dup(0))
+                fillers.append(os.dup(0))
         loop.send_datagram("/none/there", b"WATCHDOG=1")
     finally:
-        for fd in filled:
+        for fd in fillers:
             os.close(fd)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_after_a_pause_all_that_has_come_is_read_in_one_turn_and_counts_as_having_waited() -> None:
-    """The kernel's answer may be from before the pause, and name one socket of several."""
+def test_after_a_pause_all_arrived_data_is_read_in_one_turn_and_counts_as_having_waited() -> None:
+    """The result of epoll may date from before the pause and name only one of several ready sockets."""
 
-    class Paused(EpollLoop):
-        ahead = 0.0
+    class PausedLoop(EpollLoop):
+        pause_ms = 0.0
 
         def now(self) -> float:
-            return super().now() + self.ahead
+            return super().now() + self.pause_ms
 
-    loop = Paused(seed=1)
-    waited: dict[str, float] = {}
+    loop = PausedLoop(seed=1)
+    waits: dict[str, float] = {}
 
     def main(scope: Scope) -> Co[None]:
-        echo = Echo(loop)
+        echo = EchoServer(loop)
         assert isinstance(echo.acceptor.address, tuple)
         clients = [socket.create_connection(echo.acceptor.address) for _ in range(2)]
         yield from sleep(50)
         for name, transport in zip("ab", echo.transports, strict=True):
-            transport.on_data = lambda data, name=name, of=transport: waited.update({name: of.waited_ms})  # type: ignore[misc]
+            transport.on_data = lambda data, name=name, of=transport: waits.update({name: of.waited_ms})  # type: ignore[misc]
         real = loop._epoll
 
-        class Interrupted:
-            def poll(self, wait: float, most: int) -> list[tuple[int, int]]:
-                if not loop.ahead:
+        class InterruptedEpoll:
+            def poll(self, wait: float, max_events: int) -> list[tuple[int, int]]:
+                if not loop.pause_ms:
                     for client in clients:
                         client.sendall(b"x")
                     time.sleep(0.05)
-                    loop.ahead = 2000.0
-                    return real.poll(0.0, most)[:1]
-                return real.poll(wait, most)
+                    loop.pause_ms = 2000.0
+                    return real.poll(0.0, max_events)[:1]
+                return real.poll(wait, max_events)
 
             def __getattr__(self, name: str) -> object:
                 return getattr(real, name)
 
-        loop._epoll = Interrupted()  # type: ignore[assignment]
+        loop._epoll = InterruptedEpoll()  # type: ignore[assignment]
         yield from sleep(50)
         loop._epoll = real
         for client in clients:
@@ -272,4 +274,4 @@
 
     loop.run(lambda: in_scope(main))
     loop.close()
-    assert set(waited) == {"a", "b"} and all(ms > 1900.0 for ms in waited.values())
+    assert set(waits) == {"a", "b"} and all(ms > 1900.0 for ms in waits.values())
--- a/tests/loop/test_task.py
+++ b/tests/loop/test_task.py
@@ -1,4 +1,4 @@
-"""Coroutines: nothing is orphaned, no error is swallowed, a cancellation runs ``finally`` and loses no item."""
+"""Coroutines: no task outlives its scope, no error is lost, a cancellation runs ``finally`` and loses no queue item."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 
 def test_an_error_in_one_task_cancels_the_others_and_reaches_the_parent(loop: EpollLoop) -> None:
-    seen: list[str] = []
+    events: list[str] = []
 
     def steady() -> Co[None]:
         try:
             yield from sleep(60_000)
         finally:
             yield from sleep(1)  # cleanup may wait
-            seen.append("cleaned")
+            events.append("cleaned")
 
     def broken() -> Co[None]:
         yield from sleep(1)
-        raise ValueError("planted")
+        raise ValueError("injected")
 
     def body(scope: Scope) -> Co[None]:
         scope.spawn(steady(), "steady")
@@ -47,19 +47,19 @@
         try:
             yield from sleep(60_000)
         finally:
-            seen.append("body")
+            events.append("body")
 
-    with pytest.raises(ValueError, match="planted"):
+    with pytest.raises(ValueError, match="injected"):
         loop.run(lambda: in_scope(body))
-    assert sorted(seen) == ["body", "cleaned"]
+    assert sorted(events) == ["body", "cleaned"]
 
 
 def test_a_scope_waits_for_its_tasks(loop: EpollLoop) -> None:
-    seen: list[int] = []
+    finished: list[int] = []
 
     def child(n: int) -> Co[None]:
         yield from sleep(n)
-        seen.append(n)
+        finished.append(n)
 
     def body(scope: Scope) -> Co[str]:
         for n in (5, 1, 3):
@@ -68,15 +68,15 @@
         yield
 
     assert loop.run(lambda: in_scope(body)) == "value"
-    assert seen == [1, 3, 5]
+    assert finished == [1, 3, 5]
 
 
-def test_two_errors_both_come_out(loop: EpollLoop) -> None:
-    def broken(word: str) -> Co[None]:
+def test_two_errors_are_raised_as_a_group(loop: EpollLoop) -> None:
+    def broken(name: str) -> Co[None]:
         try:
-            yield from sleep(60_000 if word == "second" else 1)
+            yield from sleep(60_000 if name == "second" else 1)
         finally:
-            raise ValueError(word)
+            raise ValueError(name)
 
     def body(scope: Scope) -> Co[None]:
         scope.spawn(broken("first"), "first")
@@ -88,7 +88,7 @@
     assert sorted(str(error) for error in caught.value.exceptions) == ["first", "second"]
 
 
-def test_only_its_own_limit_becomes_a_time_out(loop: EpollLoop) -> None:
+def test_only_its_own_limit_becomes_a_timeout(loop: EpollLoop) -> None:
     def main() -> Co[str]:
         task = yield from current()
 
@@ -113,14 +113,14 @@
     assert len(loop._timers) == 0
 
 
-def test_what_has_arrived_goes_before_the_time_out_of_the_same_turn(loop: EpollLoop) -> None:
-    """As after a pause (SIGSTOP): the answer and its limit fall due in one turn."""
+def test_a_queued_item_wins_over_a_timeout_in_the_same_turn(loop: EpollLoop) -> None:
+    """After a pause of the process (SIGSTOP) an answer and its timeout fall due in the same turn."""
     queue: Queue[int] = Queue(1)
 
     def main() -> Co[int]:
         task = yield from current()
         loop.call_later(10, lambda: queue.put_now(1))
-        loop.call_later(10.001, lambda: time.sleep(0.05))  # nothing runs until the limit below is due as well
+        loop.call_later(10.001, lambda: time.sleep(0.05))  # blocks the loop until the limit below has passed too
 
         def wait() -> Co[int]:
             return (yield from queue.get())
@@ -130,7 +130,7 @@
     assert loop.run(main) == 1
 
 
-def test_a_wake_without_a_value_goes_before_the_time_out_too(loop: EpollLoop) -> None:
+def test_a_wake_up_without_a_value_wins_over_a_timeout_in_the_same_turn(loop: EpollLoop) -> None:
     def main() -> Co[str]:
         task = yield from current()
 
@@ -138,36 +138,36 @@
             yield lambda waiting: loop.call_later(10, waiting.wake).cancel
             return "woken"
 
-        loop.call_later(9, lambda: time.sleep(0.05))  # both are due when it returns
+        loop.call_later(9, lambda: time.sleep(0.05))  # blocks the loop until both are due
         return (yield from within(task, 20, wait()))
 
     assert loop.run(main) == "woken"
 
 
-def test_an_item_taken_from_a_queue_survives_a_cancellation_of_the_taker(loop: EpollLoop) -> None:
+def test_an_item_taken_from_a_queue_is_not_lost_when_the_getter_is_cancelled(loop: EpollLoop) -> None:
     queue: Queue[str] = Queue(1)
     got: list[str] = []
 
-    def taker() -> Co[None]:
+    def getter() -> Co[None]:
         got.append((yield from queue.get()))
         yield from sleep(60_000)
 
     def body(scope: Scope) -> Co[None]:
-        task = scope.spawn(taker(), "taker")
+        task = scope.spawn(getter(), "getter")
         yield from sleep(1)
-        queue.put_now("item")  # wakes the taker
-        task.cancel()  # before it has run
+        queue.put_now("item")  # wakes the getter
+        task.cancel()  # before the getter has run
         yield from scope.join()
 
     loop.run(lambda: in_scope(body))
     assert got == ["item"]
 
 
-def test_a_cancelled_waiter_takes_nothing(loop: EpollLoop) -> None:
+def test_a_cancelled_getter_takes_no_item(loop: EpollLoop) -> None:
     queue: Queue[int] = Queue(1)
 
     def body(scope: Scope) -> Co[int]:
-        task = scope.spawn(queue.get(), "taker")
+        task = scope.spawn(queue.get(), "getter")
         yield from sleep(1)
         task.cancel()
         yield from scope.join()
@@ -177,7 +177,7 @@
     assert loop.run(lambda: in_scope(body)) == 1
 
 
-def test_a_full_queue_makes_the_putter_wait_and_a_closed_one_drains(loop: EpollLoop) -> None:
+def test_a_full_queue_blocks_the_putter_and_a_closed_queue_drains(loop: EpollLoop) -> None:
     queue: Queue[int] = Queue(2)
     order: list[str] = []
 
@@ -203,25 +203,25 @@
     assert loop.run(lambda: in_scope(body)) == [0, 1, 2, 3]
 
 
-def test_an_exception_in_a_callback_ends_the_loop(loop: EpollLoop) -> None:
+def test_an_exception_in_a_callback_stops_the_loop(loop: EpollLoop) -> None:
     cleaned: list[bool] = []
 
     def main() -> Co[None]:
-        loop.call_later(1, broken)  # not before main has begun: a task that never began has nothing to clean up
+        loop.call_later(1, broken)  # after main has started: a task that has not started has nothing to clean up
         try:
             yield from sleep(60_000)
         finally:
             cleaned.append(True)
 
     def broken() -> None:
-        raise RuntimeError("planted")
+        raise RuntimeError("injected")
 
-    with pytest.raises(RuntimeError, match="planted"):
+    with pytest.raises(RuntimeError, match="injected"):
         loop.run(main)
     assert cleaned
 
 
-def test_cancelled_from_outside_passes_through_a_scope(loop: EpollLoop) -> None:
+def test_a_cancellation_from_outside_passes_through_a_scope(loop: EpollLoop) -> None:
     def inner(scope: Scope) -> Co[None]:
         scope.spawn(sleep(60_000), "sleeper")
         yield from sleep(60_000)
@@ -236,7 +236,7 @@
     assert isinstance(loop.run(lambda: in_scope(outer)), Cancelled)
 
 
-def test_what_a_timer_starts_in_a_cancelled_scope_is_cancelled_too(loop: EpollLoop) -> None:
+def test_a_task_that_a_timer_starts_in_a_cancelled_scope_is_cancelled(loop: EpollLoop) -> None:
     ended: list[str] = []
 
     def forever(name: str) -> Co[None]:
@@ -250,7 +250,7 @@
         try:
             yield from sleep(10_000)
         finally:
-            yield from sleep(30)  # the loop runs on meanwhile
+            yield from sleep(30)  # the loop keeps running meanwhile
 
     def main(scope: Scope) -> Co[str]:
         scope.spawn(slow_to_end(), "slow")
@@ -267,4 +267,4 @@
     def limited() -> Co[str]:
         return (yield from within((yield from current()), 2000, in_scope(main)))
 
-    assert loop.run(limited) == "over" and ended == ["before"]  # the other never began
+    assert loop.run(limited) == "over" and ended == ["before"]  # the task "after" never started
--- a/tests/loop/test_time.py
+++ b/tests/loop/test_time.py
@@ -12,35 +12,35 @@
 from sprucepost.loop.timers import Timer, TimerHeap
 
 
-def test_timers_fire_in_order_and_cancelled_ones_never() -> None:
+def test_timers_fire_in_order_and_cancelled_timers_never_fire() -> None:
     heap, fired = TimerHeap(), []
     rng = random.Random(3)
     timers: list[tuple[float, int, Timer]] = []
     for n in range(500):
-        when = rng.choice((1.0, 2.0, 3.0, rng.uniform(0, 5)))
-        timers.append((when, n, heap.add(when, lambda n=n: fired.append(n))))  # type: ignore[misc]
+        due_ms = rng.choice((1.0, 2.0, 3.0, rng.uniform(0, 5)))
+        timers.append((due_ms, n, heap.add(due_ms, lambda n=n: fired.append(n))))  # type: ignore[misc]
     for _, n, timer in timers:
         if n % 3 == 0:
             timer.cancel()
-    kept = [(when, n) for when, n, _ in timers if n % 3]
-    while (call := heap.pop_due(10.0)) is not None:
-        call()
-    assert fired == [n for _, n in sorted(kept)]
+    pending = [(due_ms, n) for due_ms, n, _ in timers if n % 3]
+    while (callback := heap.pop_due(10.0)) is not None:
+        callback()
+    assert fired == [n for _, n in sorted(pending)]
 
 
-def test_cancelled_timers_do_not_pile_up() -> None:
+def test_cancelled_timers_do_not_accumulate() -> None:
     heap = TimerHeap()
-    keep = heap.add(1.0, lambda: None)
+    timer = heap.add(1.0, lambda: None)
     for _ in range(10_000):
         heap.add(1e9, lambda: None).cancel()
     assert len(heap) == 1 and len(heap._heap) <= 2 * TimerHeap.COMPACT_OVER + 2
-    keep.cancel()
-    keep.cancel()
+    timer.cancel()
+    timer.cancel()
     assert heap.next_due() is None and len(heap) == 0
 
 
 @pytest.mark.parametrize("step", [5000.0, -5000.0])
-def test_a_stepped_clock_is_followed_by_a_bounded_slew(step: float) -> None:
+def test_a_stepped_system_clock_is_followed_by_a_bounded_slew(step: float) -> None:
     clock = AlignedClock(mono=0.0, wall=1e12, slew=0.05)
     last = clock.read(0.0, 1e12)
     for n in range(1, 1200):
@@ -52,11 +52,11 @@
 
 
 @given(st.lists(st.tuples(st.floats(-1e4, 1e4), st.floats(-1e7, 1e7)), max_size=50))
-def test_the_clock_never_goes_back(looks: list[tuple[float, float]]) -> None:
+def test_the_clock_never_goes_back(readings: list[tuple[float, float]]) -> None:
     clock, mono = AlignedClock(0.0, 1e12), 0.0
     last = clock.read(0.0, 1e12)
-    for passed, wall in looks:
-        mono += passed
+    for elapsed, wall in readings:
+        mono += elapsed
         now = clock.read(mono, 1e12 + wall)
         assert now >= last
         last = now
