--- a/tests/node/test_messages_on_another_connection.py
+++ b/tests/node/test_messages_on_another_connection.py
@@ -138,7 +138,7 @@
     harness = TaskHarness()
     harness.ask()
     [first] = harness.outs()
-    harness.desk.push(
+    harness.driver.push(
         i.MachineList(
             i.ListKind.DELTA, (i.MachineEntry(first.machine, i.MachineState.DRAINING, 0, 0, 0, 0.0, 32.0, 64.0),)
         )
--- a/tests/node/test_release_before_answer.py
+++ b/tests/node/test_release_before_answer.py
@@ -133,7 +133,7 @@
         harness.tasks.handle_answer(out, line)
         return [i.Fail(out.entry.request) if action is i.Fail else i.Refuse(out.entry.request, 0.0)]
 
-    harness.desk.scheduler.handle = decide  # type: ignore[method-assign]
-    harness.desk.wake()
+    harness.driver.scheduler.handle = decide  # type: ignore[method-assign]
+    harness.driver.schedule_batch()
     harness.loop.pass_ms(0.0)
     assert harness.events[1:] == [heard_by_client]
