--- a/sprucepost/node/health.py
+++ b/sprucepost/node/health.py
@@ -1,24 +1,25 @@
-"""Health checks of hosts on which tasks of ours stand, and what a host's silence means.
+"""Health checks of hosts that run tasks of this placer, and what a host's silence means.
 
-A host whose connections say nothing may be idle, cut off or dead: its tasks stand until it has answered no health check for
-so long that their owners must be released. But a process that dies resets its connections, and not each reset comes
-through: so when the host ends one, or the list says that it has gone, the others are checked at once. A dead peer's system
+A host that sends nothing may be idle, cut off or dead. Its tasks count as running until it has answered no health check for
+so long that their owners must be notified. A process that dies resets its connections, but not every reset arrives: so when
+the host ends one connection, or the list says that it has gone, the others are checked at once. The system of a dead peer
 answers with a reset, and the next dial is refused.
 
 ========== ================================ ==========================================================================
-a host     while                            what is done
+state      condition                        action
 ========== ================================ ==========================================================================
-heard      its last message is younger than nothing: notes, answers and releases are messages, and most hosts are heard
-           ``SUSPECT_AFTER_MS``             more often than that without being asked
-suspected  older, and a task of ours        a health check on its connection; one without an answer within
-           stands there                     ``CHECK_TIMEOUT_MS`` ends the connection; without one it is dialled every
-                                            ``hosts.REDIAL_MS``, and a new connection begins with a check
-silent     older than ``SILENT_AFTER_MS``   its tasks' owners are released, at that moment; back again, it lets them go
+alive      its last message is younger than none: notes, answers and releases count as messages, and most hosts send one
+           ``SUSPECT_AFTER_MS``             more often than that
+suspected  its last message is older, and   a health check on its connection; a check without an answer within
+           it runs a task of this placer    ``CHECK_TIMEOUT_MS`` ends the connection; without a connection the host is
+                                            dialled every ``hosts.REDIAL_MS``, and a new one begins with a check
+silent     its last message is older than   the owners of its tasks are notified at that moment; if the host comes back,
+           ``SILENT_AFTER_MS``              it is asked to end the tasks
 ========== ================================ ==========================================================================
 
-A check costs the host work, and every placer of the fleet checks the same hosts: so the first one is as late as leaves time
-for the rest. A cut shorter than ``SILENT_AFTER_MS`` is outlived by a task whose host was heard shortly before it, if the
-way back is found at once.
+A check costs the host work, and every placer of the fleet checks the same hosts, so the first check is as late as leaves
+time for the others. A task survives a network cut shorter than ``SILENT_AFTER_MS`` if its host sent something shortly
+before the cut and can be reached again right after it.
 """
 
 from __future__ import annotations
@@ -33,20 +34,20 @@
 from sprucepost.node.log import Log
 from sprucepost.node.tasks import LATE_MS, Tasks
 
-CHECK_TIMEOUT_MS = 1000.0  # a connection on which a health check is not answered within this is of no use
-# What is over must be released within LATE_MS, and silence may begin with the end; the rest is slack.
+CHECK_TIMEOUT_MS = 1000.0  # a connection without an answer to its health check by then is ended
+# Owners must get a release within LATE_MS of a task's end, and the silence may begin with the end; 200 ms are slack.
 SILENT_AFTER_MS = LATE_MS - 200.0
-# A host with tasks is checked after that silence: three checks in a row may get lost.
+# Leaves time for three checks in a row that get lost.
 SUSPECT_AFTER_MS = SILENT_AFTER_MS - 3 * CHECK_TIMEOUT_MS
-SILENCE_SLACK_MS = 1.0  # a timer may come so much early
-NO_TASK = "0" * 16  # the id of a health check
+SILENCE_SLACK_MS = 1.0  # a timer may fire that much early
+NO_TASK = "0" * 16  # the task id that a health check carries
 
 
 class HealthChecks:
-    """Suspects, checks and gives up hosts.
+    """Checks hosts that run tasks, and gives up those that stay silent.
 
-    ``listed`` says whether the host is still one of the list's, ``end`` ends a connection and gives the cause that is
-    counted, ``release_silent`` releases what stands on a host that has been silent for too long.
+    ``listed`` tells whether the host is still on the list, ``end`` ends a connection and takes the cause to count, and
+    ``release_silent`` releases the tasks of a host that has been silent for too long.
     """
 
     def __init__(
@@ -63,20 +64,21 @@
         self._listed, self._end, self._release_silent = listed, end, release_silent
 
     def heard(self, host: Host, link: HostLink) -> None:
-        """The host has said something on that connection."""
+        """Record that a message has come from the host on that connection."""
         if link.check_sent is not None:
             self._log.host(host.uid, "checked", link=link.number, after=round(self._loop.now() - link.check_sent, 1))
-        # What was read may have been said when the sockets were looked at before: a busy loop must not lengthen a silence.
+        # The message may have come right after the previous poll of the sockets: a busy loop must not make a silence look
+        # shorter than it is.
         host.last_heard = max(host.last_heard, self._loop.now() - link.transport.waited_ms)
         link.check_sent = None
 
     def suspected(self, host: Host) -> bool:
-        """Whether a task of ours stands there and nothing was heard of the host for ``SUSPECT_AFTER_MS``."""
+        """Whether the host runs a task of this placer and has sent nothing for ``SUSPECT_AFTER_MS``."""
         holds_tasks = host.uid in self._tasks.standing
         return holds_tasks and host.last_heard > 0 and self._loop.now() - host.last_heard >= SUSPECT_AFTER_MS
 
     def answering(self, host: Host) -> list[HostLink]:
-        """Its connections that may still bring word: not retired, and no check on them has gone unanswered."""
+        """The host's connections that may still bring messages: not retired, and without an overdue check."""
         now = self._loop.now()
         return [link for link in host.links if not link.retired and not _overdue(link, now)]
 
@@ -89,7 +91,7 @@
         link.transport.write(encode(MessageType.PROBE, NO_TASK, code=0))
 
     def check_all(self, host: Host) -> None:
-        """Where a task of ours stands there, check each connection on which no check is out."""
+        """Where the host runs a task of this placer, check each connection that has no check in flight."""
         if host.uid not in self._tasks.standing:
             return
         for link in host.links:
@@ -97,7 +99,7 @@
                 self.check(host, link)
 
     def review(self, host: Host) -> None:
-        """Now and then: end what answers no check, and check a host that has become suspected."""
+        """End connections with an overdue check, and check a host that has become suspected. Called periodically."""
         if host.uid not in self._tasks.standing:
             host.last_heard = 0.0
             return
@@ -107,27 +109,26 @@
             self._end(host, link, "untested")
         if not self.suspected(host):
             return
-        if (
-            host.silence_timer is None
-        ):  # a host that could not be heard, since we stood still, has the time of one check
-            due = max(host.last_heard + SILENT_AFTER_MS - now, CHECK_TIMEOUT_MS)
-            host.silence_timer = self._loop.call_later(due, lambda: self._silence_due(host))
+        if host.silence_timer is None:
+            # At least the time of one check: while this process was stopped, the host could not be heard.
+            delay_ms = max(host.last_heard + SILENT_AFTER_MS - now, CHECK_TIMEOUT_MS)
+            host.silence_timer = self._loop.call_later(delay_ms, lambda: self._silence_due(host))
         links = self.answering(host)
         if links and all(link.check_sent is None for link in links) and links[0].transport.buffered < MOST:
             self.check(host, links[0])
 
     def _silence_due(self, host: Host) -> None:
-        """The time is up at which a host that has said nothing since it was suspected is silent."""
+        """Release the host's tasks unless it has sent a message since the timer was set; then wait for the rest."""
         host.silence_timer = None
         if not self._listed(host) or not self.suspected(host):
             return
         left = host.last_heard + SILENT_AFTER_MS - self._loop.now()
-        if left > SILENCE_SLACK_MS:  # heard meanwhile, and suspected again
+        if left > SILENCE_SLACK_MS:  # it sent a message meanwhile and is suspected again
             host.silence_timer = self._loop.call_later(left, lambda: self._silence_due(host))
             return
         self._release_silent(host)
 
 
 def _overdue(link: HostLink, now: float) -> bool:
-    """Whether a health check has had no answer in its time."""
+    """Whether a health check on the connection has had no answer within ``CHECK_TIMEOUT_MS``."""
     return link.check_sent is not None and now - link.check_sent > CHECK_TIMEOUT_MS
--- a/sprucepost/node/hosts.py
+++ b/sprucepost/node/hosts.py
@@ -1,12 +1,12 @@
-"""Hosts' connections.
+"""The connections to all hosts, and the set-ups and releases that go over them.
 
-A set-up goes on a connection that carries no other where there may be one more: a line that cannot be read makes every
-set-up open on its connection one that may have run. A connection on which a set-up's time was up is used for no other:
-what may still come there belongs to that set-up, also where the same task is offered to the same host again.
+A set-up gets a connection without another open set-up, as long as there may be one more connection: a message that cannot
+be parsed ends its connection, and every set-up open there may then have run. A connection on which a set-up timed out
+carries no other one: a late message there could not be told from one on a second offer of the same task to that host.
 
-A standing task belongs to no connection, so one is kept to every host that has one. What the ends of connections prove:
-a refused one, that the process is gone, and its tasks with it; one that was reset or closed, nothing about standing tasks.
-What silence means, and how it is told from an idle connection, is in ``health``.
+A running task does not belong to a connection, so one connection is kept to every host that runs tasks of this placer.
+What the end of a connection proves: a refused dial proves that the host's process, and with it every task there, is gone;
+a reset or a close proves nothing about running tasks. Silence and health checks are described in ``health``.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 from sprucepost.node.start_times import StartTimes
 from sprucepost.node.tasks import GIVEN_UP, Tasks
 
-REDIAL_MS = 200.0  # until a connection that failed is tried again, doubled for each before unless the host is suspected
-REDIAL_MOST_MS = 1600.0  # five in the time until it is silent: a host that is back is found while that helps
+REDIAL_MS = 200.0  # between dials of a host; doubled for each failed dial unless the host is suspected
+REDIAL_MAX_MS = 1600.0  # five dials until the host counts as silent: one that is back is found in time
 
 
 class Hosts:
-    """All hosts' connections."""
+    """The connections to all hosts of the list, and what waits for one."""
 
     def __init__(
         self,
@@ -49,77 +49,79 @@
     ) -> None:
         self._start_times = start_times
         self.loop, self._scope, self._tasks, self._log, self.counters = loop, scope, tasks, log, counters
-        self._descriptors, self._connect_ms, self._idle = descriptors, connect_ms, idle_ms
+        self._descriptors, self._connect_ms, self._idle_ms = descriptors, connect_ms, idle_ms
         self.hosts: dict[str, Host] = {}
-        self._at: dict[Address, Host] = {}  # the same, by address
-        self._health = HealthChecks(loop, tasks, counters, log, self._listed, self._end, self._release_silent)
+        self._by_address: dict[Address, Host] = {}  # the same hosts by address
+        self._health = HealthChecks(loop, tasks, counters, log, self._listed, self._end, self._release_silent_host)
         self._dispatcher: Dispatcher[Host] = Dispatcher(loop, self._serve, counters)
 
-    # The list
+    # The list of hosts
 
-    def apply_list(self, told: ListUpdate) -> None:
-        """Take what the bulletin has changed, before the module acts on it."""
-        if told.list.kind is not i.ListKind.DELTA:
-            named = {entry.machine for entry in told.list.entries}
-            for uid in sorted(self.hosts.keys() - named):
-                self._leave(self.hosts[uid])
-        for entry in told.list.entries:
+    def apply_list(self, update: ListUpdate) -> None:
+        """Apply a change of the list, before the decision module acts on it."""
+        if update.list.kind is not i.ListKind.DELTA:
+            listed = {entry.machine for entry in update.list.entries}
+            for uid in sorted(self.hosts.keys() - listed):
+                self._mark_gone(self.hosts[uid])
+        for entry in update.list.entries:
             ready = entry.state is i.MachineState.READY
             self._tasks.close(entry.machine, not ready)
-            host, address = self.hosts.get(entry.machine), told.addresses.get(entry.machine)
+            host, address = self.hosts.get(entry.machine), update.addresses.get(entry.machine)
             if entry.state is i.MachineState.GONE:
                 if host is not None:
-                    self._leave(host)
+                    self._mark_gone(host)
                 else:
                     self._tasks.close(entry.machine, False)
                 continue
             if address is None:
                 continue
             if host is None or host.address != address:
-                host = self._enter(entry.machine, address, entry.started)
+                host = self._add(entry.machine, address, entry.started)
             host.gone = False
             if entry.started > host.started:
                 host.started = entry.started
-                self._lost(host, "restarted", before=self._start_times.to_loop_time(entry.started))
+                self._lose_tasks(host, "restarted", before=self._start_times.to_loop_time(entry.started))
             if not ready:
-                self._unwritten(host)
+                self._end_waiting(host)
 
-    def _enter(self, uid: str, address: Address, started: float) -> Host:
-        """A host at an address: whatever had that address before is no more."""
-        others = {self.hosts.get(uid), self._at.get(address)}
+    def _add(self, uid: str, address: Address, started: float) -> Host:
+        """Add a host. Hosts that had its id or address before are removed, their tasks lost."""
+        others = {self.hosts.get(uid), self._by_address.get(address)}
         for other in [other for other in others if other is not None]:
-            self._lost(other, "replaced")
-            self._leave(other)
+            self._lose_tasks(other, "replaced")
+            self._mark_gone(other)
             self._remove(other)
-        host = self.hosts[uid] = self._at[address] = Host(uid, address, started)
+        host = self.hosts[uid] = self._by_address[address] = Host(uid, address, started)
         return host
 
-    def _leave(self, host: Host) -> None:
-        """It gets nothing new; what still stands there may yet be released by it."""
+    def _mark_gone(self, host: Host) -> None:
+        """Send the host nothing new. It may still release the tasks that run there."""
         if host.gone:
             return
         host.gone = True
         self._tasks.close(host.uid, True)
-        self._unwritten(host)
-        self._tidy(host)
-        self._check_all(host)
-        self._find(host)
+        self._end_waiting(host)
+        self._remove_if_unused(host)
+        self._check_connections(host)
+        self._reconnect(host)
 
-    def _unwritten(self, host: Host) -> None:
+    def _end_waiting(self, host: Host) -> None:
+        """End the offers that wait for a connection to the host."""
         waiting, host.waiting = host.waiting, []
         for attempt in waiting:
             self._tasks.end(attempt, i.Ending.MOOT)
 
-    def _tidy(self, host: Host) -> None:
-        """A host that has gone is forgotten once nothing of ours is left there."""
+    def _remove_if_unused(self, host: Host) -> None:
+        """Remove a host that has gone once it has no task and no open set-up of this placer."""
         if host.gone and host.uid not in self._tasks.standing and not any(link.open for link in host.links):
             self._remove(host)
 
     def _remove(self, host: Host) -> None:
+        """Drop the host and end its connections."""
         if self.hosts.get(host.uid) is host:
             del self.hosts[host.uid]
-            if self._at.get(host.address) is host:
-                del self._at[host.address]
+            if self._by_address.get(host.address) is host:
+                del self._by_address[host.address]
             self._tasks.close(host.uid, False)
         for link in list(host.links):
             self._end(host, link, "gone")
@@ -127,9 +129,9 @@
     # Set-ups
 
     def place(self, attempt: Attempt) -> None:
-        """Write the offer on a connection of its own, or as soon as there is one."""
+        """Send the offer on a connection without another open set-up, or as soon as there is one."""
         host = self.hosts.get(attempt.machine)
-        if host is None:  # the module knows a host that is not listed any more
+        if host is None:  # the decision module still knows a host that is no longer listed
             self._tasks.end(attempt, i.Ending.CONNECT_FAILED)
             return
         if attempt.machine in self._tasks.closed:
@@ -139,12 +141,12 @@
         self._serve(host)
 
     def _serve(self, host: Host) -> None:
-        """Write what waits: each on a free connection, or on a new one, or where there may be none on the least used. What
-        can be written is, as soon as the dispatcher allows it."""
-        held = 0
-        while held < len(host.waiting):
+        """Send the offers that wait, as soon as the dispatcher allows it: each on a free connection, else on a new one, else,
+        where no more connections may be opened, on the one with the fewest open set-ups."""
+        not_caught_up = 0
+        while not_caught_up < len(host.waiting):
             now, attempt = self.loop.now(), host.waiting[0]
-            usable = [link for link in host.links if link.usable and now - link.last_used < self._idle / 2]
+            usable = [link for link in host.links if link.usable and now - link.last_used < self._idle_ms / 2]
             free = [link for link in usable if not link.open]
             full = len(host.links) + host.dialing >= max(
                 2, self._descriptors.guaranteed_share // max(1, len(self.hosts))
@@ -163,13 +165,14 @@
                 return
             host.waiting.remove(attempt)
             if not self._tasks.caught_up(attempt):
-                held += 1
+                not_caught_up += 1
                 host.waiting.append(attempt)
                 self._dispatcher.postpone(host)
                 continue
             self._write(host, link, attempt)
 
     def _write(self, host: Host, link: HostLink, attempt: Attempt) -> None:
+        """Write the offer to that connection, or end the attempt where the offer must not be sent any more."""
         data = self._tasks.write(attempt)
         if data is None:
             self._tasks.end(
@@ -185,18 +188,18 @@
         link.transport.flush()
 
     def went_out(self, attempt: Attempt) -> bool:
-        """Whether it was written and the system has taken all of it. A part of it is a line without an end, which no host
-        obeys."""
+        """Whether the offer was written and the system has taken all of it. A host ignores a line without its end, so an
+        offer that was sent in part has not run."""
         return attempt.link is not None and attempt.link.transport.sent >= attempt.mark
 
     def kept_from_dialling(self, attempt: Attempt) -> bool:
-        """Whether it has no connection since the last dial never left this machine."""
+        """Whether the offer has no connection because the last dial failed on this machine."""
         host = self.hosts.get(attempt.machine)
         return attempt.link is None and host is not None and host.dial_never_left
 
     def give_up(self, attempt: Attempt) -> None:
-        """Take it back: where it was written the host is told, and the connection is used for nothing else. Where the host
-        cannot have read it whole, the connection ends at once: nothing of it needs to arrive."""
+        """Withdraw the offer. Where it was written, the host gets a close, and the connection takes no other set-up. Where
+        the host cannot have read all of it and nothing else is open there, the connection ends at once."""
         host = self.hosts.get(attempt.machine)
         if host is not None and attempt in host.waiting:
             host.waiting.remove(attempt)
@@ -210,14 +213,15 @@
             return
         link.transport.write(encode(MessageType.CLOSE, attempt.sid, code=GIVEN_UP))
         link.retired = True
-        self._retire(host, link)
+        self._end_if_retired(host, link)
 
-    def _retire(self, host: Host, link: HostLink) -> None:
+    def _end_if_retired(self, host: Host, link: HostLink) -> None:
+        """End a connection that takes no more set-ups once none is open on it."""
         if link.retired and not link.open:
             self._end(host, link, "retired")
 
     def let_go(self, machine: str, sid: str) -> None:
-        """Have the host end a standing task, now or when it can be reached."""
+        """Have the host end a running task, now or once there is a connection to it."""
         host = self.hosts.get(machine)
         if host is None:
             return
@@ -230,14 +234,14 @@
             host.pending_releases[sid] = self.loop.now() + health.SILENT_AFTER_MS
 
     def adopt(self, machine: str, sid: str) -> bool:
-        """An owner has handed the task back: it is not to be let go any more."""
+        """Keep a task that its owner has handed back: cancel a pending release of it. False where the host is not listed."""
         host = self.hosts.get(machine)
         if host is not None:
             host.pending_releases.pop(sid, None)
         return host is not None
 
     def recall(self, services: set[str]) -> None:
-        """Offers that still wait for a connection, decided before such tasks were known to stand, are decided anew."""
+        """End the waiting offers of these services: they were decided before running tasks of the services were known."""
         for host in self.hosts.values():
             if host.waiting:
                 for attempt in [attempt for attempt in host.waiting if attempt.entry.service in services]:
@@ -249,12 +253,14 @@
 
     @property
     def connections(self) -> int:
-        """Those that there are, and those that are being opened."""
+        """The number of connections, with those that are being opened."""
         return sum(len(host.links) + host.dialing for host in self.hosts.values())
 
     def close_idle_connection(self) -> bool:
-        """Close the connection that has been idle for longest, those last that are kept for words of standing tasks: a host
-        sends these on the next connection as well. False where none is idle."""
+        """Close the connection that has been idle for longest; False where none is idle.
+
+        Connections to hosts with running tasks are closed last: such a host sends its messages on the next connection.
+        """
         idle = [
             (host.uid in self._tasks.standing, link.last_used, host, link)
             for host in self.hosts.values()
@@ -268,11 +274,13 @@
         return False
 
     def _dial(self, host: Host) -> None:
+        """Open a connection to the host in a task of its own."""
         self._descriptors.reclaim()
         host.dialing += 1
         self._scope.spawn(self._connect(host), f"host {host.uid}")
 
     def _connect(self, host: Host) -> Co[None]:
+        """Connect; then send the pending releases and the offers that wait."""
         task = yield from current()
         began = self.loop.now()
         try:
@@ -280,7 +288,7 @@
         except (OSError, TimedOut) as error:
             host.dialing -= 1
             if self.hosts.get(host.uid) is host and is_shortage(error):
-                self._not_dialled(host)
+                self._dial_never_left(host)
             elif self.hosts.get(host.uid) is host:
                 self._not_connected(host, error, began)
             return
@@ -295,7 +303,7 @@
         link = HostLink(transport, self.loop.now(), host.connections_opened)
         host.links.append(link)
         self._log.host(host.uid, "connected", link=link.number)
-        transport.on_data = lambda data: self._data(host, link, data)
+        transport.on_data = lambda data: self._handle_data(host, link, data)
         transport.on_end = lambda: self._end(host, link, "ended")
         transport.on_lost = lambda error: self._end(host, link, "reset")
         transport.start()
@@ -307,10 +315,11 @@
             self._health.check(host, link)
 
     def _not_connected(self, host: Host, error: Exception, began: float) -> None:
+        """Handle a failed dial that ``began`` at that time of the loop's clock, in ms."""
         host.failed_dials += 1
         host.dial_never_left = False
         suspected = self._health.suspected(host)
-        pause = REDIAL_MS if suspected else min(REDIAL_MS * 2.0 ** (host.failed_dials - 1), REDIAL_MOST_MS)
+        pause = REDIAL_MS if suspected else min(REDIAL_MS * 2.0 ** (host.failed_dials - 1), REDIAL_MAX_MS)
         host.redial_at = self.loop.now() + pause
         refused = isinstance(error, ConnectionRefusedError)
         self.counters["connect_refused" if refused else "connect_failed"] += 1
@@ -320,13 +329,14 @@
             for attempt in waiting:
                 self._tasks.end(attempt, i.Ending.CONNECT_FAILED)
         if refused:
-            self._lost(host, "refused", before=began)  # what stands since came from its next life
-            self._tidy(host)
+            # Tasks accepted since the dial began run in a new process of the host.
+            self._lose_tasks(host, "refused", before=began)
+            self._remove_if_unused(host)
         if self._health.suspected(host):
-            self.loop.call_later(pause, lambda: self._find(host))
+            self.loop.call_later(pause, lambda: self._reconnect(host))
 
-    def _not_dialled(self, host: Host) -> None:
-        """The system had no descriptor for the dial, which says nothing of the host: what waits is dialled for again."""
+    def _dial_never_left(self, host: Host) -> None:
+        """Dial again after a pause: this system had no descriptor, port or route, which says nothing about the host."""
         self.counters["dials_short"] += 1
         host.dial_never_left = True
         self.close_idle_connection()
@@ -335,31 +345,32 @@
         def again() -> None:
             if self.hosts.get(host.uid) is host:
                 self._serve(host)
-                self._find(host)
+                self._reconnect(host)
 
         self.loop.call_later(REDIAL_MS, again)
 
-    def _find(self, host: Host) -> None:
-        """Dial a host on which something of ours stands, or is to end, where no connection may still bring word, or one has
-        broken on which a release may have lain: the host says it again on the next connection alone."""
+    def _reconnect(self, host: Host) -> None:
+        """Dial a host that runs tasks of this placer, or has some to end, where no connection is expected to bring its
+        messages. Also dial where a connection broke that may have held a release: a host repeats a release only on its
+        next connection."""
         now = self.loop.now()
         wanted = self._listed(host) and (host.uid in self._tasks.standing or bool(host.pending_releases))
-        hopeful = bool(self._health.answering(host))
-        due = wanted and (host.needs_reconnect or not hopeful) and not host.dialing and now >= host.redial_at
+        may_answer = bool(self._health.answering(host))
+        due = wanted and (host.needs_reconnect or not may_answer) and not host.dialing and now >= host.redial_at
         if due and (
             self._descriptors.available() > 0 or (self._health.suspected(host) and self.close_idle_connection())
         ):
             self._dial(host)
 
     def _end(self, host: Host, link: HostLink, why: str) -> None:
-        """The connection is over; what was open on it may have run, unless the host cannot have read it whole."""
+        """End a connection. A set-up open on it may have run, unless the host cannot have read all of it."""
         if link not in host.links:
             return
         host.links.remove(link)
         self.counters[f"host_link_{why}"] += 1
         self._log.host(host.uid, "disconnected", link=link.number, why=why, open=len(link.open) or None)
         if why in ("retired", "idle", "room"):
-            link.transport.on_late = lambda data: self._late(host, link, data)
+            link.transport.on_late = lambda data: self._handle_late_data(host, link, data)
             self._descriptors.close(link.transport)
         else:
             link.transport.abort()
@@ -369,31 +380,33 @@
             self._tasks.end(attempt, i.Ending.RESET if self.went_out(attempt) else i.Ending.MOOT)
         if why != "room":
             self._serve(host)
-            self._find(host)
+            self._reconnect(host)
         if why in ("reset", "ended"):
-            self._check_all(host)
+            self._check_connections(host)
 
-    # Words
+    # Messages
 
-    def _data(self, host: Host, link: HostLink, data: bytes) -> None:
+    def _handle_data(self, host: Host, link: HostLink, data: bytes) -> None:
+        """Decode and handle what was read on a connection; end it where the bytes cannot be parsed."""
         for line in link.decoder.feed(data):
             link.last_used = self.loop.now()
             self._health.heard(host, link)
-            self._line(link, host, line)
+            self._handle_line(link, host, line)
         if link.decoder.error is not None:
             self.counters["host_malformed"] += 1
             self._log("host_malformed", host=host.uid, why=str(link.decoder.error), open=len(link.open))
             self._end(host, link, "malformed")
 
-    def _late(self, host: Host, link: HostLink, data: bytes) -> None:
-        """What the host had on its way when we ended the connection. A release among it comes again only on the next
-        connection, which may be long in coming."""
+    def _handle_late_data(self, host: Host, link: HostLink, data: bytes) -> None:
+        """Handle releases and notes that were in flight when this side ended the connection. The host repeats a release only
+        on its next connection, which may be opened much later."""
         if self.hosts.get(host.uid) is host:
             for line in link.decoder.feed(data):
                 if line.type in (MessageType.CLOSE, MessageType.EVENT):
-                    self._heard(host, link, line)
+                    self._handle_message(host, link, line)
 
-    def _line(self, link: HostLink, host: Host, line: Line) -> None:
+    def _handle_line(self, link: HostLink, host: Host, line: Line) -> None:
+        """Handle one message: of a set-up that is open on this connection, or of any other task."""
         attempt = link.open.get(line.sid)
         if attempt is not None and (
             line.type is MessageType.CLOSE or (line.type is MessageType.READY and line.text is not None)
@@ -402,61 +415,66 @@
             if line.type is MessageType.CLOSE:
                 link.ended_unanswered.append(line.sid)
             self._tasks.answered(attempt, line)
-            self._retire(host, link)
+            self._end_if_retired(host, link)
             self._serve(host)
         elif attempt is not None and line.type is MessageType.EVENT:
             attempt.noted = True
         elif attempt is None and line.type in (MessageType.READY, MessageType.CLOSE, MessageType.EVENT):
-            self._heard(host, link, line)
+            self._handle_message(host, link, line)
 
-    def _heard(self, host: Host, link: HostLink, line: Line) -> None:
+    def _handle_message(self, host: Host, link: HostLink, line: Line) -> None:
+        """Pass on a message about a task that has no open set-up on this connection."""
         if line.sid in link.withdrawn:
             self._tasks.heard_of_withdrawn(host.uid, line)
         else:
             self._tasks.heard(host.uid, line)
 
-    # Standing tasks
+    # Running tasks
 
     def tick(self) -> None:
-        """Look after the hosts on which something of ours stands."""
+        """Close idle connections, check hosts that run tasks, and reconnect where needed. Called periodically."""
         now = self.loop.now()
-        for uid in self._tasks.standing.keys() - self.hosts.keys():  # handed to us; no list has told of their host
+        # Tasks that owners have handed back, on hosts that were never listed.
+        for uid in self._tasks.standing.keys() - self.hosts.keys():
             self._tasks.lost(uid, "unlisted", before=self.loop.now() - health.SILENT_AFTER_MS)
         for host in list(self.hosts.values()):
             standing = host.uid in self._tasks.standing
             for link in list(host.links):
-                idle = not link.open and now - link.last_used > self._idle / 2 and (len(host.links) > 1 or not standing)
+                idle = (
+                    not link.open and now - link.last_used > self._idle_ms / 2 and (len(host.links) > 1 or not standing)
+                )
                 if idle and not link.transport.look():
                     self._end(host, link, "idle")
             host.pending_releases = {sid: until for sid, until in host.pending_releases.items() if until > now}
             self._health.review(host)
             if not standing:
                 host.needs_reconnect = False
-                self._tidy(host)
+                self._remove_if_unused(host)
                 if not host.pending_releases:
                     continue
-            self._find(host)
+            self._reconnect(host)
 
     def _listed(self, host: Host) -> bool:
-        """Whether it has not been removed, or replaced by another of its id."""
+        """Whether the host has not been removed, or replaced by another one with its id."""
         return self.hosts.get(host.uid) is host
 
-    def _check_all(self, host: Host) -> None:
-        """It may have died: have the connections that are left tell."""
+    def _check_connections(self, host: Host) -> None:
+        """Check the remaining connections of a host that may have died."""
         if self._listed(host):
             self._health.check_all(host)
 
-    def _release_silent(self, host: Host) -> None:
-        """Its tasks count as over; it is to end them should it come back. Nothing more will pass on its connections."""
+    def _release_silent_host(self, host: Host) -> None:
+        """Release the tasks of a silent host, and have it end them should it come back. Its unused connections end."""
         now = self.loop.now()
         sids = list(self._tasks.standing[host.uid])
         self._log.host(host.uid, "silent", heard=round(now - host.last_heard), late=round(self.loop.late_ms, 1))
-        self._lost(host, "silent")
-        host.pending_releases.update((sid, now + self._idle) for sid in sids)
+        self._lose_tasks(host, "silent")
+        host.pending_releases.update((sid, now + self._idle_ms) for sid in sids)
         for link in [link for link in host.links if not link.open]:
             self._end(host, link, "silent")
 
-    def _lost(self, host: Host, why: str, before: float | None = None) -> None:
+    def _lose_tasks(self, host: Host, why: str, before: float | None = None) -> None:
+        """Release the owners of the host's tasks, or of those accepted before that time of the loop's clock, in ms."""
         number = self._tasks.lost(host.uid, why, before)
         if number:
             self._log("host_lost", host=host.uid, why=why, tasks=number)
