--- a/sprucepost/node/health.py
+++ b/sprucepost/node/health.py
@@ -28,15 +28,16 @@
 from collections.abc import Callable
 
 from sprucepost.loop import Loop
-from sprucepost.node.bounds import MOST
+from sprucepost.node.framing import MAX_MESSAGE_BYTES
 from sprucepost.node.host import Host, HostLink
 from sprucepost.node.jsonl import MessageType, encode
 from sprucepost.node.log import Log
-from sprucepost.node.tasks import LATE_MS, Tasks
+from sprucepost.node.tasks import RELEASE_RETENTION_MS, Tasks
 
 CHECK_TIMEOUT_MS = 1000.0  # a connection without an answer to its health check by then is ended
-# Owners must get a release within LATE_MS of a task's end, and the silence may begin with the end; 200 ms are slack.
-SILENT_AFTER_MS = LATE_MS - 200.0
+# A release must be sent within RELEASE_RETENTION_MS of the task's end, and the silence may begin with the end; the rest
+# is slack.
+SILENT_AFTER_MS = RELEASE_RETENTION_MS - 200.0
 # Leaves time for three checks in a row that get lost.
 SUSPECT_AFTER_MS = SILENT_AFTER_MS - 3 * CHECK_TIMEOUT_MS
 SILENCE_SLACK_MS = 1.0  # a timer may fire that much early
@@ -74,7 +75,7 @@
 
     def suspected(self, host: Host) -> bool:
         """Whether the host runs a task of this placer and has sent nothing for ``SUSPECT_AFTER_MS``."""
-        holds_tasks = host.uid in self._tasks.standing
+        holds_tasks = host.uid in self._tasks.placed
         return holds_tasks and host.last_heard > 0 and self._loop.now() - host.last_heard >= SUSPECT_AFTER_MS
 
     def answering(self, host: Host) -> list[HostLink]:
@@ -92,7 +93,7 @@
 
     def check_all(self, host: Host) -> None:
         """Where the host runs a task of this placer, check each connection that has no check in flight."""
-        if host.uid not in self._tasks.standing:
+        if host.uid not in self._tasks.placed:
             return
         for link in host.links:
             if not link.retired and link.check_sent is None and not link.transport.buffered:
@@ -100,7 +101,7 @@
 
     def review(self, host: Host) -> None:
         """End connections with an overdue check, and check a host that has become suspected. Called periodically."""
-        if host.uid not in self._tasks.standing:
+        if host.uid not in self._tasks.placed:
             host.last_heard = 0.0
             return
         now = self._loop.now()
@@ -114,7 +115,7 @@
             delay_ms = max(host.last_heard + SILENT_AFTER_MS - now, CHECK_TIMEOUT_MS)
             host.silence_timer = self._loop.call_later(delay_ms, lambda: self._silence_due(host))
         links = self.answering(host)
-        if links and all(link.check_sent is None for link in links) and links[0].transport.buffered < MOST:
+        if links and all(link.check_sent is None for link in links) and links[0].transport.buffered < MAX_MESSAGE_BYTES:
             self.check(host, links[0])
 
     def _silence_due(self, host: Host) -> None:
--- a/sprucepost/node/hosts.py
+++ b/sprucepost/node/hosts.py
@@ -17,16 +17,16 @@
 from sprucepost.loop import Co, Loop, Scope, TimedOut, connect, current, is_shortage
 from sprucepost.node import health
 from sprucepost.node.attempt import Attempt
-from sprucepost.node.bounds import LINGER_MS
 from sprucepost.node.bulletin import Address, ListUpdate
 from sprucepost.node.descriptors import Descriptors
 from sprucepost.node.dispatch import Dispatcher
+from sprucepost.node.framing import LINGER_MS
 from sprucepost.node.health import HealthChecks
 from sprucepost.node.host import Host, HostLink
 from sprucepost.node.jsonl import Line, MessageType, encode
 from sprucepost.node.log import Log
 from sprucepost.node.start_times import StartTimes
-from sprucepost.node.tasks import GIVEN_UP, Tasks
+from sprucepost.node.tasks import CAUSE_WITHDRAWN, Tasks
 
 REDIAL_MS = 200.0  # between dials of a host; doubled for each failed dial unless the host is suspected
 REDIAL_MAX_MS = 1600.0  # five dials until the host counts as silent: one that is back is found in time
@@ -65,13 +65,13 @@
                 self._mark_gone(self.hosts[uid])
         for entry in update.list.entries:
             ready = entry.state is i.MachineState.READY
-            self._tasks.close(entry.machine, not ready)
+            self._tasks.set_closed(entry.machine, not ready)
             host, address = self.hosts.get(entry.machine), update.addresses.get(entry.machine)
             if entry.state is i.MachineState.GONE:
                 if host is not None:
                     self._mark_gone(host)
                 else:
-                    self._tasks.close(entry.machine, False)
+                    self._tasks.set_closed(entry.machine, False)
                 continue
             if address is None:
                 continue
@@ -99,7 +99,7 @@
         if host.gone:
             return
         host.gone = True
-        self._tasks.close(host.uid, True)
+        self._tasks.set_closed(host.uid, True)
         self._end_waiting(host)
         self._remove_if_unused(host)
         self._check_connections(host)
@@ -109,11 +109,11 @@
         """End the offers that wait for a connection to the host."""
         waiting, host.waiting = host.waiting, []
         for attempt in waiting:
-            self._tasks.end(attempt, i.Ending.MOOT)
+            self._tasks.end_attempt(attempt, i.Ending.VOID)
 
     def _remove_if_unused(self, host: Host) -> None:
         """Remove a host that has gone once it has no task and no open set-up of this placer."""
-        if host.gone and host.uid not in self._tasks.standing and not any(link.open for link in host.links):
+        if host.gone and host.uid not in self._tasks.placed and not any(link.open for link in host.links):
             self._remove(host)
 
     def _remove(self, host: Host) -> None:
@@ -122,27 +122,27 @@
             del self.hosts[host.uid]
             if self._by_address.get(host.address) is host:
                 del self._by_address[host.address]
-            self._tasks.close(host.uid, False)
+            self._tasks.set_closed(host.uid, False)
         for link in list(host.links):
             self._end(host, link, "gone")
 
     # Set-ups
 
-    def place(self, attempt: Attempt) -> None:
+    def send_offer(self, attempt: Attempt) -> None:
         """Send the offer on a connection without another open set-up, or as soon as there is one."""
         host = self.hosts.get(attempt.machine)
         if host is None:  # the decision module still knows a host that is no longer listed
-            self._tasks.end(attempt, i.Ending.CONNECT_FAILED)
+            self._tasks.end_attempt(attempt, i.Ending.CONNECT_FAILED)
             return
-        if attempt.machine in self._tasks.closed:
-            self._tasks.end(attempt, i.Ending.MOOT)
+        if attempt.machine in self._tasks.closed_hosts:
+            self._tasks.end_attempt(attempt, i.Ending.VOID)
             return
         host.waiting.append(attempt)
         self._serve(host)
 
     def _serve(self, host: Host) -> None:
-        """Send the offers that wait, as soon as the dispatcher allows it: each on a free connection, else on a new one, else,
-        where no more connections may be opened, on the one with the fewest open set-ups."""
+        """Send the offers that wait, as soon as the dispatcher allows it. Each goes to a free connection, else to a new one,
+        else, where no more may be opened, to the one with the fewest open set-ups."""
         not_caught_up = 0
         while not_caught_up < len(host.waiting):
             now, attempt = self.loop.now(), host.waiting[0]
@@ -164,7 +164,7 @@
                 self._dispatcher.add(host)
                 return
             host.waiting.remove(attempt)
-            if not self._tasks.caught_up(attempt):
+            if not self._tasks.owner_input_read(attempt):
                 not_caught_up += 1
                 host.waiting.append(attempt)
                 self._dispatcher.postpone(host)
@@ -173,31 +173,31 @@
 
     def _write(self, host: Host, link: HostLink, attempt: Attempt) -> None:
         """Write the offer to that connection, or end the attempt where the offer must not be sent any more."""
-        data = self._tasks.write(attempt)
+        data = self._tasks.encode_offer(attempt)
         if data is None:
-            self._tasks.end(
-                attempt, i.Ending.MOOT if attempt.machine in self._tasks.closed else i.Ending.CONNECT_FAILED
+            self._tasks.end_attempt(
+                attempt, i.Ending.VOID if attempt.machine in self._tasks.closed_hosts else i.Ending.CONNECT_FAILED
             )
             return
         attempt.link = link
         link.open[attempt.sid] = attempt
         link.last_used = self.loop.now()
         link.transport.write(data)
-        attempt.mark = link.transport.written
+        attempt.end_offset = link.transport.written
         self._tasks.trace(attempt.sid, "sent", host=host.uid, link=link.number)
         link.transport.flush()
 
-    def went_out(self, attempt: Attempt) -> bool:
+    def was_sent(self, attempt: Attempt) -> bool:
         """Whether the offer was written and the system has taken all of it. A host ignores a line without its end, so an
         offer that was sent in part has not run."""
-        return attempt.link is not None and attempt.link.transport.sent >= attempt.mark
+        return attempt.link is not None and attempt.link.transport.sent >= attempt.end_offset
 
-    def kept_from_dialling(self, attempt: Attempt) -> bool:
+    def connection_failed_locally(self, attempt: Attempt) -> bool:
         """Whether the offer has no connection because the last dial failed on this machine."""
         host = self.hosts.get(attempt.machine)
         return attempt.link is None and host is not None and host.dial_never_left
 
-    def give_up(self, attempt: Attempt) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         """Withdraw the offer. Where it was written, the host gets a close, and the connection takes no other set-up. Where
         the host cannot have read all of it and nothing else is open there, the connection ends at once."""
         host = self.hosts.get(attempt.machine)
@@ -208,10 +208,10 @@
             return
         del link.open[attempt.sid]
         link.withdrawn.add(attempt.sid)
-        if not self.went_out(attempt) and not link.open:
+        if not self.was_sent(attempt) and not link.open:
             self._end(host, link, "unsent")
             return
-        link.transport.write(encode(MessageType.CLOSE, attempt.sid, code=GIVEN_UP))
+        link.transport.write(encode(MessageType.CLOSE, attempt.sid, code=CAUSE_WITHDRAWN))
         link.retired = True
         self._end_if_retired(host, link)
 
@@ -220,14 +220,14 @@
         if link.retired and not link.open:
             self._end(host, link, "retired")
 
-    def let_go(self, machine: str, sid: str) -> None:
+    def end_task(self, machine: str, sid: str) -> None:
         """Have the host end a running task, now or once there is a connection to it."""
         host = self.hosts.get(machine)
         if host is None:
             return
         link = next((link for link in host.links if not link.transport.closed and not link.retired), None)
         if link is not None:
-            link.transport.write(encode(MessageType.CLOSE, sid, code=GIVEN_UP))
+            link.transport.write(encode(MessageType.CLOSE, sid, code=CAUSE_WITHDRAWN))
             self._tasks.trace(sid, "let_go", host=machine)
         else:
             self._tasks.trace(sid, "let_go", host=machine, why="when it can be reached")
@@ -240,14 +240,14 @@
             host.pending_releases.pop(sid, None)
         return host is not None
 
-    def recall(self, services: set[str]) -> None:
+    def withdraw_unsent(self, services: set[str]) -> None:
         """End the waiting offers of these services: they were decided before running tasks of the services were known."""
         for host in self.hosts.values():
             if host.waiting:
                 for attempt in [attempt for attempt in host.waiting if attempt.entry.service in services]:
                     host.waiting.remove(attempt)
                     self.counters["recalled"] += 1
-                    self._tasks.end(attempt, i.Ending.MOOT)
+                    self._tasks.end_attempt(attempt, i.Ending.VOID)
 
     # Connections
 
@@ -262,7 +262,7 @@
         Connections to hosts with running tasks are closed last: such a host sends its messages on the next connection.
         """
         idle = [
-            (host.uid in self._tasks.standing, link.last_used, host, link)
+            (host.uid in self._tasks.placed, link.last_used, host, link)
             for host in self.hosts.values()
             for link in host.links
             if not link.open and not host.waiting
@@ -308,7 +308,7 @@
         transport.on_lost = lambda error: self._end(host, link, "reset")
         transport.start()
         for sid in host.pending_releases:
-            transport.write(encode(MessageType.CLOSE, sid, code=GIVEN_UP))
+            transport.write(encode(MessageType.CLOSE, sid, code=CAUSE_WITHDRAWN))
         host.pending_releases.clear()
         self._serve(host)
         if self._health.suspected(host):
@@ -327,7 +327,7 @@
         if not host.dialing and host not in self._dispatcher:
             waiting, host.waiting = host.waiting, []
             for attempt in waiting:
-                self._tasks.end(attempt, i.Ending.CONNECT_FAILED)
+                self._tasks.end_attempt(attempt, i.Ending.CONNECT_FAILED)
         if refused:
             # Tasks accepted since the dial began run in a new process of the host.
             self._lose_tasks(host, "refused", before=began)
@@ -354,7 +354,7 @@
         messages. Also dial where a connection broke that may have held a release: a host repeats a release only on its
         next connection."""
         now = self.loop.now()
-        wanted = self._listed(host) and (host.uid in self._tasks.standing or bool(host.pending_releases))
+        wanted = self._listed(host) and (host.uid in self._tasks.placed or bool(host.pending_releases))
         may_answer = bool(self._health.answering(host))
         due = wanted and (host.needs_reconnect or not may_answer) and not host.dialing and now >= host.redial_at
         if due and (
@@ -374,10 +374,10 @@
             self._descriptors.close(link.transport)
         else:
             link.transport.abort()
-        host.needs_reconnect |= why in ("reset", "malformed", "untested") and host.uid in self._tasks.standing
+        host.needs_reconnect |= why in ("reset", "malformed", "untested") and host.uid in self._tasks.placed
         attempts, link.open = list(link.open.values()), {}
         for attempt in attempts:
-            self._tasks.end(attempt, i.Ending.RESET if self.went_out(attempt) else i.Ending.MOOT)
+            self._tasks.end_attempt(attempt, i.Ending.RESET if self.was_sent(attempt) else i.Ending.VOID)
         if why != "room":
             self._serve(host)
             self._reconnect(host)
@@ -414,7 +414,7 @@
             del link.open[line.sid]
             if line.type is MessageType.CLOSE:
                 link.ended_unanswered.append(line.sid)
-            self._tasks.answered(attempt, line)
+            self._tasks.handle_answer(attempt, line)
             self._end_if_retired(host, link)
             self._serve(host)
         elif attempt is not None and line.type is MessageType.EVENT:
@@ -425,9 +425,9 @@
     def _handle_message(self, host: Host, link: HostLink, line: Line) -> None:
         """Pass on a message about a task that has no open set-up on this connection."""
         if line.sid in link.withdrawn:
-            self._tasks.heard_of_withdrawn(host.uid, line)
+            self._tasks.handle_withdrawn_message(host.uid, line)
         else:
-            self._tasks.heard(host.uid, line)
+            self._tasks.handle_message(host.uid, line)
 
     # Running tasks
 
@@ -435,10 +435,10 @@
         """Close idle connections, check hosts that run tasks, and reconnect where needed. Called periodically."""
         now = self.loop.now()
         # Tasks that owners have handed back, on hosts that were never listed.
-        for uid in self._tasks.standing.keys() - self.hosts.keys():
-            self._tasks.lost(uid, "unlisted", before=self.loop.now() - health.SILENT_AFTER_MS)
+        for uid in self._tasks.placed.keys() - self.hosts.keys():
+            self._tasks.host_lost(uid, "unlisted", before=self.loop.now() - health.SILENT_AFTER_MS)
         for host in list(self.hosts.values()):
-            standing = host.uid in self._tasks.standing
+            standing = host.uid in self._tasks.placed
             for link in list(host.links):
                 idle = (
                     not link.open and now - link.last_used > self._idle_ms / 2 and (len(host.links) > 1 or not standing)
@@ -466,7 +466,7 @@
     def _release_silent_host(self, host: Host) -> None:
         """Release the tasks of a silent host, and have it end them should it come back. Its unused connections end."""
         now = self.loop.now()
-        sids = list(self._tasks.standing[host.uid])
+        sids = list(self._tasks.placed[host.uid])
         self._log.host(host.uid, "silent", heard=round(now - host.last_heard), late=round(self.loop.late_ms, 1))
         self._lose_tasks(host, "silent")
         host.pending_releases.update((sid, now + self._idle_ms) for sid in sids)
@@ -475,6 +475,6 @@
 
     def _lose_tasks(self, host: Host, why: str, before: float | None = None) -> None:
         """Release the owners of the host's tasks, or of those accepted before that time of the loop's clock, in ms."""
-        number = self._tasks.lost(host.uid, why, before)
+        number = self._tasks.host_lost(host.uid, why, before)
         if number:
             self._log("host_lost", host=host.uid, why=why, tasks=number)
--- a/tests/node/drawn_words.py
+++ b/tests/node/message_schedules.py
@@ -11,9 +11,9 @@
 
 from sprucepost.node.attempt import Attempt
 from sprucepost.node.jsonl import Line, MessageType
-from sprucepost.node.tasks import TAKEN_BACK_MS
+from sprucepost.node.tasks import WITHDRAWAL_REPLY_MS
 from sprucepost.placing.ledger import Outcome
-from tests.node.test_tasks import Around
+from tests.node.test_tasks import TaskHarness
 
 TASKS, SPAN_MS = 8, 6000.0
 OWED_MS = 1000.0  # by the protocol, from the host's release
@@ -45,15 +45,15 @@
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        self.around = Around()
-        self.loop = self.around.loop
+        self.harness = TaskHarness()
+        self.loop = self.harness.loop
         self.copies: dict[Attempt, Copy] = {}
         self.seen = 0
         self.told: list[tuple[float, str, str]] = []  # when, what and of which task clients have heard
         self.owed: list[tuple[float, str]] = []
         self.taken_back: dict[tuple[str, str], float] = {}  # when an attempt was last taken back, by task and host
         self.left: set[str] = set()  # tasks that their owner gave up or ended
-        self.around.give_up = self._give_up  # type: ignore[method-assign, assignment]
+        self.harness.withdraw = self._give_up  # type: ignore[method-assign, assignment]
 
     def play(self) -> list[str]:
         """Play it and return what the oracle objects to."""
@@ -67,17 +67,17 @@
         return self.faults
 
     def _ask(self, sid: str) -> None:
-        self.around.ask(sid)
+        self.harness.ask(sid)
         if self.rng.random() < 0.1:
             self.loop.call_later(self.rng.uniform(0.0, 2000.0), lambda: self._leave(sid))
 
     def _leave(self, sid: str) -> None:
         self.left.add(sid)
-        self.around.tasks.owner_released(sid)
+        self.harness.tasks.owner_cancelled(sid)
 
     def _watch(self) -> None:
         """Hosts read what the placer has written."""
-        events, self.seen = self.around.events[self.seen :], len(self.around.events)
+        events, self.seen = self.harness.events[self.seen :], len(self.harness.events)
         for event in events:
             if event[0] in ("answer", "refuse", "release"):
                 self.told.append((self.loop.time, event[0], event[1]))
@@ -101,7 +101,7 @@
         copy.cut = True
 
     def _answer_taking_back(self, copy: Copy, line: Line) -> None:
-        self.around.tasks.heard_of_withdrawn(copy.attempt.machine, line)
+        self.harness.tasks.handle_withdrawn_message(copy.attempt.machine, line)
 
     def _delay(self) -> float:
         return self.rng.uniform(0.3, 8.0)
@@ -115,7 +115,7 @@
         held = rng.random() < 0.5
         life = rng.uniform(1.0, 2000.0)
         if rng.random() < 0.4:  # it ends about when the placer takes it back
-            life = max(1.0, attempt.until - self.loop.time + rng.uniform(-10.0, 5.0))
+            life = max(1.0, attempt.deadline - self.loop.time + rng.uniform(-10.0, 5.0))
         answer_after = rng.uniform(50.0, 2500.0) if held else self._delay()
         own = not held or rng.random() < 0.4  # else that connection is of no use for other words
         self._say(attempt, MessageType.READY, answer_after, own=True, text="made")
@@ -144,19 +144,19 @@
 
     def _deliver(self, attempt: Attempt, line: Line, own: bool) -> None:
         """As ``Hosts`` does: by the connection that brings it."""
-        copy, tasks = self._copy(attempt), self.around.tasks
+        copy, tasks = self._copy(attempt), self.harness.tasks
         carried = own and copy.withdrawn_at is None and not copy.answered
         if line.type is MessageType.CLOSE and line.code not in (34, 47, 102):
             self._owe(copy, line, own)
         if carried and line.type is not MessageType.EVENT:
             copy.answered = True
-            tasks.answered(attempt, line)
+            tasks.handle_answer(attempt, line)
         elif carried:
             attempt.noted = True
         elif own and copy.withdrawn_at is not None:
-            tasks.heard_of_withdrawn(attempt.machine, line)
+            tasks.handle_withdrawn_message(attempt.machine, line)
         else:
-            tasks.heard(attempt.machine, line)
+            tasks.handle_message(attempt.machine, line)
         if line.type is MessageType.EVENT and copy.noted_at is None:
             copy.noted_at = self.loop.time
 
@@ -167,14 +167,17 @@
         seen = copy.withdrawn_at is None and (copy.answered or not own)
         if copy.withdrawn_at is not None and (line.code == 16 or self._stands(line.sid)):
             return  # that may answer our taking it back; or the client has its answer by a later attempt
-        lately = self.loop.time - self.taken_back.get((line.sid, copy.attempt.machine), -TAKEN_BACK_MS) < TAKEN_BACK_MS
+        lately = (
+            self.loop.time - self.taken_back.get((line.sid, copy.attempt.machine), -WITHDRAWAL_REPLY_MS)
+            < WITHDRAWAL_REPLY_MS
+        )
         if line.code == 16 and not own and lately:
             return  # that may answer our taking an earlier attempt back
         if seen or noted or line.attrs.get("note") in REASONS:
             self.owed.append((self.loop.time, copy.attempt.sid))
 
     def _stands(self, sid: str) -> bool:
-        entry = self.around.tasks.ledger.current(sid)
+        entry = self.harness.tasks.ledger.current(sid)
         return entry is not None and entry.outcome is Outcome.PLACED
 
     def _judge(self) -> None:
--- a/tests/node/platform.py
+++ b/tests/node/platform.py
@@ -236,7 +236,7 @@
         return Link(transport, binary.Decoder(), lambda link, message: None)
 
     def standing(self) -> int:
-        return sum(map(len, self.service.tasks.standing.values()))
+        return sum(map(len, self.service.tasks.placed.values()))
 
 
 def messages_for(owner: Link, sid: str) -> list[Message]:
--- a/tests/node/test_clients_that_left.py
+++ b/tests/node/test_clients_that_left.py
@@ -1,6 +1,6 @@
 """Clients that left: no attempt is sent more than 50 ms after the client's bytes lay in our kernel, half of the 100 allowed.
 
-Time is stepped (:mod:`tests.node.stepped`): a decision or a read takes as long as a test says, on any machine.
+Time is stepped (:mod:`tests.node.stepped_loop`): a decision or a read takes as long as a test says, on any machine.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from sprucepost.node.host import HostLink
 from sprucepost.node.jsonl import MessageType
 from tests.node.platform import Host, Link, Platform, run_on_platform, setup, wait_for_message
-from tests.node.stepped import SteppedLoop, all_lies_unread, lies_unread
+from tests.node.stepped_loop import SteppedLoop, wait_for_buffered_bytes, wait_until_readable
 from tests.node.test_crossings import OTHER, SIDS, Raw, deciding, opened, patient, release, warm
 from tests.wire.support import wait_for
 
@@ -96,7 +96,7 @@
             fd = owners._acceptor._listener.fd  # type: ignore[attr-defined]
             self.new = socket.create_connection(self.platform.service.config.listen)
             self.new.send(release(LEAVING))
-        lies_unread(fd)
+        wait_until_readable(fd)
         self.left_at = self.loop.time
         self.loop.time += BUSY_MS
 
@@ -136,7 +136,7 @@
 
 def in_the_queue(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """Behind others, one a batch, each of which costs as much."""
-    monkeypatch.setattr(tasks, "BATCH_MOST", 1)
+    monkeypatch.setattr(tasks, "MAX_NEW_TASKS_PER_BATCH", 1)
     at_its_offer(platform, LEAVING, 1, client.leave)
     client.other.send(b"".join(setup(sid, FIGURES=OTHER) for sid in SIDS[300:304]))
     client.ask()
@@ -160,7 +160,7 @@
         link.send(MessageType.CLOSE, line.sid, code=102)
         link.transport.flush()
         [ours] = [mine for mine in platform.service.hosts.hosts["s-1"].links if LEAVING in mine.open]
-        lies_unread(ours.transport._sock.fd)  # type: ignore[attr-defined]
+        wait_until_readable(ours.transport._sock.fd)  # type: ignore[attr-defined]
         client.leave()
 
     host.on_open = refuse
@@ -170,14 +170,14 @@
 
 def at_an_answer(platform: Platform, sid: str, call: Callable[[], None]) -> None:
     """Call it once a host has answered that task, before what waits for its connection is looked at."""
-    real = platform.service.tasks.answered
+    real = platform.service.tasks.handle_answer
 
     def answered(attempt: Attempt, line: jsonl.Line) -> None:
         real(attempt, line)
         if attempt.sid == sid:
             call()
 
-    platform.service.tasks.answered = answered  # type: ignore[method-assign]
+    platform.service.tasks.handle_answer = answered  # type: ignore[method-assign]
 
 
 def for_a_connection(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
@@ -194,7 +194,7 @@
     for sid in busy:
         client.other.send(setup(sid, FIGURES=OTHER))
     ours = platform.service.hosts.hosts["s-1"]
-    yield from wait_for(lambda: len(halves) == 2 and all(link.decoder.waiting for link in ours.links))
+    yield from wait_for(lambda: len(halves) == 2 and all(link.decoder.buffered_bytes for link in ours.links))
     host.on_open = lambda link, line: None
     client.ask()
     yield from wait_for(lambda: len(ours.waiting) == 1)
@@ -299,10 +299,10 @@
         yield from warm(platform, SIDS[0])
         client = Client(platform, loop, way)
         yield from client.known()
-        platform.service.leave()
+        platform.service.begin_shutdown()
         yield from waits(platform, host, client, monkeypatch)
         assert client.left_at is not None
-        yield from wait_for(lambda: platform.service.ended, 10_000)
+        yield from wait_for(lambda: platform.service.finished, 10_000)
         assert not attempts.late(LEAVING, client.left_at) and platform.service.counters["given_up"] == 1
         client.close()
 
@@ -409,7 +409,7 @@
         raw.sock.setblocking(True)
         raw.sock.sendall(data)
         raw.sock.setblocking(False)
-        all_lies_unread(sock, len(data))
+        wait_for_buffered_bytes(sock, len(data))
         client.left_at = platform.loop.now()
         assert isinstance(platform.loop, SteppedLoop)
         platform.loop.time += BUSY_MS
@@ -429,7 +429,7 @@
         client = Client(platform, loop, "give-up")
         yield from client.known()
         loud = client.other.taken(platform)
-        loud.whose = "127.0.0.2"  # as if it called from another host
+        loud.owner_address = "127.0.0.2"  # as if it called from another host
         rest, reads, take = bytearray(), [0], loud.transport.on_data
 
         def flood(data: bytes = b"") -> None:
@@ -456,9 +456,9 @@
     def busy(platform: Platform, client: Client) -> None:
         link = client.other.taken(platform)
         fd = link.transport._sock.fd  # type: ignore[attr-defined]
-        platform.service.owners.drop(link, "idle")
+        platform.service.owners.disconnect(link, "idle")
         client.other.send(release(LEAVING))
-        lies_unread(fd)
+        wait_until_readable(fd)
         client.left_at = platform.loop.now()
         assert isinstance(platform.loop, SteppedLoop)
         platform.loop.time += BUSY_MS
@@ -497,12 +497,12 @@
         assert isinstance(platform.loop, SteppedLoop)
 
         def reading() -> None:
-            platform.loop.reading = lambda: None  # type: ignore[attr-defined]
+            platform.loop.on_read = lambda: None  # type: ignore[attr-defined]
             client.leave()
 
-        platform.loop.reading = reading
+        platform.loop.on_read = reading
         noise[0].send(binary.encode(Kind.TEST, "0" * 16, [(Code.CAUSE, b"\0")]))
-        lies_unread(noise[0].taken(platform).transport._sock.fd)  # type: ignore[attr-defined]
+        wait_until_readable(noise[0].taken(platform).transport._sock.fd)  # type: ignore[attr-defined]
 
     placed_while(tmp_path, monkeypatch, busy, prepare)
     noise[0].close()
@@ -555,8 +555,8 @@
                 closed.append(True)
                 fd = gone.taken(platform).transport._sock.fd  # type: ignore[attr-defined]
                 gone.close()
-                lies_unread(fd)
-            elif any(isinstance(event, i.Gone) for event in events) and client.left_at is None:
+                wait_until_readable(fd)
+            elif any(isinstance(event, i.RequestAbandoned) for event in events) and client.left_at is None:
                 client.leave()
 
         deciding(platform, act)
@@ -590,10 +590,10 @@
 
         client.ask()
         noise.send(test)
-        loop.reading = reading
+        loop.on_read = reading
         yield from wait_for(lambda: platform.service.counters["dispatch_held"] >= 3)
         assert not attempts.times(LEAVING)
-        loop.reading = lambda: None
+        loop.on_read = lambda: None
         yield from wait_for(lambda: attempts.times(LEAVING))
         noise.close()
         client.close()
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -207,14 +207,14 @@
             deciding(platform, lambda events, actions: once(actions, left, done))
             owner.send(setup(SIDS[1]))
         elif state == "queued":
-            monkeypatch.setattr(tasks, "BATCH_MOST", 1)
+            monkeypatch.setattr(tasks, "MAX_NEW_TASKS_PER_BATCH", 1)
             mine = [n for n in range(4, 10)]
             deciding(platform, lambda events, actions: once(actions, left, done))
             other.send(b"".join(setup(SIDS[n], FIGURES=OTHER) for n in mine))
             owner.send(setup(SIDS[1], FIGURES=OTHER))
         elif state == "held":
             platform.bulletin.publish(first.entry(state="DRAINING"))
-            yield from wait_for(lambda: "s-1" in platform.service.tasks.closed)
+            yield from wait_for(lambda: "s-1" in platform.service.tasks.closed_hosts)
             owner.send(setup(SIDS[1]))
             yield from wait_for(lambda: platform.service.tasks.ledger.open == 1)
             deciding(platform, lambda events, actions: once(actions, left, done))
@@ -297,7 +297,7 @@
         host, owner = yield from begin(platform)
         other = Raw(platform)
         other.send(release(SIDS[1]) + release(SIDS[2]))
-        yield from wait_for(lambda: len(platform.service.tasks.early) == 2)
+        yield from wait_for(lambda: len(platform.service.tasks.early_messages) == 2)
         owner.transport.write(setup(SIDS[1]))
         owner.transport.write(setup(SIDS[2], FIGURES="cores:1;memory:2;service:aa;at:s-1"))
         yield from wait_for(lambda: platform.service.counters["unwanted"] == 2)
@@ -444,7 +444,7 @@
         yield from wait_for(lambda: all(messages_for(loud, sid) for sid in SIDS[1:61]))
         assert (yield from quiet.message()).kind == Kind.ANSWER and len(opened(host)) == 62
         asked = [batch for batch in batches if batch]
-        assert max(map(len, asked)) <= tasks.BATCH_MOST and sum(map(len, asked)) == 61
+        assert max(map(len, asked)) <= tasks.MAX_NEW_TASKS_PER_BATCH and sum(map(len, asked)) == 61
         assert "quiet" in asked[0] + asked[1]
         quiet.sock.close()
 
@@ -456,7 +456,7 @@
         first, second = platform.host("s-1"), platform.host("s-2")
         platform.start(settings=spread())
         owner, done = Raw(platform), list[bool]()
-        place = platform.service.hosts.place
+        place = platform.service.hosts.send_offer
 
         def placing(attempt: Attempt) -> None:
             place(attempt)
@@ -464,11 +464,11 @@
                 done.append(True)
                 owner.send(setup(SIDS[1], FIGURES=SPREAD + f";at:{attempt.machine}"))
 
-        platform.service.hosts.place = placing  # type: ignore[method-assign]
+        platform.service.hosts.send_offer = placing  # type: ignore[method-assign]
         owner.send(setup(SIDS[0]))
         yield from wait_for(lambda: done and opened(first, second))
         yield from sleep(50)
-        [held] = platform.service.tasks.standing.keys() - {
+        [held] = platform.service.tasks.placed.keys() - {
             m for m in ("s-1", "s-2") if SIDS[0] in opened(platform.hosts[m])
         }
         assert platform.service.counters["recalled"] == 1 and SIDS[0] not in opened(platform.hosts[held])
@@ -522,7 +522,7 @@
 
         def wrong(sid: str, kind: str) -> Any:
             mine = [message.kind for message in got if message.task == sid]
-            stands = sid in platform.service.tasks.standing.get("s-1", {})
+            stands = sid in platform.service.tasks.placed.get("s-1", {})
             let_go = sum(line.sid == sid for line in host.lines(MessageType.CLOSE))
             expected = {
                 "at": stands and not mine,
@@ -597,7 +597,7 @@
         yield from wait_for(lambda: SIDS[1] in opened(host) and platform.standing() == 2)
         yield from sleep(20)
         link = owner.taken(platform)
-        platform.service.owners.drop(link, "idle")
+        platform.service.owners.disconnect(link, "idle")
         owner.send(setup(SIDS[2]))  # crosses it
         yield from sleep(30)
         owner.send(setup(SIDS[3]))  # would find a reset connection, if the first had found a closed one
@@ -936,7 +936,7 @@
             yield from wait_for(lambda: platform.service.counters["given_up"] == 1)
         else:
             platform.bulletin.publish(host.entry(state="DRAINING"))
-            yield from wait_for(lambda: "s-1" in platform.service.tasks.closed)
+            yield from wait_for(lambda: "s-1" in platform.service.tasks.closed_hosts)
         link.send(MessageType.READY, SIDS[1], text="late")
         yield from sleep(50)
         if crosses == "its host's drain":
@@ -1182,7 +1182,9 @@
         asked = len(platform.bulletin.requests)
         platform.bulletin.publish(first.entry(state="DRAINING"))
         platform.service.feed.change_address(now)
-        yield from wait_for(lambda: len(platform.bulletin.requests) > asked and "s-1" in platform.service.tasks.closed)
+        yield from wait_for(
+            lambda: len(platform.bulletin.requests) > asked and "s-1" in platform.service.tasks.closed_hosts
+        )
         owner = yield from platform.owner()
         owner.transport.write(setup(SIDS[0]))
         yield from wait_for_message(owner, SIDS[0], Kind.ANSWER)
--- a/tests/node/test_service.py
+++ b/tests/node/test_service.py
@@ -434,7 +434,7 @@
 ) -> None:
     """Tasks at a host that no list names stayed for ever; an owner whose reads all end within a message was cut."""
     monkeypatch.setattr(health, "SILENT_AFTER_MS", 900.0)
-    monkeypatch.setattr(owners, "UNPROVEN_MS", 400.0)
+    monkeypatch.setattr(owners, "UNPROVEN_TIMEOUT_MS", 400.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
 
     def body(platform: Platform) -> Co[None]:
@@ -450,7 +450,7 @@
             busy.transport.write(data[max(0, at - 5) : at + step - 5])
             yield from sleep(100)
         assert not busy.ended and len(busy.received) >= 10
-        yield from wait_for(lambda: "s-none" not in platform.service.tasks.standing, 1500)
+        yield from wait_for(lambda: "s-none" not in platform.service.tasks.placed, 1500)
         assert platform.service.counters["lost_unlisted"] == 1
 
     run_on_platform(tmp_path, body)
@@ -469,7 +469,7 @@
         newer = yield from platform.owner()
         yield from placed(platform, newer, SIDS[1])
         assert len(platform.service.owners.links) <= 32 and not usual.ended
-        yield from wait_for(lambda: len(platform.service.owners.links) == 2, owners.UNPROVEN_MS + 1000)
+        yield from wait_for(lambda: len(platform.service.owners.links) == 2, owners.UNPROVEN_TIMEOUT_MS + 1000)
         for transport in idle:
             transport.abort()
 
@@ -480,7 +480,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Soak, seed 4711: a connection was closed as idle though its task stood, and the release found none."""
-    monkeypatch.setattr(owners, "UNPROVEN_MS", 200.0)
+    monkeypatch.setattr(owners, "UNPROVEN_TIMEOUT_MS", 200.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
     idle = settings(policy_limits={**settings()["policy_limits"], "keepalive": 400.0})
 
@@ -522,7 +522,7 @@
         ends(SIDS[2])
         yield from wait_for_message(again, SIDS[2], Kind.RELEASE)
         yield from wait_for(lambda: again.ended, 1500)
-        assert not platform.service.owners.held
+        assert not platform.service.owners.placed_by_owner
 
     run_on_platform(tmp_path, body)
 
@@ -548,17 +548,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Dropped within the batch, its other set-ups were over when the module's answers to them came."""
-    monkeypatch.setattr(owners, "UNREAD_MOST", 0)
+    monkeypatch.setattr(owners, "MAX_UNREAD_BYTES", 0)
 
     def body(platform: Platform) -> Co[None]:
         platform.bulletin.publish(everything=True)
         platform.start()
         owner = yield from platform.owner()
         # With so little time left each is refused in the batch in which the module hears of it.
-        owner.transport.write(b"".join(setup(sid, LEFT="3") for sid in SIDS[: tasks.BATCH_MOST]))
+        owner.transport.write(b"".join(setup(sid, LEFT="3") for sid in SIDS[: tasks.MAX_NEW_TASKS_PER_BATCH]))
         yield from wait_for(lambda: owner.ended)
         assert platform.service.counters["owner_unread"] == 1 and platform.service.tasks.ledger.open == 0
-        assert platform.service.counters["refused"] == tasks.BATCH_MOST
+        assert platform.service.counters["refused"] == tasks.MAX_NEW_TASKS_PER_BATCH
 
     run_on_platform(tmp_path, body)
 
@@ -570,7 +570,7 @@
     def body(platform: Platform) -> Co[None]:
         first, second = platform.host("s-1"), platform.host("s-2")
         platform.start()
-        seen = platform.service.tasks.closed
+        seen = platform.service.tasks.closed_hosts
         yield from wait_for(lambda: platform.bulletin.requests)
         platform.bulletin.mode = "breaks"
         platform.bulletin.publish(first.entry(state="DRAINING"))
@@ -625,14 +625,14 @@
 def test_a_stop_answers_all_that_was_taken_and_refuses_what_comes_late(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(service, "LEAVE_MS", 300.0)
+    monkeypatch.setattr(service, "SHUTDOWN_ADMIT_MS", 300.0)
 
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start()
         owner = yield from platform.owner()
         yield from placed(platform, owner, SIDS[0])
-        platform.service.leave()
+        platform.service.begin_shutdown()
         owner.transport.write(binary.encode(Kind.TEST, SIDS[9], [(Code.CAUSE, b"\0")]))
         assert (yield from wait_for_message(owner, SIDS[9], Kind.TESTED)).cause == 0
         yield from placed(platform, owner, SIDS[1])
@@ -642,12 +642,12 @@
         host.on_open = lambda link, line: slow.append(link)
         owner.transport.write(setup(SIDS[3]))
         yield from sleep(400)
-        assert not platform.service.ended
+        assert not platform.service.finished
         owner.transport.write(setup(SIDS[4]))
         assert (yield from wait_for_message(owner, SIDS[4], Kind.RELEASE)).cause == 34
         slow[-1].send(MessageType.READY, SIDS[3], text="late")
         yield from wait_for_message(owner, SIDS[3], Kind.ANSWER)
-        yield from wait_for(lambda: platform.service.ended, 1000)
+        yield from wait_for(lambda: platform.service.finished, 1000)
         assert not [line for line in host.lines(MessageType.CLOSE) if line.sid != SIDS[3]], "standing tasks run on"
 
     run_on_platform(tmp_path, body)
