--- a/sprucepost/node/bulletin.py
+++ b/sprucepost/node/bulletin.py
@@ -1,10 +1,12 @@
-"""The bulletin's events: bytes to the module's list. No I/O.
+"""The bulletin's events: from JSON to the decision module's list of machines. No I/O.
 
-Events are numbered; a document holds those after the number that was asked for. What is held is the last event taken
-whole and each host's entry. A repeated number is passed over; a number that skips some shows that something was missed,
-and the whole list is asked for again. What comes before an event that cannot be taken counts: it is told once only.
-An event that tells the whole list overrides those before it. Where each one does, a document with fifty of them for a
-thousand hosts is 9 MB; so what is overridden is forgotten while it is parsed, and is not read.
+Events are numbered, and a document holds the events after the number that was asked for. This side keeps the number of the
+last event applied and the entry of each host. An event with a number at or below that one is skipped. A gap in the numbers
+shows that an event is missing, and the whole list is requested again. Events before one that cannot be applied count,
+since they are sent only once.
+
+An event with a whole list overrides the events before it. A document with fifty whole lists of a thousand hosts is 9 MB,
+so overridden lists are dropped while the document is parsed.
 """
 
 from __future__ import annotations
@@ -25,7 +27,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """What a document has changed: the list for the module, hosts' addresses, and entries that could not be read."""
+    """What a document has changed: the list for the decision module, the hosts' addresses, and one text for each event or
+    entry that could not be read."""
 
     list: i.MachineList
     addresses: dict[str, Address]
@@ -33,13 +36,15 @@
 
 
 def parse(data: bytes | str) -> Any:
-    """A JSON document; of events in it that a later whole list overrides only the numbers are kept. ValueError or
-    RecursionError where it is none."""
+    """Parse a JSON document. Events that a later whole list overrides keep only their numbers.
+
+    Raises ValueError or RecursionError where it is not JSON.
+    """
     earlier: list[dict[str, Any]] = []
 
-    def forget_overridden(found: dict[str, Any]) -> dict[str, Any]:
+    def drop_overridden(found: dict[str, Any]) -> dict[str, Any]:
         if _is_event(found):
-            if _is_whole_list(found):
+            if _is_full_list(found):
                 for event in earlier:
                     if event["no"] < found["no"]:
                         event.pop("roster", None)
@@ -47,60 +52,60 @@
             earlier.append(found)
         return found
 
-    return json.loads(data, object_hook=forget_overridden)
+    return json.loads(data, object_hook=drop_overridden)
 
 
 def _is_event(item: Any) -> bool:
-    return isinstance(item, dict) and _whole(item.get("no")) and isinstance(item.get("roster"), dict)
+    return isinstance(item, dict) and _is_integer(item.get("no")) and isinstance(item.get("roster"), dict)
 
 
-def _is_whole_list(event: dict[str, Any]) -> bool:
+def _is_full_list(event: dict[str, Any]) -> bool:
     return event["roster"].get("all") is True and isinstance(event["roster"].get("targets"), list)
 
 
 class Bulletin:
-    """The events taken so far."""
+    """The state after the events applied so far. ``zones`` and ``kinds`` give the indexes of their names."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[i.MachineKind, ...]) -> None:
         self._zones = {name: n for n, name in enumerate(zones)}
         self._kinds = {kind.name: n for n, kind in enumerate(kinds)}
-        self.last_number = 0  # the number of the last event taken whole
-        self.entries: dict[str, i.MachineEntry] = {}  # those not gone
+        self.last_number = 0  # the number of the last event applied
+        self.entries: dict[str, i.MachineEntry] = {}  # by host; without those that have gone
 
     def apply_json(self, data: bytes | str) -> ListUpdate | None:
-        """Take a document; None where it tells nothing new, Malformed where it cannot be read."""
+        """Apply a document; None where it holds nothing new. Raises Malformed where it cannot be read."""
         try:
             return self.apply(parse(data))
         except (ValueError, RecursionError):
             raise Malformed("not JSON") from None
 
     def apply(self, document: Any) -> ListUpdate | None:
-        """Likewise, of a document that has been parsed."""
+        """Apply a document that has been parsed; see :meth:`apply_json`."""
         items = document.get("items") if isinstance(document, dict) else None
-        if not isinstance(items, list) or not _whole(document.get("no")):
+        if not isinstance(items, list) or not _is_integer(document.get("no")):
             raise Malformed("no list of events")
         changed: dict[str, i.MachineEntry] = {}
         addresses: dict[str, Address] = {}
         faults: list[str] = []
-        full = taken = False
-        stopped = ""
+        full = applied = False
+        stop_reason = ""
         for item in items[self._start(items) :]:
             number, roster = (item.get("no"), item.get("roster")) if isinstance(item, dict) else (None, None)
-            if not _whole(number):
-                stopped = "an event without a number"
+            if not _is_integer(number):
+                stop_reason = "an event has no number"
                 break
             if number <= self.last_number:
                 continue
             listed = roster.get("targets") if isinstance(roster, dict) else []
             if not isinstance(listed, list):
-                stopped = f"event {number} has no list of hosts"
+                stop_reason = f"event {number} has no list of hosts"
                 break
-            everything = isinstance(roster, dict) and roster.get("all") is True
-            if number > self.last_number + 1 and not everything:
-                stopped = f"event {number} after {self.last_number}: asking for all of them"
-                self.last_number = 0  # what lies between was never told: the whole list comes first of all events
+            is_full = isinstance(roster, dict) and roster.get("all") is True
+            if number > self.last_number + 1 and not is_full:
+                stop_reason = f"event {number} after {self.last_number}: requesting the whole list"
+                self.last_number = 0  # the events between are missing; event 1 is a whole list
                 break
-            if everything:
+            if is_full:
                 full, changed, addresses = True, {}, {}
                 self.entries = {}
             for raw in listed:
@@ -117,28 +122,29 @@
                 else:
                     self.entries[entry.machine] = entry
             self.last_number = number
-            taken = True
-        if stopped and not taken:
-            raise Malformed(stopped)
-        if stopped:
-            faults.append(stopped)
+            applied = True
+        if stop_reason and not applied:
+            raise Malformed(stop_reason)
+        if stop_reason:
+            faults.append(stop_reason)
         if not changed and not full and not faults:
             return None
         kind = i.ListKind.FULL if full else i.ListKind.DELTA
         return ListUpdate(i.MachineList(kind, tuple(changed.values())), addresses, tuple(faults))
 
     def _start(self, items: list[Any]) -> int:
-        """Where the last whole list that is new stands in the list of events; 0 where there is none."""
-        whole = (
+        """The index of the last new whole list among the events; 0 where there is none."""
+        full_list_indexes = (
             n
             for n in range(len(items) - 1, -1, -1)
-            if _is_event(items[n]) and _is_whole_list(items[n]) and items[n]["no"] > self.last_number
+            if _is_event(items[n]) and _is_full_list(items[n]) and items[n]["no"] > self.last_number
         )
-        return next(whole, 0)
+        return next(full_list_indexes, 0)
 
     def _entry(self, raw: Any) -> tuple[i.MachineEntry, Address | None]:
+        """A host's entry, and its address unless it has gone; ValueError says what is wrong with it."""
         if not isinstance(raw, dict) or not isinstance(raw.get("uid"), str) or not raw["uid"]:
-            raise ValueError("a host without an id")
+            raise ValueError("a host has no id")
         uid = raw["uid"]
         state = STATES.get(str(raw.get("state")))
         if state is None:
@@ -151,31 +157,33 @@
             self._kinds.get(str(raw.get("model"))),
             raw.get("pod_group"),
         )
-        if zone is None or kind is None or not _whole(cell):
-            raise ValueError(f"{uid}: unknown place or kind")
-        started, room = raw.get("boot_ms", 0), raw.get("open", [0.0, 0.0])
-        if not _finite(started) or not (isinstance(room, list) and len(room) == 2 and all(map(_finite, room))):
-            raise ValueError(f"{uid}: its start or its room is no number")
-        entry = i.MachineEntry(uid, state, zone, cell, kind, float(started), float(room[0]), float(room[1]))
+        if zone is None or kind is None or not _is_integer(cell):
+            raise ValueError(f"{uid}: unknown zone, cell or machine kind")
+        started, free = raw.get("boot_ms", 0), raw.get("open", [0.0, 0.0])
+        if not _is_finite_number(started) or not (
+            isinstance(free, list) and len(free) == 2 and all(map(_is_finite_number, free))
+        ):
+            raise ValueError(f"{uid}: start time or free resources are not numbers")
+        entry = i.MachineEntry(uid, state, zone, cell, kind, float(started), float(free[0]), float(free[1]))
         return entry, address_of(raw.get("endpoint"), uid)
 
 
 def address_of(text: Any, whose: str) -> Address:
-    """``host:port``, the host an IPv4 address in numbers; ValueError naming whose it is."""
+    """Parse ``host:port``, where the host is a numeric IPv4 address; the ValueError names ``whose`` address it is."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not (port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65536):
-        raise ValueError(f"{whose}: {text!r} is no address")
-    try:  # a name would be looked up, which holds the whole process up, and some names cannot even be asked for
+        raise ValueError(f"{whose}: {text!r} is not an address")
+    try:  # resolving a name would block the whole process, and some names cannot be resolved at all
         return str(ipaddress.IPv4Address(host)), int(port)
     except ValueError:
-        raise ValueError(f"{whose}: {text!r} is no address") from None
+        raise ValueError(f"{whose}: {text!r} is not an address") from None
 
 
-def _whole(value: Any) -> TypeGuard[int]:
+def _is_integer(value: Any) -> TypeGuard[int]:
     return isinstance(value, int) and not isinstance(value, bool) and abs(value) < 2**53
 
 
-def _finite(value: Any) -> TypeGuard[float]:
+def _is_finite_number(value: Any) -> TypeGuard[float]:
     return (
         isinstance(value, (int, float)) and not isinstance(value, bool) and abs(value) < 2**53 and math.isfinite(value)
     )
--- a/sprucepost/node/config.py
+++ b/sprucepost/node/config.py
@@ -1,4 +1,4 @@
-"""What a placer is told when it starts, and again at SIGHUP: the environment names a file, and the file says the rest."""
+"""A placer's configuration: a JSON file named by the environment, read at the start and again at SIGHUP."""
 
 from __future__ import annotations
 
@@ -13,61 +13,61 @@
 from sprucepost.loop import is_shortage
 from sprucepost.node.bulletin import Address, address_of, parse
 
-FILE_MAX_BYTES = 16 * 1024 * 1024
+MAX_FILE_BYTES = 16 * 1024 * 1024
 
 
 class ConfigError(Exception):
-    """One plain line: what is wrong, and where."""
+    """The configuration cannot be used; the message is one line that says what is wrong, and where."""
 
 
 class ConfigUnavailable(ConfigError):
-    """The system could not open or read the file just now: another try may succeed."""
+    """The system could not open or read the file this time; a retry may succeed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the platform gives the process."""
+    """The resources that the platform gives the process."""
 
-    memory_mb: float
-    sockets: int
+    memory_mb: float  # MiB
+    sockets: int  # open descriptors
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One reading of the file."""
+    """The content of the file, checked; times are in ms."""
 
     name: str
     listen: Address
     seed: int
     limits: Limits
     bulletin: Address
-    known: Any
+    known: Any  # a bulletin document with the hosts known at the start; None without one
     settings: i.Settings
-    report_fields: tuple[str, ...]  # what a load report's names mean, in the module's words; "" for nothing
-    report_names: tuple[str, ...]
-    connect_ms: float
-    idle_ms: float
+    report_fields: tuple[str, ...]  # of the decision module, one for each of report_names; "" for unknown names
+    report_names: tuple[str, ...]  # the fields of a host's load report
+    connect_ms: float  # timeout for opening a connection
+    idle_ms: float  # after which an unused connection is closed
 
 
 def path_from(environment: Mapping[str, str]) -> Path:
-    """Where the file is."""
+    """The path of the configuration file; ConfigError where the environment names none."""
     if not environment.get("BALANCER_CONFIG"):
         raise ConfigError("BALANCER_CONFIG: not set")
     return Path(environment["BALANCER_CONFIG"])
 
 
 def read_config(environment: Mapping[str, str]) -> Config:
-    """The configuration as the file has it now; ConfigError where it cannot be used."""
+    """Read the file. Raises ConfigError where it cannot be used, ConfigUnavailable where a retry may succeed."""
     path = path_from(environment)
     try:
         with path.open("rb") as file:
-            data = file.read(FILE_MAX_BYTES + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        passing = is_shortage(error) or error.errno in (errno.EIO, errno.EINTR)
-        kind = ConfigUnavailable if passing else ConfigError
+        transient = is_shortage(error) or error.errno in (errno.EIO, errno.EINTR)
+        kind = ConfigUnavailable if transient else ConfigError
         raise kind(f"{path}: {error.strerror}") from None
-    if len(data) > FILE_MAX_BYTES:
-        raise ConfigError(f"{path}: longer than {FILE_MAX_BYTES} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise ConfigError(f"{path}: longer than {MAX_FILE_BYTES} bytes")
     try:
         raw = parse(data)
     except (ValueError, RecursionError) as error:
@@ -81,6 +81,7 @@
 
 
 def _config(raw: dict[str, Any]) -> Config:
+    """Check the parsed file, with defaults for what it leaves out."""
     settings = raw.get("settings")
     if not isinstance(settings, dict):
         raise ValueError("settings: missing")
--- a/sprucepost/node/descriptors.py
+++ b/sprucepost/node/descriptors.py
@@ -1,15 +1,16 @@
-"""The process's file descriptors: how many connections there may be, and which of them ends first where none is left.
+"""The budget of file descriptors: how many connections there may be, and which one closes first when none is left.
 
-Connections of three sorts share what the process does not need itself. A part of it is kept for closes that linger (a
-close waits for the peer's end, see :class:`~sprucepost.loop.Transport`); closes may use more than that as long as nobody
-else does, and those that have lasted longest end at once when the descriptor of one is wanted. So no connection is
-opened or taken without a descriptor, and one is always left for discovery and for reading the configuration.
+Connections to clients, connections to hosts and lingering closes share the descriptors that the process does not need
+itself. A lingering close waits for the peer's end (see :class:`~sprucepost.loop.Transport`). A part of the descriptors is
+reserved for them; they may use more while nobody else needs it, and the oldest are cut off when a descriptor is wanted. So
+no connection is opened or accepted without a descriptor, and one is always left for discovery and for reading the
+configuration.
 
 ============================== ==========================================================================
-descriptors                    for
+descriptors                    used for
 ============================== ==========================================================================
-``OWN``                        the process itself
-a ``CLOSING_PART``'th of all   closes that linger, and more where connections leave it
+``OWN_DESCRIPTORS``            the process itself
+1 / ``CLOSING_DIVISOR`` of all lingering closes, which may use more while connections do not need it
 the others                     connections to clients and hosts
 ============================== ==========================================================================
 """
@@ -21,49 +22,49 @@
 
 from sprucepost.loop import Transport
 
-OWN = 12
-"""Three standard streams, three of the loop, the listener, discovery, the configuration's file, a connection that has been
-accepted and not been decided on, and two that whoever started the process may have left open."""
-OWN_PART = 8  # of a limit too small for that, the part that is kept
-CLOSING_PART = 16
-SHARE_PART = 3  # the part that connections to hosts, and clients' connections, may have whatever the others want
+OWN_DESCRIPTORS = 12
+"""Three standard streams, three of the loop, the listener, discovery, the configuration file, one connection that is
+accepted and not decided on yet, and two that the parent process may have left open."""
+OWN_DIVISOR = 8  # with a limit too small for that, the process keeps this share of it
+CLOSING_DIVISOR = 16
+SHARE_DIVISOR = 3  # clients and hosts each have this share of the limit guaranteed
 
 
 def descriptor_limit(configured: int) -> int:
-    """How many descriptors there may be: as the configuration says, and no more than the system grants."""
-    granted, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return configured if granted == resource.RLIM_INFINITY else min(configured, granted)
+    """The number of descriptors to use: as configured, but no more than the system allows."""
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    return configured if soft_limit == resource.RLIM_INFINITY else min(configured, soft_limit)
 
 
 class Descriptors:
-    """``limit`` descriptors; ``connections`` counts those connections that are not ending."""
+    """Divides ``limit`` descriptors; ``connections`` returns the number of connections without those that are closing."""
 
     def __init__(self, limit: int, connections: Callable[[], int]) -> None:
         self._connections = connections
-        self.guaranteed_share = limit // SHARE_PART
-        self._shared = limit - min(OWN, limit // OWN_PART)
-        self._most = self._shared - limit // CLOSING_PART
-        self._closing: dict[Transport, None] = {}  # in the order in which they began to close
+        self.guaranteed_share = limit // SHARE_DIVISOR
+        self._for_connections_and_closes = limit - min(OWN_DESCRIPTORS, limit // OWN_DIVISOR)
+        self._max_connections = self._for_connections_and_closes - limit // CLOSING_DIVISOR
+        self._closing: dict[Transport, None] = {}  # oldest close first
 
     @property
     def closing(self) -> int:
-        """How many connections hold a descriptor while they end."""
+        """The number of lingering closes."""
         return len(self._closing)
 
     def available(self) -> int:
-        """How many connections there may be more; below zero where there are too many."""
-        return self._most - self._connections()
+        """How many more connections there may be; negative where there are too many."""
+        return self._max_connections - self._connections()
 
     def close(self, transport: Transport) -> None:
-        """A connection that counts no longer is closed; while its close lingers, its descriptor is accounted for here."""
+        """Close a connection that ``connections`` counts no longer; a lingering close is counted here until it is done."""
         transport.close()
         if not transport.gone:
             self._closing[transport] = None
             transport.on_gone = lambda: self._forget(transport)
 
     def reclaim(self) -> None:
-        """Before a connection is added: end the longest closes until there is a descriptor for it."""
-        while self._closing and self._connections() + len(self._closing) >= self._shared:
+        """Cut off the oldest lingering closes until one more connection fits. Called before a connection is opened."""
+        while self._closing and self._connections() + len(self._closing) >= self._for_connections_and_closes:
             next(iter(self._closing)).cut()
 
     def _forget(self, transport: Transport) -> None:
