--- a/sprucepost/node/binary.py
+++ b/sprucepost/node/binary.py
@@ -1,4 +1,4 @@
-"""Owners' messages: a length, a type, a task's id and parameters, all big-endian. No I/O."""
+"""The codec of messages to and from owners: length, type, task id and parameters, all big-endian. No I/O."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from sprucepost.node.framing import MAX_MESSAGE_BYTES, Framing, Malformed
 
-_HEAD = struct.Struct(">HBQ")
-_PARAMETER = struct.Struct(">BH")
-_LENGTH = 2
+_HEADER = struct.Struct(">HBQ")
+_PARAMETER_HEADER = struct.Struct(">BH")
+_LENGTH_BYTES = 2  # of the length field, which does not count itself
 
 
 class Kind(IntEnum):
-    """The types of messages."""
+    """Message types."""
 
     SETUP = 1
     PROGRESS = 6
@@ -29,7 +29,7 @@
 
 
 class Code(IntEnum):
-    """The parameters' codes."""
+    """Parameter codes."""
 
     CLASS = 180
     LEFT = 183
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message; ``task`` is its id as 16 hex digits in small letters."""
+    """One message; ``task`` is the task's id, 16 hex digits in lower case, and ``parameters`` are by their code."""
 
     kind: int
     task: str
@@ -52,36 +52,36 @@
 
     @property
     def cause(self) -> int | None:
-        """The cause, where there is one of one byte."""
+        """The cause; None where there is none, or not one of a single byte."""
         value = self.parameters.get(Code.CAUSE, b"")
         return value[0] if len(value) == 1 else None
 
 
 class Decoder(Framing[Message]):
-    """An owner's bytes."""
+    """Decodes what an owner sends."""
 
     def _message_end(self, data: bytearray, at: int) -> int | None:
-        if len(data) - at < _LENGTH:
+        if len(data) - at < _LENGTH_BYTES:
             return None
-        length = int.from_bytes(data[at : at + _LENGTH], "big")
-        if not _HEAD.size - _LENGTH <= length <= MAX_MESSAGE_BYTES - _LENGTH:
-            raise Malformed(f"a message of {length} bytes")
-        end = at + _LENGTH + length
+        length = int.from_bytes(data[at : at + _LENGTH_BYTES], "big")
+        if not _HEADER.size - _LENGTH_BYTES <= length <= MAX_MESSAGE_BYTES - _LENGTH_BYTES:
+            raise Malformed(f"message length {length} is out of range")
+        end = at + _LENGTH_BYTES + length
         return end if end <= len(data) else None
 
     def _parse(self, data: bytes) -> Message:
-        return _message(data)
+        return _parse(data)
 
 
-def _message(data: bytes) -> Message:
-    _, kind, task = _HEAD.unpack_from(data)
+def _parse(data: bytes) -> Message:
+    _, kind, task = _HEADER.unpack_from(data)
     parameters: dict[int, bytes] = {}
-    at = _HEAD.size
+    at = _HEADER.size
     while at < len(data):
-        if at + _PARAMETER.size > len(data):
-            raise Malformed("a parameter is cut")
-        code, length = _PARAMETER.unpack_from(data, at)
-        at += _PARAMETER.size
+        if at + _PARAMETER_HEADER.size > len(data):
+            raise Malformed("parameter has no whole header")
+        code, length = _PARAMETER_HEADER.unpack_from(data, at)
+        at += _PARAMETER_HEADER.size
         if at + length > len(data):
             raise Malformed(f"parameter {code} is longer than its message")
         if code in parameters:
@@ -92,9 +92,9 @@
 
 
 def encode(kind: Kind, task: str, parameters: Iterable[tuple[Code, bytes]] = ()) -> bytes:
-    """One message; ValueError where it is longer than a message may be."""
-    body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in parameters)
-    size = _HEAD.size + len(body)
+    """Encode one message; ValueError where it is too long."""
+    body = b"".join(_PARAMETER_HEADER.pack(code, len(value)) + value for code, value in parameters)
+    size = _HEADER.size + len(body)
     if size > MAX_MESSAGE_BYTES:
-        raise ValueError(f"a message of {size} bytes")
-    return _HEAD.pack(size - _LENGTH, kind, int(task, 16)) + body
+        raise ValueError(f"message of {size} bytes is too long")
+    return _HEADER.pack(size - _LENGTH_BYTES, kind, int(task, 16)) + body
--- a/sprucepost/node/jsonl.py
+++ b/sprucepost/node/jsonl.py
@@ -1,4 +1,4 @@
-"""Hosts' messages: one JSON object a line. No I/O."""
+"""The codec of messages to and from hosts: one JSON object per line. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MessageType(StrEnum):
-    """The types of messages."""
+    """Message types, as in the field ``msg``."""
 
     OPEN = "open"
     TRYING = "trying"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One message; ``sid`` is its task's id in small letters."""
+    """One message; ``sid`` is its task's id, 16 hex digits in lower case."""
 
     type: MessageType
     sid: str
@@ -39,50 +39,50 @@
 
 
 class Decoder(Framing[Line]):
-    """A host's bytes."""
+    """Decodes what a host sends."""
 
     def _message_end(self, data: bytearray, at: int) -> int | None:
         end = data.find(b"\n", at) + 1
         if (end or len(data) + 1) - at > MAX_MESSAGE_BYTES:
-            raise Malformed("a line without an end")
+            raise Malformed("line is too long")
         return end or None
 
     def _parse(self, data: bytes) -> Line:
-        return _line(data[:-1])
+        return _parse(data[:-1])
 
 
-def _line(data: bytes) -> Line:
+def _parse(data: bytes) -> Line:
     try:
         raw = json.loads(data.decode("utf-8"))
     except (ValueError, RecursionError):
-        raise Malformed("a line that is not JSON") from None
+        raise Malformed("line is not JSON") from None
     if not isinstance(raw, dict):
-        raise Malformed("a line that is not an object")
-    word, sid, attrs = raw.get("msg"), raw.get("sid"), raw.get("attrs", {})
+        raise Malformed("line is not a JSON object")
+    type_name, sid, attrs = raw.get("msg"), raw.get("sid"), raw.get("attrs", {})
     code, text = raw.get("code"), raw.get("text")
-    if not isinstance(word, str) or word not in _WORDS:
-        raise Malformed("a line of no known type")
+    if not isinstance(type_name, str) or type_name not in _TYPES:
+        raise Malformed("msg is not a known type")
     if not isinstance(sid, str) or not _ID.fullmatch(sid):
-        raise Malformed("a line without an id")
-    if not isinstance(attrs, dict) or not all(_plain(value) for value in attrs.values()):
-        raise Malformed("fields that are neither text nor numbers")
+        raise Malformed("sid is not 16 hex digits")
+    if not isinstance(attrs, dict) or not all(_is_text_or_number(value) for value in attrs.values()):
+        raise Malformed("attrs is not an object of strings and numbers")
     if code is not None and (not isinstance(code, int) or isinstance(code, bool)):
-        raise Malformed("a cause that is no number")
-    if text is not None and not (isinstance(text, str) and _encodes(text)):
-        raise Malformed("a description that is no text")
-    return Line(_WORDS[word], sid.lower(), {key: str(value) for key, value in attrs.items()}, code, text)
+        raise Malformed("code is not an integer")
+    if text is not None and not (isinstance(text, str) and _is_encodable(text)):
+        raise Malformed("text is not a string of valid Unicode")
+    return Line(_TYPES[type_name], sid.lower(), {key: str(value) for key, value in attrs.items()}, code, text)
 
 
-_WORDS: dict[str, MessageType] = {word.value: word for word in MessageType}
+_TYPES: dict[str, MessageType] = {each.value: each for each in MessageType}
 
 
-def _plain(value: Any) -> bool:
+def _is_text_or_number(value: Any) -> bool:
     if isinstance(value, int) and not isinstance(value, bool):
-        return abs(value) < 10**18  # a longer one would be refused as text, and costs
+        return abs(value) < 10**18  # a longer integer is costly to convert, and its consumers would reject it
     return isinstance(value, (str, float))
 
 
-def _encodes(text: str) -> bool:
+def _is_encodable(text: str) -> bool:
     try:
         text.encode("utf-8")
     except UnicodeEncodeError:
@@ -91,20 +91,24 @@
 
 
 def quoted(text: str) -> str:
-    """A text as JSON, as short as it can be."""
+    """Encode a text as a JSON string, without escapes that are not needed."""
     return json.dumps(text, ensure_ascii=False)
 
 
 def encode(
-    word: MessageType, sid: str, attrs: dict[str, str] | None = None, code: int | None = None, text: str | None = None
+    message_type: MessageType,
+    sid: str,
+    attrs: dict[str, str] | None = None,
+    code: int | None = None,
+    text: str | None = None,
 ) -> bytes:
-    """One line; ``text`` is given as :func:`quoted` returned it. ValueError where it is longer than a line may be."""
-    parts = f'{{"msg":"{word.value}","sid":"{sid}","attrs":{json.dumps(attrs or {}, separators=(",", ":"))}'
+    """Encode one message; ``text`` is a JSON string from :func:`quoted`. ValueError where the line is too long."""
+    parts = f'{{"msg":"{message_type.value}","sid":"{sid}","attrs":{json.dumps(attrs or {}, separators=(",", ":"))}'
     if code is not None:
         parts += f',"code":{code}'
     if text is not None:
         parts += f',"text":{text}'
     line = (parts + "}\n").encode("utf-8")
     if len(line) > MAX_MESSAGE_BYTES:
-        raise ValueError(f"a line of {len(line)} bytes")
+        raise ValueError(f"line of {len(line)} bytes is too long")
     return line
--- a/sprucepost/node/log.py
+++ b/sprucepost/node/log.py
@@ -1,7 +1,8 @@
-"""One JSON line on standard output for each thing that operators may want to know, and for each step of a task.
+"""The log: one JSON line on standard output for each event of interest to operators, and for each state change of a task.
 
-A flood of one kind is counted, not written. Lines leave together, in one system call: an event with its turn, steps within
-``STEPS_WAIT_MS``, since several of them come in most turns.
+The number of lines per second is limited by event; lines above the limit are counted, not written. Lines are written in
+batches, one system call each: events at the end of their turn, state changes within ``STATE_LINES_DELAY_MS``, since most
+turns have several of them.
 """
 
 from __future__ import annotations
@@ -14,46 +15,47 @@
 
 from sprucepost.loop import Loop
 
-LINES_PER_SECOND = 20  # lines of one kind: the log is written by the thread that places
-STATE_LINES_PER_SECOND = 2000  # of tasks, and as many of hosts: at about 10 us each 2 % of a core
-STATE_LINES_DELAY_MS = 100.0  # what a kill may take away
-UNSENT_MAX_BYTES = 256 * 1024  # bytes of lines that wait for a reader
-_MOST = {"task": STATE_LINES_PER_SECOND, "host": STATE_LINES_PER_SECOND}
+LINES_PER_SECOND = 20  # of one event: the thread that places tasks also writes the log
+STATE_LINES_PER_SECOND = 2000  # of tasks, and as many of hosts; at about 10 us each this is 2 % of a core
+STATE_LINES_DELAY_MS = 100.0  # a kill of the process may lose the lines of that time
+UNSENT_MAX_BYTES = 256 * 1024  # lines that wait for a slow reader
+_LIMITS = {"task": STATE_LINES_PER_SECOND, "host": STATE_LINES_PER_SECOND}
 
 
 class Output:
-    """Lines for a descriptor, sent together and without ever waiting for a reader.
+    """Writes lines to a descriptor in batches, and never waits for the reader.
 
-    A pipe that is full, or a descriptor that fails, keeps up to ``KEPT_MOST`` bytes here; later lines are dropped and
-    counted in ``dropped`` until there is room again.
+    While a pipe is full or the descriptor fails, up to ``UNSENT_MAX_BYTES`` are buffered; later lines are dropped and
+    counted in ``dropped`` until there is space again.
     """
 
     def __init__(self, fd: int) -> None:
         self._fd = _non_blocking(fd)
         self._lines: list[str] = []
-        self._rest = b""
+        self._unsent = b""
         self.dropped = 0
 
     def write(self, line: str) -> None:
-        """Keep a line for the next :meth:`flush`."""
+        """Buffer a line for the next :meth:`flush`."""
         self._lines.append(line)
 
     def flush(self) -> None:
-        """Send what was written since the last time, as much as the system takes."""
+        """Write the buffered lines, as much as the system takes without blocking."""
         lines, self._lines = self._lines, []
-        if len(self._rest) < UNSENT_MAX_BYTES:
-            self._rest += "".join(f"{line}\n" for line in lines).encode()
+        if len(self._unsent) < UNSENT_MAX_BYTES:
+            self._unsent += "".join(f"{line}\n" for line in lines).encode()
         else:
             self.dropped += len(lines)
         try:
-            while self._rest:
-                self._rest = self._rest[os.write(self._fd, self._rest) :]
-        except OSError:  # nobody reads, or there is no room on the disk: placing goes on
+            while self._unsent:
+                self._unsent = self._unsent[os.write(self._fd, self._unsent) :]
+        except OSError:  # no reader, a full pipe or a full disk: placing goes on
             return
 
 
 def _non_blocking(fd: int) -> int:
-    """A pipe opened anew, since the mode of one that is shared would change for others as well; else ``fd`` itself."""
+    """A pipe opened again in non-blocking mode, since setting the mode of ``fd`` would change it for other processes that
+    share it; ``fd`` itself where it is no pipe."""
     if not stat.S_ISFIFO(os.fstat(fd).st_mode):
         return fd
     try:
@@ -63,9 +65,9 @@
 
 
 class Log:
-    """``write`` takes one line at a time, ``flush`` sends what was written.
+    """Writes events of one placer: ``write`` takes one line at a time, ``flush`` sends the lines written so far.
 
-    ``up_ms`` in a line is the loop's monotonic clock and gives the order; ``at_ms`` is the wall clock, which may step.
+    In a line, ``up_ms`` is the loop's monotonic clock and gives the order; ``at_ms`` is the wall clock, which may step.
     """
 
     def __init__(
@@ -75,47 +77,51 @@
         self._second = 0
         self._counts: dict[str, int] = {}
         self._flush_due = False
-        self.dropped: Callable[[], int] = lambda: 0  # lines that the output could not take
+        self.dropped: Callable[[], int] = lambda: 0  # returns the number of lines that the output has dropped
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Write a line of that kind; a field that is None is left out."""
-        self._limited(event, fields)
+        """Write an event; fields that are None are left out."""
+        self._write_limited(event, fields)
 
     def task(self, sid: str, state: str, **fields: Any) -> None:
-        """Write that the task of that id has come to that state, and why."""
-        self._limited("task", {"task": sid, "state": state, **fields})
+        """Write that the task has entered this state."""
+        self._write_limited("task", {"task": sid, "state": state, **fields})
 
     def host(self, uid: str, state: str, **fields: Any) -> None:
-        """Write that the host, or one of the connections to it, has come to that state, and why."""
-        self._limited("host", {"host": uid, "state": state, **fields})
+        """Write that the host, or a connection to it, has entered this state."""
+        self._write_limited("host", {"host": uid, "state": state, **fields})
 
-    def _limited(self, event: str, fields: dict[str, Any]) -> None:
+    def _write_limited(self, event: str, fields: dict[str, Any]) -> None:
+        """Write the event unless the limit of this second has been reached."""
         now = self._loop.now()
         if int(now // 1000) != self._second:
-            held, self._counts = self._counts, {}
+            previous, self._counts = self._counts, {}
             self._second = int(now // 1000)
-            self._report_held(now, held)
+            self._report_suppressed(now, previous)
         self._counts[event] = self._counts.get(event, 0) + 1
-        if self._counts[event] <= _MOST.get(event, LINES_PER_SECOND):
-            self._line(now, event, fields)
-
-    def _report_held(self, now: float, counts: dict[str, int]) -> None:
-        held = {
-            kind: count - most for kind, count in counts.items() if count > (most := _MOST.get(kind, LINES_PER_SECOND))
+        if self._counts[event] <= _LIMITS.get(event, LINES_PER_SECOND):
+            self._write_line(now, event, fields)
+
+    def _report_suppressed(self, now: float, counts: dict[str, int]) -> None:
+        """Write how many lines of each event were left out in the previous second."""
+        suppressed = {
+            event: count - limit
+            for event, count in counts.items()
+            if count > (limit := _LIMITS.get(event, LINES_PER_SECOND))
         }
-        if held:
-            self._line(now, "log_held_back", held)
+        if suppressed:
+            self._write_line(now, "log_held_back", suppressed)
 
-    def _line(self, now: float, event: str, fields: dict[str, Any]) -> None:
+    def _write_line(self, now: float, event: str, fields: dict[str, Any]) -> None:
         known = {key: value for key, value in fields.items() if value is not None}
         head = f'{{"at_ms": {self._loop.wall():.1f}, "up_ms": {now:.1f}, "placer": {self._quoted}, "event": "{event}"'
         self._write(f"{head}, {json.dumps(known)[1:]}" if known else f"{head}}}")
-        if event not in _MOST:
-            self._loop.at_turn_end(self._send)
+        if event not in _LIMITS:
+            self._loop.at_turn_end(self._flush_lines)
         elif not self._flush_due:
             self._flush_due = True
-            self._loop.call_later(STATE_LINES_DELAY_MS, self._send)
+            self._loop.call_later(STATE_LINES_DELAY_MS, self._flush_lines)
 
-    def _send(self) -> None:
+    def _flush_lines(self) -> None:
         self._flush_due = False
         self._flush()
