--- a/sprucepost/node/descriptors.py
+++ b/sprucepost/node/descriptors.py
@@ -58,14 +58,14 @@
     def close(self, transport: Transport) -> None:
         """Close a connection that ``connections`` counts no longer; a lingering close is counted here until it is done."""
         transport.close()
-        if not transport.gone:
+        if not transport.socket_closed:
             self._closing[transport] = None
-            transport.on_gone = lambda: self._forget(transport)
+            transport.on_socket_closed = lambda: self._forget(transport)
 
     def reclaim(self) -> None:
         """Cut off the oldest lingering closes until one more connection fits. Called before a connection is opened."""
         while self._closing and self._connections() + len(self._closing) >= self._for_connections_and_closes:
-            next(iter(self._closing)).cut()
+            next(iter(self._closing)).end_linger()
 
     def _forget(self, transport: Transport) -> None:
         self._closing.pop(transport, None)
--- a/sprucepost/node/dispatch.py
+++ b/sprucepost/node/dispatch.py
@@ -52,7 +52,7 @@
     @property
     def may_write(self) -> bool:
         """Whether an attempt may be written, and flushed, now."""
-        return self._serving and self._loop.since_look_ms <= POLL_AGE_MAX_MS
+        return self._serving and self._loop.since_poll_ms <= POLL_AGE_MAX_MS
 
     def add(self, destination: T) -> None:
         """Serve the destination at the turn's end, after a poll of the sockets."""
@@ -80,7 +80,7 @@
         self._due |= self._postponed
         self._postponed = {}
         while self._due:
-            if not self._loop.look_until(POLL_AGE_MAX_MS):
+            if not self._loop.poll_until_fresh(POLL_AGE_MAX_MS):
                 self._counters["dispatch_held"] += 1
                 break
             due, self._due = self._due, {}
--- a/sprucepost/node/tasks.py
+++ b/sprucepost/node/tasks.py
@@ -62,8 +62,8 @@
 from sprucepost.node.fair_queue import FairQueue
 from sprucepost.node.jsonl import Line, MessageType, encode
 from sprucepost.node.parsing import SetUp
-from sprucepost.placing.desk import Desk
 from sprucepost.placing.ledger import Entry, Ledger, Outcome
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 
 CAUSE_REFUSED, FAILED, BROKEN, ENDED = 34, 41, 41, 16  # causes that owners hear
 # A host's causes that may answer our own taking back, seen up to 26 ms later: nobody is owed these.
@@ -90,12 +90,12 @@
     def __init__(
         self,
         loop: Loop,
-        desk: Desk,
+        driver: SchedulerDriver,
         settings: i.Settings,
         report: Callable[[str | None], i.LoadReport | None],
         counters: Counter[str],
     ) -> None:
-        self.loop, self._desk, self._report = loop, desk, report
+        self.loop, self._driver, self._report = loop, driver, report
         self._least = settings.tick
         self._windows = [cls.window if cls.effect is i.Effect.KEYED else None for cls in settings.classes]
         self.ledger = Ledger()
@@ -110,7 +110,7 @@
         self._crossed: set[int] = set()
         self._crossed_before: set[int] = set()
         self._found: set[str] = set()  # services of tasks that stand, read since the last new ones were told
-        desk.carry, desk.before = self._carry, self._tell
+        driver.on_action, driver.before_batch = self._carry, self._tell
 
     # Owners
 
@@ -143,7 +143,7 @@
             entry.machine = setup.current_host
             self.ledger.settle(entry, Outcome.PLACED, now)
             self._stand(entry)
-            self._desk.push(i.TaskFound(setup.request(entry.request, setup.time_left_ms), setup.current_host))
+            self._driver.push(i.TaskFound(setup.request(entry.request, setup.time_left_ms), setup.current_host))
             self._found.add(setup.service)
             if not self.hosts.adopt(setup.current_host, setup.sid):
                 return SetUpResult.HOST_UNKNOWN
@@ -152,11 +152,11 @@
                 self.handle_message(*line)
             return SetUpResult.ADMITTED
         self.counters["taken"] += 1
-        entry.due = now + max(0.0, setup.time_left_ms - waited_ms)
+        entry.deadline = now + max(0.0, setup.time_left_ms - waited_ms)
         self.trace(setup.sid, "taken", left=setup.time_left_ms, waited=round(waited_ms, 1))
         entry.ask.queued = True
         self._queue.put(owner, entry, now)
-        self._desk.wake()
+        self._driver.schedule_batch()
         return SetUpResult.ADMITTED
 
     def _tell(self) -> None:
@@ -169,14 +169,14 @@
         though none for longer than ``FOUND_FIRST_MS``: a steady flow of them must not keep the new ones out.
         """
         if self._queue:
-            self.loop.look()
+            self.loop.poll_now()
         self._crossed_before, self._crossed = self._crossed, set()
         if self._found:
             self.hosts.withdraw_unsent(self._found)
             self._found = set()
             if self._queue and self.loop.now() - self._queue.since < FOUND_FIRST_MS:
                 self.counters["held_for_found"] += 1
-                self.loop.call_soon(self._desk.wake)
+                self.loop.call_soon(self._driver.schedule_batch)
                 return
         now = self.loop.now()
         told = 0
@@ -185,9 +185,9 @@
             if entry.outcome is Outcome.OPEN:
                 told += 1
                 entry.ask.queued = False
-                self._desk.push(entry.ask.setup.request(entry.request, max(0.0, entry.due - now)))
+                self._driver.push(entry.ask.setup.request(entry.request, max(0.0, entry.deadline - now)))
         if self._queue:
-            self.loop.call_soon(self._desk.wake)
+            self.loop.call_soon(self._driver.schedule_batch)
 
     def owner_cancelled(self, sid: str) -> None:
         """An owner gives its set-up up, or ends its task."""
@@ -218,7 +218,7 @@
         self._settle(entry, Outcome.FAILED)
         self._withdraw(entry)
         if not entry.ask.queued:
-            self._desk.push(i.RequestAbandoned(entry.request))
+            self._driver.push(i.RequestAbandoned(entry.request))
 
     def fail_open_tasks(self) -> None:
         """The process ends: what is still open has failed, and its owner hears so."""
@@ -235,7 +235,7 @@
         if entry is not None and entry.outcome is not Outcome.OPEN and crossed:
             if isinstance(action, i.Offer):
                 entry.attempts += 1
-                self._desk.push(i.Outcome(entry.request, entry.attempts - 1, i.Ending.VOID, True))
+                self._driver.push(i.Outcome(entry.request, entry.attempts - 1, i.Ending.VOID, True))
             return
         if entry is None or entry.outcome is not Outcome.OPEN:
             raise AssertionError(f"{type(action).__name__} for request {action.request}, which is over")
@@ -265,7 +265,7 @@
         now = self.loop.now()
         attempt = Attempt(entry, entry.attempts, action.machine, now, now + action.timeout)
         entry.attempts += 1
-        entry.out = attempt.number
+        entry.pending_attempt = attempt.number
         entry.ask.attempt = attempt
         self.counters["offers"] += 1
         self.trace(entry.name, "offered", host=action.machine, attempt=attempt.number, timeout=round(action.timeout))
@@ -326,7 +326,7 @@
         entry = attempt.entry
         if entry.ask.attempt is not attempt:
             return
-        entry.ask.attempt = entry.out = None
+        entry.ask.attempt = entry.pending_attempt = None
         if attempt.timer is not None:
             attempt.timer.cancel()
         self.counters[f"ended_{ending.value}"] += 1
@@ -334,7 +334,7 @@
         if ending not in (i.Ending.FULL, i.Ending.CONNECT_FAILED, i.Ending.VOID) and entry.ask.may_run_since is None:
             entry.ask.may_run_since = attempt.offered_at
         closed = entry.outcome is not Outcome.OPEN
-        self._desk.push(i.Outcome(entry.request, attempt.number, ending, closed, reason, report))
+        self._driver.push(i.Outcome(entry.request, attempt.number, ending, closed, reason, report))
 
     def handle_answer(self, attempt: Attempt, line: Line) -> None:
         """What a host says on the connection of an open set-up: an answer, or how the attempt ended."""
@@ -382,7 +382,7 @@
 
     def _accept(self, attempt: Attempt, text: str) -> None:
         entry, now = attempt.entry, self.loop.now()
-        entry.ask.attempt = entry.out = None
+        entry.ask.attempt = entry.pending_attempt = None
         if attempt.timer is not None:
             attempt.timer.cancel()
         entry.machine, entry.attempt = attempt.machine, attempt.number
@@ -392,7 +392,7 @@
         self._hold(entry, entry.ask.owner)
         self.counters["placed"] += 1
         self.trace(entry.name, "stands", host=attempt.machine, attempt=attempt.number)
-        self._desk.push(i.Accepted(entry.request, attempt.number, now - attempt.offered_at))
+        self._driver.push(i.Accepted(entry.request, attempt.number, now - attempt.offered_at))
         entry.ask.setup = replace(entry.ask.setup, description="")  # no host will get it again
         entry.ask.owner.answer(entry.name, text)
 
@@ -414,7 +414,7 @@
         elif line.type is MessageType.EVENT:
             kind, value = parsing.NOTES.get(line.attrs.get("note", "")), parsing.parse_number(line.attrs.get("value"))
             if kind is not None and value is not None:
-                self._desk.push(i.StatusNote(entry.request, entry.attempt, kind, value))
+                self._driver.push(i.StatusNote(entry.request, entry.attempt, kind, value))
         elif line.type is MessageType.CLOSE:
             ending = {16: i.Ending.OK, 31: i.Ending.CANCELLED}.get(line.code or 0, i.Ending.RESET)
             cause = {i.Ending.OK: ENDED, i.Ending.RESET: BROKEN}.get(ending)
@@ -484,7 +484,7 @@
         self.early_messages.note(entry.name, EarlyMessage.TASK_ENDED, self.loop.now())
         self._withdraw(entry)
         if not entry.ask.queued:
-            self._desk.push(i.RequestAbandoned(entry.request))
+            self._driver.push(i.RequestAbandoned(entry.request))
         entry.ask.owner.refuse(entry.name, FAILED, 0.0)
 
     def host_lost(self, machine: str, why: str, before: float | None = None) -> int:
@@ -513,7 +513,7 @@
         self.early_messages.note(entry.name, EarlyMessage.TASK_ENDED, self.loop.now())
         self.counters[f"over_{ending.value}"] += 1
         self.trace(entry.name, "over", host=entry.machine, why=why)
-        self._desk.push(i.Outcome(entry.request, entry.attempt, ending, True, reason, report))
+        self._driver.push(i.Outcome(entry.request, entry.attempt, ending, True, reason, report))
         if entry.ask.keeps_connection:
             entry.ask.owner.remove_placed_task()
         if cause is not None:
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -87,7 +87,7 @@
 
 def deciding(platform: Platform, act: Callable[[list[i.Event], list[i.Action]], None]) -> None:
     """``act`` is called each time that the module has decided, before anything of it is carried out."""
-    scheduler = platform.service.desk.scheduler
+    scheduler = platform.service.driver.scheduler
     handle = scheduler.handle
 
     def handled(now: float, events: list[i.Event]) -> list[i.Action]:
@@ -255,8 +255,8 @@
         owner.send(b"".join(setup(sid, FIGURES=OTHER) for sid in SIDS[1:6]))
         yield from wait_for(lambda: platform.service.counters["given_up"] == 5)
         yield from sleep(30)
-        assert opened(host) == [SIDS[0]] and not platform.service.desk.scheduler.tasks
-        assert len(platform.service.desk.scheduler.attempts) == 1, "the module knows that none is out"
+        assert opened(host) == [SIDS[0]] and not platform.service.driver.scheduler.tasks
+        assert len(platform.service.driver.scheduler.attempts) == 1, "the module knows that none is out"
 
     run_on_platform(tmp_path, body)
 
@@ -605,7 +605,7 @@
         yield from wait_for(lambda: owner.got() is None)
         assert not {SIDS[2], SIDS[3]} & set(opened(host))
         owner.close()
-        yield from wait_for(lambda: link.transport.gone, 200)
+        yield from wait_for(lambda: link.transport.socket_closed, 200)
 
     run_on_platform(tmp_path, body)
 
@@ -623,7 +623,7 @@
             link.transport.write(bytes(1 << 20))
             yield from sleep(0)
         owner.half_close()
-        yield from wait_for(lambda: link.transport.gone, 2000)
+        yield from wait_for(lambda: link.transport.socket_closed, 2000)
         owner.close()
 
     run_on_platform(tmp_path, body)
