--- a/tests/node/test_codecs.py
+++ b/tests/node/test_codecs.py
@@ -1,4 +1,4 @@
-"""Both codecs: any split of the bytes gives the same messages, any bytes messages or the one error; memory is bounded."""
+"""Both codecs: any split of the bytes gives the same messages, invalid bytes give one error, and memory is bounded."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 )
 
 
-def decoded(decoder: Any, data: bytes, cuts: list[int]) -> tuple[list[Any], bool]:
+def decode_in_pieces(decoder: Any, data: bytes, cuts: list[int]) -> tuple[list[Any], bool]:
     found: list[Any] = []
     at = 0
     for cut in sorted({min(cut, len(data)) for cut in cuts} | {len(data)}):
@@ -50,25 +50,25 @@
 
 @pytest.mark.parametrize("codec", [binary, jsonl])
 @given(data=st.data())
-def test_any_split_gives_the_same_and_any_bytes_give_messages_or_the_error(codec: Any, data: st.DataObject) -> None:
+def test_any_split_gives_the_same_messages_or_error(codec: Any, data: st.DataObject) -> None:
     whole = data.draw(messages if codec is binary else lines)
     tail = data.draw(st.binary(max_size=40))
     cuts = data.draw(st.lists(st.integers(0, 600), max_size=8))
     raw = b"".join(whole) + tail
-    once = decoded(codec.Decoder(), raw, [])
-    assert decoded(codec.Decoder(), raw, cuts) == once
-    assert len(once[0]) >= len(whole)
+    unsplit = decode_in_pieces(codec.Decoder(), raw, [])
+    assert decode_in_pieces(codec.Decoder(), raw, cuts) == unsplit
+    assert len(unsplit[0]) >= len(whole)
 
 
 @given(texts, st.dictionaries(st.sampled_from(["left", "key"]), texts))
-def test_a_description_passes_unchanged_both_ways(text: str, attrs: dict[str, str]) -> None:
+def test_a_description_survives_both_codecs(text: str, attrs: dict[str, str]) -> None:
     [line] = jsonl.Decoder().feed(jsonl.encode(MessageType.OPEN, SID.upper(), attrs, text=jsonl.quoted(text)))
     assert (line.text, line.attrs, line.sid) == (text, attrs, SID)
     [message] = binary.Decoder().feed(binary.encode(Kind.ANSWER, SID, [(Code.DESCRIPTION, text.encode())]))
     assert message.parameters[Code.DESCRIPTION].decode() == text and message.task == SID
 
 
-def test_the_wire_is_as_the_protocol_says() -> None:
+def test_encoded_bytes_match_the_protocol() -> None:
     assert binary.encode(Kind.RELEASE, SID, [(Code.CAUSE, b"\x22")]).hex() == "000d0c9b1f03aa5c7e2d41de000122"
     line = json.loads(jsonl.encode(MessageType.CLOSE, SID, code=34))
     assert line == {"msg": "close", "sid": SID, "attrs": {}, "code": 34}
@@ -78,13 +78,13 @@
     "data",
     [
         b"\x00\x08" + bytes(8),  # shorter than a type and an id
-        b"\xff\xff" + bytes(9),  # longer than a message may be, known from its length alone
-        b"\x00\x0a" + bytes(9) + b"\xe1",  # a parameter without its length
+        b"\xff\xff" + bytes(9),  # longer than the size limit, known from its length field
+        b"\x00\x0a" + bytes(9) + b"\xe1",  # a parameter without its length field
         b"\x00\x0c" + bytes(9) + b"\xe1\x00\x09",  # a parameter longer than its message
-        b"\x00\x0f" + bytes(9) + b"\xe1\x00\x00\xe1\x00\x00",  # one that comes twice
+        b"\x00\x0f" + bytes(9) + b"\xe1\x00\x00\xe1\x00\x00",  # a duplicate parameter
     ],
 )
-def test_a_binary_message_that_cannot_be_read(data: bytes) -> None:
+def test_an_invalid_binary_message_is_an_error(data: bytes) -> None:
     decoder = binary.Decoder()
     assert decoder.feed(data) == [] and decoder.error is not None
     assert decoder.feed(binary.encode(Kind.TEST, SID)) == [] and decoder.buffered_bytes == 0
@@ -102,13 +102,13 @@
         f'{{"msg":"ready","sid":"{SID}","text":7}}', f'{{"msg":"ready","sid":"{SID}","text":"\\ud800"}}',
     ],
 )  # fmt: skip
-def test_a_line_that_cannot_be_read(line: str) -> None:
+def test_an_invalid_line_is_an_error(line: str) -> None:
     decoder = jsonl.Decoder()
     assert decoder.feed(line.encode("latin-1") + b"\n") == [] and decoder.error is not None
     assert decoder.feed(jsonl.encode(MessageType.PROBE, SID)) == []
 
 
-def test_a_line_that_keeps_coming_ends_at_the_bound() -> None:
+def test_a_line_without_an_end_is_an_error_at_the_size_limit() -> None:
     decoder = jsonl.Decoder()
     for _ in range(MAX_MESSAGE_BYTES // 64 - 1):
         decoder.feed(b"x" * 64)
--- a/tests/node/test_dials_that_never_leave.py
+++ b/tests/node/test_dials_that_never_leave.py
@@ -1,4 +1,4 @@
-"""Our own machine has no port or route for a dial: its hosts cannot be blamed."""
+"""Dials that fail because this machine has no port or route: they must not count against the host."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ShortLoop(EpollLoop):
-    """No dial to one of ``hosts`` leaves while ``short`` holds."""
+    """Fails each dial to one of ``hosts`` with ``code`` while ``short`` is true."""
 
     def __init__(self, code: int) -> None:
         super().__init__(1)
@@ -30,9 +30,9 @@
         return super().dial(address, source)
 
 
-# Guards against hosts that are avoided, a whole zone at once, since this machine had no port or route for a while.
+# Guards against avoiding hosts, a whole zone at once, after this machine had no port or route for a while.
 @pytest.mark.parametrize("code", [errno.EADDRNOTAVAIL, errno.ENETUNREACH])
-def test_a_dial_that_never_left_counts_against_no_host(tmp_path: Path, code: int) -> None:
+def test_a_dial_that_failed_locally_counts_against_no_host(tmp_path: Path, code: int) -> None:
     loop = ShortLoop(code)
 
     def body(platform: Platform) -> Co[None]:
@@ -41,7 +41,7 @@
         platform.start()
         owner = yield from platform.owner()
         owner.transport.write(setup(TASK))
-        yield from wait_for(lambda: platform.service.counters["unsent"] >= 2)  # offers whose time has passed meanwhile
+        yield from wait_for(lambda: platform.service.counters["unsent"] >= 2)  # offers that timed out meanwhile
         assert platform.service.counters["ended_connect_failed"] == 0
         assert not any(machine.suspicions for machine in platform.service.driver.scheduler.machines.values())
         loop.short = False
--- a/tests/node/test_log.py
+++ b/tests/node/test_log.py
@@ -1,4 +1,4 @@
-"""The log: one task's whole way can be read from it, in order, and a flood of lines stays bounded."""
+"""The log: it has all states of a task in order, the number of lines is bounded, and a slow reader delays nothing."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 TASK = "c0255aa5c7e00002"
 
 
-def way(platform: Platform, sid: str) -> list[tuple[str, Any]]:
-    """The states of a task as the log names them, each with its host."""
+def states(platform: Platform, sid: str) -> list[tuple[str, Any]]:
+    """The states of a task in the log, each with its host."""
     lines = [json.loads(line) for line in platform.lines]
     assert [line["up_ms"] for line in lines] == sorted(line["up_ms"] for line in lines)
     return [(line["state"], line.get("host")) for line in lines if line.get("task") == sid]
 
 
-def test_each_step_of_a_task_is_named_with_its_id(tmp_path: Path) -> None:
+def test_each_state_of_a_task_is_logged_with_its_id(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start()
@@ -34,31 +34,31 @@
         yield from wait_for_message(owner, TASK, Kind.ANSWER)
         host.links[0].send(MessageType.CLOSE, TASK, code=16)
         yield from wait_for_message(owner, TASK, Kind.RELEASE)
-        assert way(platform, TASK) == [
+        assert states(platform, TASK) == [
             ("taken", None), ("offered", "s-1"), ("sent", "s-1"), ("stands", "s-1"), ("over", "s-1"), ("released", None),
         ]  # fmt: skip
 
     run_on_platform(tmp_path, body)
 
 
-def test_a_flood_of_steps_is_counted_and_the_second_after_it_says_how_many() -> None:
+def test_lines_above_the_limit_are_counted_and_reported_in_the_next_second() -> None:
     loop, lines = VirtualLoop(), list[dict[str, Any]]()
-    written = Log(loop, "n0", lambda line: lines.append(json.loads(line)))
+    writer = Log(loop, "n0", lambda line: lines.append(json.loads(line)))
     for _ in range(log.STATE_LINES_PER_SECOND + 5):
-        written.task(TASK, "taken")
+        writer.task(TASK, "taken")
     loop.pass_ms(1000.0)
-    written("ready")
+    writer("ready")
     assert len(lines) == log.STATE_LINES_PER_SECOND + 2
     assert lines[-2]["event"] == "log_held_back" and lines[-2]["task"] == 5
 
 
-def test_steps_leave_in_one_call_and_whole() -> None:
+def test_state_lines_are_written_whole_in_one_call() -> None:
     loop = VirtualLoop()
     reading, writing = os.pipe()
     output = Output(writing)
-    written = Log(loop, "n0", output.write, output.flush)
+    writer = Log(loop, "n0", output.write, output.flush)
     for number in range(10):
-        written.task(f"{number:016x}", "taken")
+        writer.task(f"{number:016x}", "taken")
     loop.pass_ms(log.STATE_LINES_DELAY_MS)
     os.set_blocking(reading, False)
     lines = os.read(reading, 65536).decode().splitlines()
@@ -67,14 +67,14 @@
     os.close(writing)
 
 
-def test_a_reader_that_stands_still_delays_nothing_and_gets_whole_lines_later() -> None:
-    """Guards against a placer that waits for whoever collects its log."""
+def test_a_slow_reader_delays_nothing_and_gets_whole_lines_later() -> None:
+    """Guards against a placer that waits for the process that reads its log."""
     loop = VirtualLoop()
     reading, writing = os.pipe()
     output = Output(writing)
-    written = Log(loop, "n0", output.write, output.flush)
+    writer = Log(loop, "n0", output.write, output.flush)
     for number in range(5000):
-        written.host(f"s-{number}", "connected")
+        writer.host(f"s-{number}", "connected")
         loop.pass_ms(2.0)
     assert output.dropped > 0
     found, reader = b"", os.fdopen(reading, "rb", buffering=0)
@@ -87,8 +87,8 @@
     os.close(writing)
 
 
-def test_an_output_that_fails_stops_nothing() -> None:
-    """Guards against a loop that ends with the file system of its log (ENOSPC)."""
+def test_a_failing_output_stops_nothing() -> None:
+    """Guards against a loop that ends when the file system of its log is full (ENOSPC)."""
     output = Output(os.open("/dev/full", os.O_WRONLY))
     output.write("a line")
     output.flush()
