--- a/tests/node/platform.py
+++ b/tests/node/platform.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform on one loop: owners, hosts and the bulletin around a real placer."""
+"""A simulated platform on one loop: owners, hosts and the bulletin around a real placer."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from sprucepost.node.service import Service
 from tests.wire.support import wait_for
 
-DESCRIPTION = '\r\nm=audio \u00e9 \\ " \u0001'  # an escape of each kind
+DESCRIPTION = '\r\nm=audio \u00e9 \\ " \u0001'  # one character of each kind that JSON escapes
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The object that a placer finds as its settings."""
+    """The settings object of a placer's configuration."""
     classes = [
         {"name": "web", "objective": 400.0, "deadline": 3000.0, "effect": "pure", "worth": 3.0},
         {"name": "bill", "objective": 400.0, "deadline": 3000.0, "effect": "token", "worth": 9.0, "window": 2500.0},
@@ -50,7 +50,7 @@
 
 
 def setup(sid: str, **changes: Any) -> bytes:
-    """A whole set-up; a parameter given as None is left out."""
+    """An encoded set-up; parameters given as None are left out."""
     values: dict[Code, Any] = {
         Code.CLASS: "web",
         Code.LEFT: "3000",
@@ -65,7 +65,7 @@
 
 
 class Link:
-    """One end of a connection, with its codec."""
+    """The platform's end of a connection; collects the decoded messages in ``received``."""
 
     def __init__(self, transport: Transport, decoder: Any, take: Callable[[Link, Any], None]) -> None:
         self.transport, self.received, self.ended = transport, [], False  # type: tuple[Transport, list[Any], bool]
@@ -82,16 +82,16 @@
         self.ended = True
         self.transport.close()
 
-    def send(self, word: MessageType, sid: str, attrs: dict[str, str] | None = None, **more: Any) -> None:
-        """A host's line."""
+    def send(self, message_type: MessageType, sid: str, attrs: dict[str, str] | None = None, **more: Any) -> None:
+        """Send a host's message."""
         text = more.get("text")
         self.transport.write(
-            jsonl.encode(word, sid, attrs, more.get("code"), jsonl.quoted(text) if text is not None else None)
+            jsonl.encode(message_type, sid, attrs, more.get("code"), jsonl.quoted(text) if text is not None else None)
         )
 
 
 class Host:
-    """One host; ``on_open`` is what it does with a set-up, by default it answers with a description of its own."""
+    """A simulated host; ``on_open`` handles a set-up, by default with an answer that has the host's description."""
 
     def __init__(self, platform: Platform, uid: str, port: int = 0) -> None:
         self.platform, self.uid = platform, uid
@@ -99,12 +99,13 @@
         self.on_open: Callable[[Link, Line], None] = lambda link, line: link.send(
             MessageType.READY, line.sid, text=self.description_for(line.sid)
         )
-        self.answers_probes = True  # whether it answers them
+        self.answers_probes = True  # whether it answers health checks
         self.acceptor = Acceptor(platform.loop, platform.loop.listen(("127.0.0.1", port)), self._take)
         assert isinstance(self.acceptor.address, tuple)
         self.port = self.acceptor.address[1]
 
     def description_for(self, sid: str) -> str:
+        """The description in this host's answer to that task."""
         return f"by {self.uid} for {sid}{DESCRIPTION}"
 
     def _take(self, sock: Sock) -> None:
@@ -116,16 +117,18 @@
         elif line.type is MessageType.PROBE and self.answers_probes:
             link.send(MessageType.PROBED, line.sid, code=1)
 
-    def lines(self, word: MessageType) -> list[Line]:
-        return [line for link in self.links for line in link.received if line.type is word]
+    def lines(self, message_type: MessageType) -> list[Line]:
+        """The messages of that type that this host has received, on all its connections."""
+        return [line for link in self.links for line in link.received if line.type is message_type]
 
     def die(self) -> None:
-        """The process ends: nothing listens there any more, and its connections are reset."""
+        """End the host's process: nothing listens any more, and its connections are reset."""
         self.acceptor.close()
         for link in self.links:
             link.transport.abort()
 
     def entry(self, **changes: Any) -> dict[str, Any]:
+        """The host's entry in the bulletin."""
         return {
             "uid": self.uid, "endpoint": f"127.0.0.1:{self.port}", "az": "room-a", "model": "std", "pod_group": 0,
             "state": "SERVING", "capacity_hint": 1, "boot_ms": 0, "open": [32.0, 64.0], **changes,
@@ -133,7 +136,11 @@
 
 
 class BulletinServer:
-    """The bulletin: ``mode`` says how it treats a question ("answers", "silent", "breaks", "hasty")."""
+    """The bulletin's server; ``requests`` holds the number ``after`` of each request.
+
+    ``mode`` sets how it treats a request: "answers" it once there is an event, stays "silent", "breaks" off the response, or
+    is "hasty" and answers at once.
+    """
 
     def __init__(self, platform: Platform) -> None:
         self.platform, self.items, self.requests = platform, [], []  # type: tuple[Platform, list[Any], list[int]]
@@ -143,6 +150,7 @@
         self.address = f"127.0.0.1:{self.acceptor.address[1]}"
 
     def publish(self, *entries: dict[str, Any], everything: bool = False) -> None:
+        """Publish an event; ``everything`` makes it a full list."""
         number = len(self.items) + 1
         self.items.append({"no": number, "roster": {"rev": number, "all": everything, "targets": list(entries)}})
         waiting, self._waiting = self._waiting, []
@@ -150,6 +158,7 @@
             self._answer(transport, after)
 
     def document(self, after: int = 0) -> dict[str, Any]:
+        """The document with the events after that number."""
         return {"no": len(self.items), "items": self.items[after:]}
 
     def _take(self, sock: Sock) -> None:
@@ -176,9 +185,9 @@
             self._answer(transport, after)
         else:
             self._waiting.append((transport, after))
-            self.platform.loop.call_later(float(found[2]), lambda: self._patient(transport, after))
+            self.platform.loop.call_later(float(found[2]), lambda: self._answer_late(transport, after))
 
-    def _patient(self, transport: Transport, after: int) -> None:
+    def _answer_late(self, transport: Transport, after: int) -> None:
         if (transport, after) in self._waiting:
             self._waiting.remove((transport, after))
             self._answer(transport, after)
@@ -194,7 +203,7 @@
 
 
 class Platform:
-    """A placer and what is around it."""
+    """A placer, with the hosts and the bulletin around it."""
 
     def __init__(self, loop: EpollLoop, scope: Scope, folder: Path) -> None:
         self.loop, self._scope, self.folder = loop, scope, folder
@@ -204,10 +213,12 @@
         self.service: Service
 
     def host(self, uid: str, port: int = 0) -> Host:
+        """Add a host; port 0 means any free one."""
         host = self.hosts[uid] = Host(self, uid, port)
         return host
 
     def environment(self, **changes: Any) -> Mapping[str, str]:
+        """Write the configuration file with these changes, and return the environment that names it."""
         path = self.folder / "config.json"
         path.write_text(json.dumps({
             "name": "n0", "listen": f"127.0.0.1:{_free_port(self.loop)}", "seed": "8c1f30d27a5be964",
@@ -217,7 +228,7 @@
         return {"BALANCER_CONFIG": str(path)}
 
     def start(self, **changes: Any) -> None:
-        """Start the placer with the hosts so far as what is known."""
+        """Start the placer; its configuration knows the hosts added so far."""
         if not self.bulletin.items:
             self.bulletin.publish(*(host.entry() for host in self.hosts.values()), everything=True)
         environment = self.environment(**changes)
@@ -226,26 +237,27 @@
         self._scope.spawn(self.service.run(), "placer")
 
     def spawn(self, what: Co[None], name: str) -> None:
-        """Run that beside the test until the test ends."""
+        """Run a coroutine beside the test until the test ends."""
         self._scope.spawn(what, name)
 
     def owner(self) -> Co[Link]:
-        """A new connection of an owner."""
+        """Connect an owner to the placer."""
         task = yield from current()
         transport = yield from connect(self.loop, task, self.service.config.listen, 1000.0)
         return Link(transport, binary.Decoder(), lambda link, message: None)
 
     def standing(self) -> int:
+        """The number of accepted tasks that have not been released."""
         return sum(map(len, self.service.tasks.placed.values()))
 
 
 def messages_for(owner: Link, sid: str) -> list[Message]:
-    """What an owner has heard of a task."""
+    """The messages about a task that an owner has received."""
     return [message for message in owner.received if message.task == sid]
 
 
 def wait_for_message(owner: Link, sid: str, kind: Kind, limit_ms: float = 3000) -> Co[Message]:
-    """Wait until the owner has heard that; nothing else may have come before it of the same task and kind."""
+    """Wait until the owner has received a message of that kind about the task, and check that there is only one."""
     yield from wait_for(lambda: any(m.kind == kind for m in messages_for(owner, sid)), limit_ms)
     found = [message for message in messages_for(owner, sid) if message.kind == kind]
     assert len(found) == 1
@@ -260,7 +272,7 @@
 
 
 def run_on_platform(folder: Path, body: Callable[[Platform], Co[None]], loop: EpollLoop | None = None) -> None:
-    """Run a test's coroutine beside everything else on one loop, which is closed afterwards."""
+    """Run a test's coroutine with a platform on one loop, which is closed afterwards."""
     loop = loop or EpollLoop(1)
 
     def main(scope: Scope) -> Co[None]:
--- a/tests/node/program.py
+++ b/tests/node/program.py
@@ -1,4 +1,4 @@
-"""The program itself in a process of its own, with a real limit of descriptors and a log that can be read."""
+"""Runs the placer in a process of its own, with a real limit of descriptors and its log in a file."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
 from tests.node.platform import Link, Platform, wait_for_message
 from tests.wire.support import wait_for
 
-START_TIMEOUT_MS = 20_000.0  # for a start on a machine that is busy with other things
+START_TIMEOUT_MS = 20_000.0  # enough on a busy machine
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time that the one thread of a process has used, user and system, in seconds."""
+    """The processor time of a process with one thread, user and system, in seconds."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
 @dataclass(frozen=True)
 class Program:
-    """A running placer: its process, where it listens, and the file that its log goes to."""
+    """A running placer: its process, the address it listens on, and its log file."""
 
     process: subprocess.Popen[bytes]
     address: tuple[str, int]
     log: Path
 
     def lines(self, event: str = "") -> list[dict[str, Any]]:
-        """The whole lines of its log so far; those of one event where it is named."""
+        """The complete lines of its log so far, of all events or of one."""
         whole, _, _ = self.log.read_text().rpartition("\n")
         found = [json.loads(line) for line in whole.splitlines()]
         return [line for line in found if event in ("", line["event"])]
 
     def descriptors(self) -> int:
-        """How many descriptors it holds now."""
+        """The number of its open descriptors."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
 
 @contextmanager
 def running(platform: Platform, descriptors: int | None = None, **changes: Any) -> Iterator[Program]:
-    """The program with that limit of descriptors; it must live to the end of the block, and is killed there."""
+    """Run the placer with that limit of descriptors. It must not exit before the end of the block, where it is killed."""
     environment = dict(platform.environment(**changes))
     host, port = json.loads((platform.folder / "config.json").read_text())["listen"].split(":")
 
@@ -72,14 +72,14 @@
 
 
 def connected(platform: Platform, program: Program) -> Co[Link]:
-    """A client's new connection."""
+    """Connect a client to the program."""
     task = yield from current()
     transport: Transport = yield from connect(platform.loop, task, program.address, 3000.0)
     return Link(transport, binary.Decoder(), lambda link, message: None)
 
 
 def passes_test(platform: Platform, program: Program, sid: str) -> Co[Link]:
-    """Wait until the program listens, and until it has passed a test; the connection on which it has."""
+    """Wait until the program is ready and passes a test; returns the connection of the test."""
     yield from wait_for(lambda: program.lines("ready"), START_TIMEOUT_MS)
     link = yield from connected(platform, program)
     link.transport.write(binary.encode(Kind.TEST, sid, [(Code.CAUSE, b"\0")]))
--- a/tests/node/test_descriptors.py
+++ b/tests/node/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: idle clients hold all that they can get, from before discovery goes down until it is back."""
+"""File descriptors: idle clients take all they can get while discovery goes down and comes back."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
 from tests.node.test_crossings import patient, release
 from tests.wire.support import wait_for
 
-LIMIT = 256  # the smallest that the platform gives
-PROVEN, SILENT = 120, 180  # idle clients that have been served once, and those that bring nothing of use
-KEEPALIVE_MS = 400.0  # so that connections are closed for idleness by the hundred, again and again
+LIMIT = 256  # the smallest limit that the platform sets
+PROVEN, SILENT = 120, 180  # idle clients that have been served once, and those that never send a whole task
+KEEPALIVE_MS = 400.0  # short, so that idle connections are closed by the hundred, again and again
 SIDS = [f"de5c5aa5c7e{n:05x}" for n in range(2000)]
-STANDING, SLOW, FRONT = "5a" * 8, "5b" * 8, "5c" * 8
+RUNNING, SLOW, FRONT = "5a" * 8, "5b" * 8, "5c" * 8
 SMALL = "cores:0.01;memory:0.01;service:00000000000000ff"
 
 
 class IdleClient:
-    """Holds a connection and says nothing useful. The moment it is closed it comes back, and leaves the old one half open
+    """Holds an idle connection. When it is closed, the client connects again at once, and keeps the old connection half open
     until it has lost the next one too."""
 
     def __init__(self, platform: Platform, address: Address, number: int, seen: Counter[str]) -> None:
         self._platform, self._address, self._number, self._seen = platform, address, number, seen
         self._socks: list[Sock] = []
-        self._came = 0
+        self._connections = 0
         self._on = True
         self._dial()
 
     def stop(self) -> None:
-        """Close all that it holds, and stay away."""
+        """Close all its sockets, and do not connect again."""
         self._on = False
         for sock in self._socks:
             self._platform.loop.watch(sock, None, None)
@@ -56,21 +56,21 @@
             return
         sock = self._platform.loop.dial(self._address)
         self._socks.append(sock)
-        self._platform.loop.watch(sock, None, lambda: self._up(sock))
+        self._platform.loop.watch(sock, None, lambda: self._connected(sock))
 
-    def _up(self, sock: Sock) -> None:
+    def _connected(self, sock: Sock) -> None:
         try:
-            self._speak(sock)
+            self._send_something(sock)
         except OSError:
             self._seen["reset"] += 1
-            self._again(sock)
+            self._reconnect(sock)
             return
         self._platform.loop.watch(sock, lambda: self._read(sock), None)
 
-    def _speak(self, sock: Sock) -> None:
-        """Nothing, a part of a message, a test, or a task that is taken back at once."""
-        self._came += 1
-        sid = f"{self._number:08x}{self._came:08x}"
+    def _send_something(self, sock: Sock) -> None:
+        """Send nothing, a part of a message, a test, or a task that is released at once."""
+        self._connections += 1
+        sid = f"{self._number:08x}{self._connections:08x}"
         if self._number < PROVEN:
             sock.send(setup(sid, FIGURES=SMALL) + release(sid))
         else:
@@ -84,9 +84,9 @@
             data = b""
         if data == b"":
             self._seen["closed"] += 1
-            self._again(sock)
+            self._reconnect(sock)
 
-    def _again(self, sock: Sock) -> None:
+    def _reconnect(self, sock: Sock) -> None:
         self._platform.loop.watch(sock, None, None)
         while len(self._socks) > 1:
             self._socks.pop(0).close()
@@ -94,17 +94,17 @@
 
 
 class UsualClients:
-    """One task every 20 ms, each on a new connection, which is closed once it has its answer."""
+    """Sends one task every 20 ms, each on a new connection that is closed after the answer."""
 
     def __init__(self, platform: Platform, program: Program) -> None:
         self._platform, self._program = platform, program
-        self.asked, self.answered, self.on, self.done = 0, 0, True, False
+        self.sent, self.answered, self.on, self.done = 0, 0, True, False
 
     def run(self) -> Co[None]:
-        """Until ``on`` is taken away."""
+        """Run until ``on`` is false."""
         while self.on:
-            sid = SIDS[self.asked]
-            self.asked += 1
+            sid = SIDS[self.sent]
+            self.sent += 1
             with socket.create_connection(self._program.address) as sock:  # at once, however busy this loop is
                 sock.setblocking(False)
                 sock.send(setup(sid, FIGURES=SMALL))
@@ -115,30 +115,30 @@
     def _answered(self, sock: socket.socket) -> Co[bool]:
         decoder, data = binary.Decoder(), list[bytes]()
 
-        def come() -> bool:
+        def received() -> bool:
             with contextlib.suppress(BlockingIOError):
                 data.append(sock.recv(65536))
             return bool(data)
 
-        yield from wait_for(come, 8000)
+        yield from wait_for(received, 8000)
         return any(message.kind == Kind.ANSWER for message in decoder.feed(data[0]))
 
 
 def short_tasks(host: Host) -> None:
-    """The host runs each task for 20 ms, but the one that stands, and answers the slow one when the test says so."""
+    """The host ends each task after 20 ms, except ``RUNNING``, and leaves the answer of ``SLOW`` to the test."""
 
     def run(link: Link, line: Line) -> None:
         if line.sid == SLOW:
             return
         link.send(MessageType.READY, line.sid, text="x")
-        if line.sid != STANDING:
+        if line.sid != RUNNING:
             host.platform.loop.call_later(20.0, lambda: link.send(MessageType.CLOSE, line.sid, code=16))
 
     host.on_open = run
 
 
 def take_down(platform: Platform, how: str) -> None:
-    """Discovery's process has been killed, or is stopped: the system takes connections, and nobody answers."""
+    """Kill discovery's process, or stop it: then the system accepts connections, and nobody answers."""
     platform.bulletin.mode = "silent"
     if how == "killed":
         platform.bulletin.acceptor.close()
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("how", ["killed", "stopped"])
-def test_idle_clients_hold_all_that_they_can_get_while_discovery_is_down(tmp_path: Path, how: str) -> None:
+def test_idle_clients_take_all_descriptors_while_discovery_is_down(tmp_path: Path, how: str) -> None:
     found = settings()
     found["policy_limits"]["keepalive"] = KEEPALIVE_MS
     seen: Counter[str] = Counter()
@@ -172,11 +172,11 @@
                     platform.loop.call_later(2.0, count)
 
             usual = yield from passes_test(platform, program, FRONT)
-            usual.transport.write(setup(STANDING, FIGURES=SMALL) + setup(SLOW, LEFT="20000"))
-            yield from wait_for_message(usual, STANDING, Kind.ANSWER)
+            usual.transport.write(setup(RUNNING, FIGURES=SMALL) + setup(SLOW, LEFT="20000"))
+            yield from wait_for_message(usual, RUNNING, Kind.ANSWER)
             count()
             idle = [IdleClient(platform, program.address, n, seen) for n in range(PROVEN)]
-            yield from wait_for(lambda: seen["closed"] >= PROVEN / 2, 8000)  # all for idleness, in one step
+            yield from wait_for(lambda: seen["closed"] >= PROVEN / 2, 8000)  # closed as idle, in one step
             idle += [IdleClient(platform, program.address, PROVEN + n, seen) for n in range(SILENT)]
             others = UsualClients(platform, program)
             platform._scope.spawn(others.run(), "usual clients")
@@ -185,12 +185,12 @@
             yield from wait_for(lambda: len(program.lines("bulletin_failed")) >= 3, 8000)
             yield from sleep(1500)
             yield from passes_test(platform, program, FRONT)
-            failed, asked = len(program.lines("bulletin_failed")), len(platform.bulletin.requests)
+            failed, requested = len(program.lines("bulletin_failed")), len(platform.bulletin.requests)
             bring_back(platform, how)
             platform.bulletin.publish(platform.host("newer").entry())
-            yield from wait_for(lambda: 2 in platform.bulletin.requests, 15_000)  # what it has told is held
-            assert len(program.lines("bulletin_failed")) <= failed + 1, "the first dial that can reach it does"
-            assert platform.bulletin.requests[asked:][:1] == [1]
+            yield from wait_for(lambda: 2 in platform.bulletin.requests, 15_000)  # event 2 has been applied
+            assert len(program.lines("bulletin_failed")) <= failed + 1, "the first dial after its return succeeds"
+            assert platform.bulletin.requests[requested:][:1] == [1]
             path = tmp_path / "config.json"
             path.write_text(json.dumps({**json.loads(path.read_text()), "name": "moved"}))
             os.kill(program.process.pid, signal.SIGHUP)
@@ -203,17 +203,17 @@
                 for line in host.lines(MessageType.OPEN):
                     if line.sid == SLOW:
                         host.links[-1].send(MessageType.READY, SLOW, text="x")
-            assert not usual.ended, "who has work open stays"
+            assert not usual.ended, "a client with an open task keeps its connection"
             faults = [line for line in program.lines() if "Too many open files" in str(line.get("why"))]
             assert not faults and not program.lines("reload_refused") and not program.lines("host_not_connected")
-            assert most[0] < LIMIT, "one is left for whatever must be opened"
-            assert others.asked == others.answered > 5
+            assert most[0] < LIMIT, "one descriptor is left for a file or a dial"
+            assert others.sent == others.answered > 5
 
     run_on_platform(tmp_path, body)
 
 
 class Shortage:
-    """While it lasts the system has no descriptor for a dial to a host, nor for a file."""
+    """While ``on``, the system has no descriptor for dials and files."""
 
     def __init__(self, platform: Platform, monkeypatch: pytest.MonkeyPatch) -> None:
         self.on, self.refused = False, 0
@@ -236,8 +236,8 @@
             raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
 
 
-def test_a_dial_without_a_descriptor_says_nothing_of_its_host(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The whole machine may be out of them. The host was taken for dead, and its tasks went elsewhere or failed."""
+def test_a_dial_without_a_descriptor_counts_against_no_host(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against taking a host for dead, and losing its tasks, when this machine is out of descriptors."""
 
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
@@ -256,8 +256,8 @@
     run_on_platform(tmp_path, body)
 
 
-def test_a_reload_without_a_descriptor_is_made_later(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It comes once: refused, the placer would ask a discovery that tells nothing any more until its end."""
+def test_a_reload_without_a_descriptor_is_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a placer that keeps polling an old discovery: SIGHUP comes once, so it must not be rejected."""
 
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
@@ -278,7 +278,7 @@
     run_on_platform(tmp_path, body)
 
 
-def test_no_more_descriptors_are_counted_on_than_the_system_grants(tmp_path: Path) -> None:
+def test_no_more_descriptors_are_used_than_the_system_allows(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         short_tasks(platform.host("s-1"))
         platform.bulletin.publish(*(host.entry() for host in platform.hosts.values()), everything=True)
@@ -299,8 +299,8 @@
     run_on_platform(tmp_path, body)
 
 
-def test_closes_that_linger_give_way_the_longest_first() -> None:
-    """Numbers alone: 64 descriptors, 8 of them for the process itself, 4 for closes that linger."""
+def test_the_oldest_lingering_closes_are_cut_first() -> None:
+    """64 descriptors: 8 for the process itself, 4 reserved for lingering closes."""
     connections = [0]
     descriptors = Descriptors(64, lambda: connections[0])
     loop = EpollLoop(1)
@@ -315,7 +315,7 @@
         assert descriptors.closing == 6 and descriptors.available() == 52
         connections[0] = 49
         descriptors.reclaim()
-        assert not any(transport.socket_closed for transport in ending), "56 are for all, and one more fits"
+        assert not any(transport.socket_closed for transport in ending), "56 are shared, and one more connection fits"
         connections[0] = 52
         descriptors.reclaim()
         assert [transport.socket_closed for transport in ending] == [True, True, True, False, False, False]
--- a/tests/node/test_newcomers.py
+++ b/tests/node/test_new_connections.py
@@ -1,4 +1,4 @@
-"""Who is taken and who makes room while idle clients come by the hundred; on virtual time."""
+"""Which connections are accepted and which are closed while hundreds of idle clients connect; on virtual time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Front:
-    """Clients' side of a placer with 64 descriptors: 32 connections of clients."""
+    """The owners' side of a placer with 64 descriptors and at most 32 client connections."""
 
     def __init__(self) -> None:
         self.loop, self.counters = SocketLoop(), Counter[str]()
@@ -49,17 +49,17 @@
         self.socks: list[VirtualSock] = []
 
     def idle(self, number: int) -> None:
-        """So many connect and say nothing."""
+        """That many clients connect and send nothing."""
         self.socks += [self.loop.arrive(ADDRESS, f"127.0.1.1:{n}") for n in range(number)]
 
-    def come_back(self) -> None:
-        """Who was closed connects again at once."""
+    def reconnect(self) -> None:
+        """The clients whose connections were closed connect again at once."""
         closed = [sock for sock in self.socks if sock.closed]
         self.socks = [sock for sock in self.socks if not sock.closed]
         self.idle(len(closed))
 
 
-def test_a_newcomer_whose_first_message_is_on_its_way_is_not_pushed_out_by_those_that_come_back() -> None:
+def test_reconnecting_clients_do_not_evict_one_whose_first_message_is_in_flight() -> None:
     front = Front()
     front.idle(200)
     front.loop.pass_ms(200.0)
@@ -67,29 +67,29 @@
         usual = front.loop.arrive(ADDRESS, "127.0.2.1:1")
         waited = 0
         while usual in front.loop.listeners[ADDRESS].backlog:
-            front.come_back()
+            front.reconnect()
             front.loop.pass_ms(1.0)
             waited += 1
         for _ in range(int(ARRIVAL_GRACE_MS) - 10):
-            front.come_back()
+            front.reconnect()
             front.loop.pass_ms(1.0)
         usual.inbox.append(TEST)
         front.loop.pass_ms(1.0)
         assert usual.sent and not usual.closed
-        assert waited <= 7 * ARRIVAL_GRACE_MS, "200 before it, 32 of them at a time"
+        assert waited <= 7 * ARRIVAL_GRACE_MS, "200 are before it, and 32 are accepted at a time"
     assert front.counters["owners_turned_away"] == 0
 
 
-def test_those_that_come_back_are_taken_no_faster_than_one_place_for_each_arrival() -> None:
+def test_reconnecting_clients_are_accepted_at_a_limited_rate() -> None:
     front = Front()
     front.idle(200)
     for _ in range(1000):
-        front.come_back()
+        front.reconnect()
         front.loop.pass_ms(1.0)
     assert front.counters["owner_room"] <= 32 * 1000.0 / ARRIVAL_GRACE_MS
 
 
-def test_a_newcomer_waits_for_nobody_where_there_is_room_or_one_that_has_been_idle() -> None:
+def test_a_new_client_is_accepted_at_once_with_a_free_or_idle_connection() -> None:
     front = Front()
     front.idle(31)
     front.loop.pass_ms(1.0)
@@ -102,8 +102,8 @@
     assert usual.sent and front.counters["owner_room"] == 1
 
 
-def test_closes_that_linger_are_counted_with_the_connections() -> None:
-    """All that were served once are closed for idleness in one step, and come back while we wait for their end."""
+def test_lingering_closes_are_counted_with_the_connections() -> None:
+    """All served clients are closed as idle in one step, and connect again while their closes linger."""
     front = Front()
     for n in range(32):
         sid = f"5ec{n:013x}"
@@ -118,14 +118,14 @@
 
 
 def alone_on_their_hosts() -> dict[str, Any]:
-    """Settings by which a service has one task on a host, so that many hosts are in use."""
+    """Settings by which a service has at most one task on a host, so that many hosts are in use."""
     found = settings()
     spread = {"class_spread": ["machine"] * 2, "most_together": [1, 1]}
     return {**found, "family_info": {**found["family_info"], **spread}}
 
 
-def test_closes_of_hosts_connections_are_counted_too(tmp_path: Path) -> None:
-    """Forty are closed for idleness in one step and forty others are dialled, with 64 descriptors."""
+def test_lingering_closes_of_host_connections_are_counted_too(tmp_path: Path) -> None:
+    """Forty connections are closed as idle in one step and forty others are dialled, with 64 descriptors."""
 
     def body(placer: Placer) -> Co[None]:
         client = placer.loop.arrive(ADDRESS, "127.0.0.9:1")
@@ -145,7 +145,7 @@
         assert before > 30
         while not placer.service.counters["host_link_idle"]:
             yield from sleep(10)
-        assert held() == before, "their ends have not come"
+        assert held() == before, "the closes linger"
         yield from ask(100)
         assert placer.service.counters["over_ok"] == 80
 
@@ -154,11 +154,9 @@
     run_virtual(tmp_path, body, known=known_hosts(60), settings=found)
 
 
-@pytest.mark.parametrize("newcomers", [12, 60])
-def test_clients_have_their_share_of_descriptors_at_once_while_hosts_hold_the_rest(
-    tmp_path: Path, newcomers: int
-) -> None:
-    """With more hosts than descriptors all are in use. Newcomers had to push out one another, or to wait for one another."""
+@pytest.mark.parametrize("clients", [12, 60])
+def test_clients_get_their_share_of_descriptors_at_once_while_hosts_use_the_rest(tmp_path: Path, clients: int) -> None:
+    """Guards against new clients that evict or wait for one another while connections to hosts use all descriptors."""
 
     def body(placer: Placer) -> Co[None]:
         client = placer.loop.arrive(ADDRESS, "127.0.0.9:1")
@@ -169,14 +167,14 @@
             yield from sleep(1)
         assert placer.service.descriptors.available() <= 0
         closed = counters["host_link_room"]
-        first = [placer.loop.arrive(ADDRESS, f"127.0.1.1:{n}") for n in range(newcomers)]
+        first = [placer.loop.arrive(ADDRESS, f"127.0.1.1:{n}") for n in range(clients)]
         yield from sleep(2)
         for sock in first[:12]:
             sock.inbox.append(TEST)
         yield from sleep(2)
-        assert all(sock.sent and not sock.closed for sock in first[:12]), "each is there when its message comes"
+        assert all(sock.sent and not sock.closed for sock in first[:12]), "each is connected when its message comes"
         for sock in placer.loop.listeners[ADDRESS].backlog:
-            assert sock in first[20:], "21 are their share"
+            assert sock in first[20:], "21 connections are the clients' share"
         yield from sleep(4 * ARRIVAL_GRACE_MS)
         assert not placer.loop.listeners[ADDRESS].backlog
         assert counters["host_link_room"] - closed <= 21 and not counters["owners_turned_away"]
--- a/tests/node/test_ready.py
+++ b/tests/node/test_ready.py
@@ -1,4 +1,4 @@
-"""What a start waits for: nothing that discovery or a host may keep from it. On virtual time, in the order of events."""
+"""A starting placer waits neither for discovery nor for a host. On virtual time."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 
 def passed(sock: VirtualSock) -> bool:
-    """Whether the test that was sent on that connection has been passed."""
+    """Whether the placer has answered the test on that connection as passed."""
     return [(m.kind, m.cause) for m in binary.Decoder().feed(bytes(sock.sent))] == [(Kind.TESTED, 1)]
 
 
 def passes_without_waiting(placer: Placer) -> Co[None]:
-    """A test that lies in the backlog is passed before any time has to pass."""
+    """A test from the listener's backlog is passed without virtual time passing."""
     began = placer.loop.now()
     front = placer.loop.arrive(LISTEN, "127.0.0.9:1", TEST)
-    for _ in range(6):  # turns: it is taken, read, answered
+    for _ in range(6):  # turns: the connection is accepted, read, answered
         yield from sleep(0)
     assert passed(front) and placer.loop.now() == began
 
 
-def unanswered(placer: Placer) -> None:
-    """Its dial does not come up."""
+def unreachable(placer: Placer) -> None:
+    """The dial to discovery does not complete."""
 
 
 def silent(placer: Placer) -> None:
@@ -49,8 +49,8 @@
         sock.up, sock.error = True, OSError(errno.ECONNREFUSED, os.strerror(errno.ECONNREFUSED))
 
 
-def whole_list(placer: Placer) -> None:
-    """It tells everything anew as soon as it is asked."""
+def full_list(placer: Placer) -> None:
+    """Discovery answers each request at once with the full list."""
     body = json.dumps(known_hosts(1000) | {"no": 2, "items": [{**known_hosts(1000)["items"][0], "no": 2}]}).encode()
     for sock in placer.dialled(DISCOVERY):
         if sock.sent and not sock.inbox:
@@ -59,22 +59,22 @@
 
 
 def reload(placer: Placer) -> None:
-    """SIGHUP names another discovery, which does not answer either."""
+    """SIGHUP switches to another discovery, which does not answer either."""
     placer.path.write_text(json.dumps({**placer.document, "bulletin": "127.0.0.3:2379"}))
     placer.service.reload()
 
 
 @pytest.mark.parametrize("hosts", [0, 400, 1000])
-@pytest.mark.parametrize("then", [unanswered, silent, refusing, whole_list, reload])
-def test_ready_at_once_whatever_discovery_does(tmp_path: Path, hosts: int, then: Callable[[Placer], None]) -> None:
+@pytest.mark.parametrize("discovery", [unreachable, silent, refusing, full_list, reload])
+def test_ready_at_once_whatever_discovery_does(tmp_path: Path, hosts: int, discovery: Callable[[Placer], None]) -> None:
     def body(placer: Placer) -> Co[None]:
         yield from passes_without_waiting(placer)
         for _ in range(200):
-            then(placer)
+            discovery(placer)
             yield from sleep(50)
             yield from passes_without_waiting(placer)
         seen = placer.service.counters
-        assert seen["lists"] > bool(hosts) if then is whole_list else seen["bulletin_failed"] > 2
+        assert seen["lists"] > bool(hosts) if discovery is full_list else seen["bulletin_failed"] > 2
         assert [line["hosts"] for line in placer.lines if line["event"] == "ready"] == [hosts]
         assert all(address[0] in ("127.0.0.2", "127.0.0.3") for address, _ in placer.loop.dialled), "no host is dialled"
 
@@ -82,15 +82,15 @@
 
 
 @pytest.mark.parametrize("bad", [None, "", {"no": 1}, {"no": 1, "items": [{"no": 7}]}])
-def test_ready_with_nothing_known(tmp_path: Path, bad: Any) -> None:
+def test_ready_without_known_hosts(tmp_path: Path, bad: Any) -> None:
     def body(placer: Placer) -> Co[None]:
         yield from passes_without_waiting(placer)
-        assert len(placer.dialled(DISCOVERY)) == 1, "discovery is asked at once"
+        assert len(placer.dialled(DISCOVERY)) == 1, "discovery is polled at once"
 
     run_virtual(tmp_path, body, known=bad)
 
 
-def test_what_is_known_is_placed_on_before_discovery_has_said_anything(tmp_path: Path) -> None:
+def test_tasks_are_placed_on_known_hosts_before_discovery_answers(tmp_path: Path) -> None:
     def body(placer: Placer) -> Co[None]:
         client = placer.loop.arrive(LISTEN, "127.0.0.9:1", setup(SID))
         for _ in range(20):
@@ -103,8 +103,8 @@
     run_virtual(tmp_path, body, known=known_hosts(3))
 
 
-def test_ready_while_all_known_hosts_keep_their_dials_waiting(tmp_path: Path) -> None:
-    """Its peers were killed with it, and their systems answer nothing."""
+def test_ready_while_all_dials_to_known_hosts_are_pending(tmp_path: Path) -> None:
+    """The hosts' machines went down together with the placer and do not answer."""
 
     def body(placer: Placer) -> Co[None]:
         for n in range(20):
--- a/tests/node/test_silent_hosts.py
+++ b/tests/node/test_silent_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that say nothing for a while, and the health checks that find out."""
+"""Hosts that send nothing for a while, and their health checks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_a_host_that_answers_its_checks_keeps_its_connection(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Checked again and again on the one connection, however long the host has nothing else to say."""
+    """The host is checked repeatedly on its one connection, however long it sends nothing else."""
     monkeypatch.setattr(health, "SUSPECT_AFTER_MS", 100.0)
     monkeypatch.setattr(health, "CHECK_TIMEOUT_MS", 10_000.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
@@ -37,21 +37,21 @@
     run_on_platform(tmp_path, body)
 
 
-# Guards against a call that is over for 8 s and whose caller is not told, since its host's last words were read late.
-@pytest.mark.parametrize("stood_still_ms", [0.0, 150.0, 400.0, 2000.0])
-def test_silence_counts_from_when_the_last_words_may_have_been_said(tmp_path: Path, stood_still_ms: float) -> None:
+# Guards against an owner that gets no release within 8 s of the task's end, since the host's last message was read late.
+@pytest.mark.parametrize("blocked_ms", [0.0, 150.0, 400.0, 2000.0])
+def test_silence_counts_from_when_the_last_message_may_have_arrived(tmp_path: Path, blocked_ms: float) -> None:
     def body(placer: Placer) -> Co[None]:
         yield from sleep(1)
         client = placer.loop.arrive(LISTEN, "127.0.2.1:1", setup(TASK))
         yield from sleep(5)
-        [carrying] = placer.dialled(host_address(0))
-        carrying.up = True
+        [sock] = placer.dialled(host_address(0))
+        sock.up = True
         yield from sleep(5)
-        carrying.inbox.append(jsonl.encode(MessageType.READY, TASK, text=jsonl.quoted("x")))
+        sock.inbox.append(jsonl.encode(MessageType.READY, TASK, text=jsonl.quoted("x")))
         yield from sleep(1000)
-        carrying.inbox.append(jsonl.encode(MessageType.EVENT, TASK, {"note": "cores", "value": "0.5"}))
-        died = placer.loop.time  # right after that word, and without a sign
-        placer.loop.time += stood_still_ms  # a turn that takes so long: the word lies unread
+        sock.inbox.append(jsonl.encode(MessageType.EVENT, TASK, {"note": "cores", "value": "0.5"}))
+        died = placer.loop.time  # right after that message, without a reset
+        placer.loop.time += blocked_ms  # a turn that takes so long: the message stays unread
         yield from sleep(died + RELEASE_RETENTION_MS - placer.loop.time)
         assert [message.kind for message in binary.Decoder().feed(bytes(client.sent))] == [Kind.ANSWER, Kind.RELEASE]
 
--- a/tests/node/virtual.py
+++ b/tests/node/virtual.py
@@ -1,4 +1,4 @@
-"""A loop on virtual time with sockets that lie in memory, and a placer on it: what it does, in the order of events alone."""
+"""A placer on a loop with virtual time and in-memory sockets, so that only the order of events counts."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class VirtualSock(Sock):
-    """One side's end. ``up`` is whether connecting has come through; ``sent`` holds what the other side can read."""
+    """The placer's end of a connection. ``up`` tells whether it is established; ``sent`` holds what the peer can read."""
 
     def __init__(self, peer: str, up: bool = True) -> None:
         self.peer, self.up = peer, up
-        self.inbox: list[bytes] = []  # ``b""`` is the other side's end
+        self.inbox: list[bytes] = []  # what the peer has sent; ``b""`` is its end of the stream
         self.sent = bytearray()
         self.ended = self.closed = self.was_reset = False
         self.error: OSError | None = None
@@ -50,7 +50,7 @@
 
 
 class VirtualListener(Listener):
-    """Connections wait in ``backlog`` until they are taken."""
+    """A listener whose connections wait in ``backlog`` until they are accepted."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -64,7 +64,7 @@
 
 
 class SocketLoop(VirtualLoop):
-    """What it listens on is in ``listeners``, what it dials in ``dialled``; no dial comes up by itself."""
+    """A loop with in-memory sockets: ``listeners`` by address, and all dials in ``dialled``; no dial completes by itself."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -82,7 +82,7 @@
         return sock
 
     def arrive(self, address: Address, peer: str, data: bytes = b"") -> VirtualSock:
-        """Somebody connects, and sends that; the placer's end of it."""
+        """A peer connects and sends ``data``; returns the placer's end of the connection."""
         sock = VirtualSock(peer)
         if data:
             sock.inbox.append(data)
@@ -118,12 +118,12 @@
 
 
 def host_address(number: int) -> tuple[str, int]:
-    """Where the host of that number listens."""
+    """The address of the host with that number."""
     return f"10.0.{number // 250}.{number % 250 + 1}", 2905
 
 
 def known_hosts(hosts: int) -> dict[str, Any]:
-    """What a configuration tells of so many hosts: one whole list."""
+    """The bulletin document of a configuration with that many hosts: one full list."""
     entries = [
         {
             "uid": f"s-{n}", "endpoint": "{}:{}".format(*host_address(n)), "az": "room-a", "model": "std",
@@ -135,7 +135,7 @@
 
 
 class Placer:
-    """A whole placer among virtual sockets; nobody answers its dials unless a test does."""
+    """A whole placer on virtual sockets; its dials are answered only by the test."""
 
     def __init__(self, loop: SocketLoop, scope: Scope, folder: Path, changes: dict[str, Any]) -> None:
         self.loop = loop
@@ -153,11 +153,11 @@
         scope.spawn(self.service.run(), "placer")
 
     def dialled(self, address: Address) -> list[VirtualSock]:
-        """The dials to that address so far."""
+        """The sockets dialled to that address so far."""
         return [sock for to, sock in self.loop.dialled if to == address]
 
     def serve_hosts(self) -> None:
-        """Each dial to a host comes up, and each host runs what it is sent and ends it at once."""
+        """Establish each dial to a host, and have the hosts accept and end each task at once."""
         for address, sock in self.loop.dialled:
             if address == DISCOVERY or sock.closed:
                 continue
@@ -170,7 +170,7 @@
 
 
 def run_virtual(folder: Path, body: Callable[[Placer], Co[None]], **changes: Any) -> None:
-    """Run a test's coroutine beside a placer whose configuration has these changes."""
+    """Run a test's coroutine beside a placer; ``changes`` are applied to its configuration."""
     loop = SocketLoop()
 
     def main(scope: Scope) -> Co[None]:
