--- a/sprucepost/node/health.py
+++ b/sprucepost/node/health.py
@@ -64,7 +64,7 @@
         self._loop, self._tasks, self._counters, self._log = loop, tasks, counters, log
         self._listed, self._end, self._release_silent = listed, end, release_silent
 
-    def heard(self, host: Host, link: HostLink) -> None:
+    def message_received(self, host: Host, link: HostLink) -> None:
         """Record that a message has come from the host on that connection."""
         if link.check_sent is not None:
             self._log.host(host.uid, "checked", link=link.number, after=round(self._loop.now() - link.check_sent, 1))
--- a/sprucepost/node/host.py
+++ b/sprucepost/node/host.py
@@ -49,7 +49,7 @@
         self.waiting: list[Attempt] = []  # offers for which a connection is being opened
         self.dialing = 0  # connections that are being opened
         self.failed_dials = 0  # in a row
-        self.dial_never_left = False  # whether the last dial failed on this machine, for want of a resource
+        self.dial_failed_locally = False  # whether the last dial failed on this machine, for want of a resource
         self.needs_reconnect = False  # a connection broke while a task of ours ran here, and none was opened since
         self.redial_at = 0.0  # not before
         self.last_heard = 0.0  # when its last message came; 0 while no task of ours runs there
--- a/sprucepost/node/hosts.py
+++ b/sprucepost/node/hosts.py
@@ -2,7 +2,7 @@
 
 A set-up gets a connection without another open set-up, as long as there may be one more connection: a message that cannot
 be parsed ends its connection, and every set-up open there may then have run. A connection on which a set-up timed out
-carries no other one: a late message there could not be told from one on a second offer of the same task to that host.
+carries no other one: a late message there could not be told from one about a second offer of the same task to that host.
 
 A running task does not belong to a connection, so one connection is kept to every host that runs tasks of this placer.
 What the end of a connection proves: a refused dial proves that the host's process, and with it every task there, is gone;
@@ -143,8 +143,8 @@
     def _serve(self, host: Host) -> None:
         """Send the offers that wait, as soon as the dispatcher allows it. Each goes to a free connection, else to a new one,
         else, where no more may be opened, to the one with the fewest open set-ups."""
-        not_caught_up = 0
-        while not_caught_up < len(host.waiting):
+        postponed = 0
+        while postponed < len(host.waiting):
             now, attempt = self.loop.now(), host.waiting[0]
             usable = [link for link in host.links if link.usable and now - link.last_used < self._idle_ms / 2]
             free = [link for link in usable if not link.open]
@@ -165,7 +165,7 @@
                 return
             host.waiting.remove(attempt)
             if not self._tasks.owner_input_read(attempt):
-                not_caught_up += 1
+                postponed += 1
                 host.waiting.append(attempt)
                 self._dispatcher.postpone(host)
                 continue
@@ -195,7 +195,7 @@
     def connection_failed_locally(self, attempt: Attempt) -> bool:
         """Whether the offer has no connection because the last dial failed on this machine."""
         host = self.hosts.get(attempt.machine)
-        return attempt.link is None and host is not None and host.dial_never_left
+        return attempt.link is None and host is not None and host.dial_failed_locally
 
     def withdraw(self, attempt: Attempt) -> None:
         """Withdraw the offer. Where it was written, the host gets a close, and the connection takes no other set-up. Where
@@ -288,13 +288,13 @@
         except (OSError, TimedOut) as error:
             host.dialing -= 1
             if self.hosts.get(host.uid) is host and is_local_shortage(error):
-                self._dial_never_left(host)
+                self._retry_after_local_failure(host)
             elif self.hosts.get(host.uid) is host:
                 self._not_connected(host, error, began)
             return
         host.dialing -= 1
         host.failed_dials = 0
-        host.dial_never_left = host.needs_reconnect = False
+        host.dial_failed_locally = host.needs_reconnect = False
         if self.hosts.get(host.uid) is not host:
             transport.abort()
             return
@@ -317,7 +317,7 @@
     def _not_connected(self, host: Host, error: Exception, began: float) -> None:
         """Handle a failed dial that ``began`` at that time of the loop's clock, in ms."""
         host.failed_dials += 1
-        host.dial_never_left = False
+        host.dial_failed_locally = False
         suspected = self._health.suspected(host)
         pause = REDIAL_MS if suspected else min(REDIAL_MS * 2.0 ** (host.failed_dials - 1), REDIAL_MAX_MS)
         host.redial_at = self.loop.now() + pause
@@ -335,10 +335,10 @@
         if self._health.suspected(host):
             self.loop.call_later(pause, lambda: self._reconnect(host))
 
-    def _dial_never_left(self, host: Host) -> None:
-        """Dial again after a pause: this system had no descriptor, port or route, which says nothing about the host."""
+    def _retry_after_local_failure(self, host: Host) -> None:
+        """Dial again after ``REDIAL_MS``: this machine had no descriptor, port or route, so the host is not to blame."""
         self.counters["dials_short"] += 1
-        host.dial_never_left = True
+        host.dial_failed_locally = True
         self.close_idle_connection()
         host.redial_at = self.loop.now() + REDIAL_MS
 
@@ -390,7 +390,7 @@
         """Decode and handle what was read on a connection; end it where the bytes cannot be parsed."""
         for line in link.decoder.feed(data):
             link.last_used = self.loop.now()
-            self._health.heard(host, link)
+            self._health.message_received(host, link)
             self._handle_line(link, host, line)
         if link.decoder.error is not None:
             self.counters["host_malformed"] += 1
@@ -438,16 +438,18 @@
         for uid in self._tasks.placed.keys() - self.hosts.keys():
             self._tasks.host_lost(uid, "unlisted", before=self.loop.now() - health.SILENT_AFTER_MS)
         for host in list(self.hosts.values()):
-            standing = host.uid in self._tasks.placed
+            has_tasks = host.uid in self._tasks.placed
             for link in list(host.links):
                 idle = (
-                    not link.open and now - link.last_used > self._idle_ms / 2 and (len(host.links) > 1 or not standing)
+                    not link.open
+                    and now - link.last_used > self._idle_ms / 2
+                    and (len(host.links) > 1 or not has_tasks)
                 )
                 if idle and not link.transport.read_now():
                     self._end(host, link, "idle")
             host.pending_releases = {sid: until for sid, until in host.pending_releases.items() if until > now}
             self._health.review(host)
-            if not standing:
+            if not has_tasks:
                 host.needs_reconnect = False
                 self._remove_if_unused(host)
                 if not host.pending_releases:
