--- a/tests/play/test_cold_starts.py
+++ b/tests/play/test_cold_starts.py
@@ -47,17 +47,17 @@
 class CountsNoOpenOffer(Scheduler):
     """At fault: an offer counts for a window from its decision, whenever it may arrive."""
 
-    def _record(self, attempt: object, number: int) -> None:
-        super()._record(attempt, number)  # type: ignore[arg-type]
-        super()._answered(attempt.machine)  # type: ignore[attr-defined]
+    def _register_attempt(self, attempt: object, number: int) -> None:
+        super()._register_attempt(attempt, number)  # type: ignore[arg-type]
+        super()._record_answer(attempt.machine)  # type: ignore[attr-defined]
 
-    def _answered(self, machine: Machine) -> None:
+    def _record_answer(self, machine: Machine) -> None:
         pass
 
-    def _cold_room(self, machine: Machine) -> bool:
+    def _has_cold_allowance(self, machine: Machine) -> bool:
         open_offers, machine.attempts = machine.attempts, {}
         try:
-            return super()._cold_room(machine)
+            return super()._has_cold_allowance(machine)
         finally:
             machine.attempts = open_offers
 
@@ -65,7 +65,7 @@
 class ForgetsWhatHasGone(Scheduler):
     """At fault: a cold machine that comes back into the list is taken for a new one."""
 
-    def _needed(self, machine: Machine) -> bool:
+    def _must_retain(self, machine: Machine) -> bool:
         return bool(machine.attempts)
 
 
@@ -74,7 +74,7 @@
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
         found = super().handle(now, [])
-        self.born = -1.0
+        self.started_at = -1.0
         return found + super().handle(now, events)
 
 
--- a/tests/test_decision_slices.py
+++ b/tests/test_decision_slices.py
@@ -71,7 +71,7 @@
     fleet.list(i.ListKind.DELTA, {f"new{n}": i.MachineState.READY for n in range(MOVED)})
     fleet.longest = 0.0
     fleet.run(8500.0)  # a round of turns
-    assert not any(service.asked for service in fleet.scheduler.services.values()), "each service was revised"
+    assert not any(service.request_count for service in fleet.scheduler.services.values()), "each service was revised"
     assert fleet.longest <= BATCH_MOST_S
 
 
