--- a/sprucepost/__init__.py
+++ b/sprucepost/__init__.py
@@ -1,6 +1,6 @@
 """sprucepost: placement decisions for long-lived tasks on a shared cluster.
 
-The decisions are in :mod:`sprucepost.scheduler`; the types they speak are in :mod:`sprucepost.interface`.
+The decisions are in :mod:`sprucepost.scheduler`; its events, actions and settings are in :mod:`sprucepost.interface`.
 """
 
 from sprucepost.interface import Settings
--- a/sprucepost/adapter.py
+++ b/sprucepost/adapter.py
@@ -1,4 +1,4 @@
-"""Speaks the simulator's line protocol for any number of schedulers: wire to interface and back.
+"""Adapter between the simulator's line protocol and the schedulers' interface, for any number of schedulers.
 
 Run it with ``python -m sprucepost.adapter``. Each batch on standard input gets one reply on standard output.
 """
@@ -15,14 +15,14 @@
 from sprucepost.scheduler import Scheduler
 
 EFFECTS = {"pure": i.Effect.SAFE, "token": i.Effect.KEYED, "side_effect": i.Effect.UNSAFE}
-PLACES = {
+SCOPES = {
     "off": i.Scope.NONE,
     "machine": i.Scope.MACHINE,
     "cell": i.Scope.CELL,
     "zone": i.Scope.ZONE,
     "all": i.Scope.ALL,
 }
-REPORTS = {
+REPORT_FIELDS = {
     "x0": "free_cores",
     "x1": "free_memory",
     "utilization": "busy",
@@ -32,12 +32,12 @@
 REPEAT_FLAG = 16
 
 
-class WireError(Exception):
-    """Input that does not follow the protocol."""
+class ProtocolError(Exception):
+    """Input that violates the protocol."""
 
 
-def _need(mapping: Any, key: str) -> Any:
-    """The value at a dotted key; ValueError naming the key where it is missing."""
+def _required(mapping: Any, key: str) -> Any:
+    """Return the value at a dotted key; ValueError names a key that is missing."""
     for part in key.split("."):
         if not isinstance(mapping, dict) or part not in mapping:
             raise ValueError(f"{key}: missing")
@@ -45,10 +45,10 @@
     return mapping
 
 
-def _choice(key: str, table: dict[str, Any], word: Any) -> Any:
-    if word not in table:
-        raise ValueError(f"{key}: unknown value {word!r}")
-    return table[word]
+def _choice(key: str, table: dict[str, Any], value: Any) -> Any:
+    if value not in table:
+        raise ValueError(f"{key}: unknown value {value!r}")
+    return table[value]
 
 
 def _number(key: str, value: Any) -> float:
@@ -64,8 +64,8 @@
 
 
 def _classes(info: dict[str, Any]) -> tuple[i.TaskClass, ...]:
-    family = _need(info, "family_info")
-    classes = _list("classes", _need(info, "classes"))
+    family = _required(info, "family_info")
+    classes = _list("classes", _required(info, "classes"))
 
     def per_class(key: str, n: int, default: Any) -> Any:
         values = _list(f"family_info.{key}", family.get(key) or [])
@@ -74,16 +74,16 @@
     return tuple(
         i.TaskClass(
             name=str(entry.get("name", n)),
-            aim=_number("classes.objective", _need(entry, "objective")),
-            deadline=_number("classes.deadline", _need(entry, "deadline")),
-            effect=_choice("classes.effect", EFFECTS, _need(entry, "effect")),
-            worth=_number("classes.worth", _need(entry, "worth")),
+            aim=_number("classes.objective", _required(entry, "objective")),
+            deadline=_number("classes.deadline", _required(entry, "deadline")),
+            effect=_choice("classes.effect", EFFECTS, _required(entry, "effect")),
+            worth=_number("classes.worth", _required(entry, "worth")),
             late_worth=_number("classes.late_value", entry.get("late_value", 0.0)),
             start_worth=_number("family_info.class_start_s", per_class("class_start_s", n, 0.0)),
-            group=_choice("classes.key_scope", PLACES, entry.get("key_scope", "all")),
+            group=_choice("classes.key_scope", SCOPES, entry.get("key_scope", "all")),
             window=_number("classes.window", entry.get("window", 0.0)),
             kind=int(_number("family_info.class_kind", per_class("class_kind", n, -1))),
-            spread=_choice("family_info.class_spread", PLACES, per_class("class_spread", n, "off")),
+            spread=_choice("family_info.class_spread", SCOPES, per_class("class_spread", n, "off")),
             most=int(_number("family_info.most_together", per_class("most_together", n, 0))),
             priority=int(_number("family_info.precedence", per_class("precedence", n, 0))),
             calm=_number("family_info.calm_level", per_class("calm_level", n, 1.0)),
@@ -94,16 +94,18 @@
 
 
 def _kinds(info: dict[str, Any]) -> tuple[i.MachineKind, ...]:
-    cores = _list("family_info.cores_by_kind", _need(info, "family_info.cores_by_kind"))
-    memory = _list("family_info.memory_by_kind", _need(info, "family_info.memory_by_kind"))
+    cores = _list("family_info.cores_by_kind", _required(info, "family_info.cores_by_kind"))
+    memory = _list("family_info.memory_by_kind", _required(info, "family_info.memory_by_kind"))
     names = info.get("skus") or [str(n) for n in range(len(cores))]
     if not len(cores) == len(memory) == len(names):
         raise ValueError("family_info.memory_by_kind: must give one value for each kind")
     return tuple(
         i.MachineKind(
-            str(name), _number("family_info.cores_by_kind", size), _number("family_info.memory_by_kind", room)
+            str(name),
+            _number("family_info.cores_by_kind", kind_cores),
+            _number("family_info.memory_by_kind", kind_memory),
         )
-        for name, size, room in zip(names, cores, memory, strict=True)
+        for name, kind_cores, kind_memory in zip(names, cores, memory, strict=True)
     )
 
 
@@ -120,27 +122,27 @@
 
 
 def report_fields(names: Iterable[str]) -> list[str]:
-    """What the values of a load report are to the module, by their names in the settings; "" for nothing."""
-    return [REPORTS.get(word, "") for word in names]
+    """Return the LoadReport fields for the names of a report's values in the settings; "" for an unknown name."""
+    return [REPORT_FIELDS.get(name, "") for name in names]
 
 
 def settings_from(info: Any) -> i.Settings:
-    """Settings from the first message's object; ValueError names the key that is missing or senseless."""
+    """Return the settings from the object of an UP line; ValueError names a key that is missing or invalid."""
 
     def number(key: str) -> float:
-        return _number(key, _need(info, key))
+        return _number(key, _required(info, key))
 
-    family, limits = _need(info, "family_info"), _need(info, "policy_limits")
+    family, limits = _required(info, "family_info"), _required(info, "policy_limits")
     modes = {mode.value: mode for mode in i.ListMode}
     return i.Settings(
         number=int(number("me")),
         n_instances=int(number("n_instances")),
         zone=int(number("zone")),
-        zones=tuple(str(zone) for zone in _list("areas", _need(info, "areas"))),
+        zones=tuple(str(zone) for zone in _list("areas", _required(info, "areas"))),
         kinds=_kinds(info),
         classes=_classes(info),
         tenants=_tenants(info),
-        list_mode=_choice("membership_mode", modes, _need(info, "membership_mode")),
+        list_mode=_choice("membership_mode", modes, _required(info, "membership_mode")),
         max_attempts=int(number("policy_limits.max_attempts")),
         accepts_cores=number("family_info.admit_cores"),
         accepts_memory=number("family_info.accepts_memory"),
@@ -160,21 +162,21 @@
     )
 
 
-class _Parts:
-    """The parts of one line, read in order; ``-`` and missing ones are absent."""
+class _Fields:
+    """The space-separated fields of one line, read in order; ``-`` and missing fields are absent."""
 
     def __init__(self, text: str) -> None:
-        self.parts = text.split(" ")
-        self.at = 0
+        self.values = text.split(" ")
+        self.position = 0
 
     def text(self, default: str | None = None) -> str:
-        part = self.parts[self.at] if self.at < len(self.parts) else "-"
-        self.at += 1
-        if part in ("-", ""):
+        field = self.values[self.position] if self.position < len(self.values) else "-"
+        self.position += 1
+        if field in ("-", ""):
             if default is None:
-                raise ValueError("a value is missing")
+                raise ValueError("a field is missing")
             return default
-        return part
+        return field
 
     def number(self, default: float | None = None) -> float:
         value = float(self.text(None if default is None else str(default)))
@@ -186,27 +188,27 @@
         return int(self.text(None if default is None else str(default)))
 
     def rest(self) -> str:
-        return " ".join(self.parts[self.at :])
+        return " ".join(self.values[self.position :])
 
 
-def _entry(parts: _Parts) -> i.MachineEntry:
-    zone, memory, state = parts.integer(0), parts.number(0.0), i.MachineState(parts.integer())
-    machine, cell, started = parts.text(), parts.integer(0), parts.number(0.0)
-    parts.text("")  # the rating says nothing that the kind does not
-    cores, kind = parts.number(0.0), parts.integer(0)
+def _entry(fields: _Fields) -> i.MachineEntry:
+    zone, memory, state = fields.integer(0), fields.number(0.0), i.MachineState(fields.integer())
+    machine, cell, started = fields.text(), fields.integer(0), fields.number(0.0)
+    fields.text("")  # the rating adds nothing to the machine kind
+    cores, kind = fields.number(0.0), fields.integer(0)
     return i.MachineEntry(machine, state, zone, cell, kind, started, cores, memory)
 
 
-def _request(parts: _Parts) -> i.TaskRequest:
+def _request(fields: _Fields) -> i.TaskRequest:
     request, task_class, tenant, task, left = (
-        parts.integer(),
-        parts.integer(),
-        parts.integer(0),
-        parts.text(""),
-        parts.number(),
+        fields.integer(),
+        fields.integer(),
+        fields.integer(0),
+        fields.text(""),
+        fields.number(),
     )
-    life = parts.text("")
-    service, cores, memory, flags = parts.text(), parts.number(0.0), parts.number(0.0), parts.integer(0)
+    lifetime = fields.text("")
+    service, cores, memory, flags = fields.text(), fields.number(0.0), fields.number(0.0), fields.integer(0)
     return i.TaskRequest(
         request,
         task_class,
@@ -216,116 +218,116 @@
         left,
         tenant,
         task,
-        float(life) if life and flags & 1 else None,
+        float(lifetime) if lifetime and flags & 1 else None,
         bool(flags & REPEAT_FLAG),
     )
 
 
 class Adapter:
-    """Hosts one scheduler for each instance and turns batches into replies."""
+    """Runs one scheduler for each instance and answers batches of lines."""
 
     def __init__(self) -> None:
         self.schedulers: dict[str, Scheduler] = {}
         self.report_fields: dict[str, list[str]] = {}
-        self.rosters: dict[int, tuple[i.MachineEntry, ...]] = {}
-        self.roster: tuple[int, int, list[i.MachineEntry]] | None = None
+        self.complete_rosters: dict[int, tuple[i.MachineEntry, ...]] = {}
+        self.open_roster: tuple[int, int, list[i.MachineEntry]] | None = None
         self.now: float | None = None
         self.events: dict[str, list[i.Event]] = {}
         self.reply: list[str] = []
-        self.readers: dict[str, Callable[[str, _Parts], i.Event | None]] = {
-            "DIRECTORY_UPDATE": self._list,
-            "DEMAND": lambda name, parts: _request(parts),
-            "FOUND": self._found,
-            "ACCEPTED": self._accepted,
-            "STATUS_NOTE": self._note,
-            "RESPONSE": self._outcome,
-            "LAPSED": lambda name, parts: i.RequestAbandoned(parts.integer()),
-            "BELL": lambda name, parts: i.TimerFired(parts.rest()),
+        self.parsers: dict[str, Callable[[str, _Fields], i.Event | None]] = {
+            "DIRECTORY_UPDATE": self._parse_list,
+            "DEMAND": lambda name, fields: _request(fields),
+            "FOUND": self._parse_found,
+            "ACCEPTED": self._parse_accepted,
+            "STATUS_NOTE": self._parse_note,
+            "RESPONSE": self._parse_outcome,
+            "LAPSED": lambda name, fields: i.RequestAbandoned(fields.integer()),
+            "BELL": lambda name, fields: i.TimerFired(fields.rest()),
         }
 
-    def line(self, line: str) -> list[str] | None:
-        """Take one line; at the end of a batch return the reply's lines."""
-        word, _, rest = line.partition(" ")
-        parts = _Parts(rest)
-        if self.roster is not None and word != "ROW":
-            raise WireError("a ROSTER has fewer ROW lines than it says")
-        if word == "TURN":
+    def handle_line(self, line: str) -> list[str] | None:
+        """Process one line; at the end of a batch return the lines of the reply, otherwise None."""
+        keyword, _, rest = line.partition(" ")
+        fields = _Fields(rest)
+        if self.open_roster is not None and keyword != "ROW":
+            raise ProtocolError("a ROSTER has fewer ROW lines than it announced")
+        if keyword == "TURN":
             if self.now is not None:
-                raise WireError("TURN inside a batch")
-            self.now, self.events, self.reply = parts.number(), {}, []
+                raise ProtocolError("TURN inside a batch")
+            self.now, self.events, self.reply = fields.number(), {}, []
             return None
         if self.now is None:
             if not line.strip():
                 return None
-            raise WireError(f"{word} outside a batch")
-        if word == "FLUSH":
-            reply = self._finish(self.now)
+            raise ProtocolError(f"{keyword} outside a batch")
+        if keyword == "FLUSH":
+            reply = self._run_batch(self.now)
             self.now = None
             return reply
-        if word == "ROSTER":
-            self.roster = (parts.integer(), parts.integer(), [])
-            self._fill_roster()
-        elif word == "ROW":
-            if self.roster is None:
-                raise WireError("ROW outside a ROSTER")
-            self.roster[2].append(_entry(parts))
-            self._fill_roster()
-        elif word == "UP":
-            self._up(parts)
-        elif word == "KILLED":
-            name = parts.text()
+        if keyword == "ROSTER":
+            self.open_roster = (fields.integer(), fields.integer(), [])
+            self._complete_roster()
+        elif keyword == "ROW":
+            if self.open_roster is None:
+                raise ProtocolError("ROW outside a ROSTER")
+            self.open_roster[2].append(_entry(fields))
+            self._complete_roster()
+        elif keyword == "UP":
+            self._start_instance(fields)
+        elif keyword == "KILLED":
+            name = fields.text()
             self.schedulers.pop(name, None)
             self.events.pop(name, None)
-        elif word in self.readers:
-            name = parts.text()
-            event = self.readers[word](name, parts)
+        elif keyword in self.parsers:
+            name = fields.text()
+            event = self.parsers[keyword](name, fields)
             if event is not None and name in self.schedulers:
                 self.events.setdefault(name, []).append(event)
         return None
 
-    def _fill_roster(self) -> None:
-        if self.roster is not None and len(self.roster[2]) >= self.roster[1]:
-            self.rosters[self.roster[0]] = tuple(self.roster[2])
-            self.roster = None
+    def _complete_roster(self) -> None:
+        if self.open_roster is not None and len(self.open_roster[2]) >= self.open_roster[1]:
+            self.complete_rosters[self.open_roster[0]] = tuple(self.open_roster[2])
+            self.open_roster = None
 
-    def _up(self, parts: _Parts) -> None:
-        name, seed = parts.text(), parts.integer()
-        info = json.loads(parts.rest())
+    def _start_instance(self, fields: _Fields) -> None:
+        name, seed = fields.text(), fields.integer()
+        info = json.loads(fields.rest())
         self.schedulers[name] = Scheduler(settings_from(info), seed)
-        fields = (info.get("report") or {}).get("fields", [])
-        self.report_fields[name] = report_fields(fields)
+        names = (info.get("report") or {}).get("fields", [])
+        self.report_fields[name] = report_fields(names)
         self.events[name] = []
 
-    def _list(self, name: str, parts: _Parts) -> i.Event:
-        parts.text("")
-        number, kind = parts.integer(-1), i.ListKind(parts.integer())
+    def _parse_list(self, name: str, fields: _Fields) -> i.Event:
+        fields.text("")
+        number, kind = fields.integer(-1), i.ListKind(fields.integer())
         if kind is i.ListKind.FAILED:
             return i.MachineList(kind)
-        if number not in self.rosters:
-            raise ValueError("a list number that no ROSTER gave")
-        return i.MachineList(kind, self.rosters[number])
-
-    def _found(self, name: str, parts: _Parts) -> i.Event:
-        request = _request(parts)
-        return i.TaskFound(request, parts.text())
-
-    def _accepted(self, name: str, parts: _Parts) -> i.Event:
-        request, attempt = parts.integer(), parts.integer()
-        parts.text("")
-        return i.Accepted(request, attempt, parts.number(0.0))
-
-    def _note(self, name: str, parts: _Parts) -> i.Event | None:
-        request, attempt = parts.integer(), parts.integer()
-        parts.text("")
-        kind, value = parts.integer(), parts.number(0.0)
+        if number not in self.complete_rosters:
+            raise ValueError("no ROSTER has this list number")
+        return i.MachineList(kind, self.complete_rosters[number])
+
+    def _parse_found(self, name: str, fields: _Fields) -> i.Event:
+        request = _request(fields)
+        return i.TaskFound(request, fields.text())
+
+    def _parse_accepted(self, name: str, fields: _Fields) -> i.Event:
+        request, attempt = fields.integer(), fields.integer()
+        fields.text("")
+        return i.Accepted(request, attempt, fields.number(0.0))
+
+    def _parse_note(self, name: str, fields: _Fields) -> i.Event | None:
+        request, attempt = fields.integer(), fields.integer()
+        fields.text("")
+        kind, value = fields.integer(), fields.number(0.0)
         return i.StatusNote(request, attempt, i.StatusKind(kind), value) if kind in set(i.StatusKind) else None
 
-    def _outcome(self, name: str, parts: _Parts) -> i.Event:
-        request, attempt = parts.integer(), parts.integer()
-        parts.text("")
-        ending = i.Ending(parts.text())
-        parts.number(0.0)
-        closed, reason, usage = parts.integer(0), parts.integer(0), parts.text("")
+    def _parse_outcome(self, name: str, fields: _Fields) -> i.Event:
+        request, attempt = fields.integer(), fields.integer()
+        fields.text("")
+        ending = i.Ending(fields.text())
+        fields.number(0.0)
+        closed, reason, usage = fields.integer(0), fields.integer(0), fields.text("")
         report = None
         if usage and name in self.report_fields:
             values = [float(value) for value in usage.split(",")]
@@ -334,17 +336,17 @@
         known = i.Reason(reason) if reason in set(i.Reason) else i.Reason.UNTOLD
         return i.Outcome(request, attempt, ending, bool(closed), known, report)
 
-    def _finish(self, now: float) -> list[str]:
+    def _run_batch(self, now: float) -> list[str]:
         for name, events in self.events.items():
             try:
-                self.reply.extend(_written(name, self.schedulers[name].handle(now, events)))
-            except Exception as error:  # whatever the module raises is its declared failure
+                self.reply.extend(_encode_actions(name, self.schedulers[name].handle(now, events)))
+            except Exception as error:  # the protocol reports any exception of the module as a failure
                 text = " ".join(f"{type(error).__name__}: {error}".split())
                 self.reply.append(f"BAIL_OUT {name} {text}")
         return [*self.reply, "END"]
 
 
-def _written(name: str, actions: Iterable[i.Action]) -> Iterable[str]:
+def _encode_actions(name: str, actions: Iterable[i.Action]) -> Iterable[str]:
     for action in actions:
         if isinstance(action, i.Offer):
             yield f"TRY {name} {action.request} {action.machine} {action.timeout:.3f}"
@@ -361,26 +363,26 @@
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Answer batches until the input ends; 0 at a clean end, 1 after malformed input."""
+    """Answer batches until the input ends. Return the exit status: 0 at a clean end, 1 after malformed input."""
     adapter = Adapter()
     number = 0
     try:
         for line in source:
             number += 1
-            reply = adapter.line(line.rstrip("\r\n"))
+            reply = adapter.handle_line(line.rstrip("\r\n"))
             if reply is not None:
                 sink.write("\n".join(reply) + "\n")
                 sink.flush()
         if adapter.now is not None:
-            raise WireError("input ended inside a batch")
-    except (WireError, ValueError, RecursionError) as error:
+            raise ProtocolError("input ended inside a batch")
+    except (ProtocolError, ValueError, RecursionError) as error:
         print(f"sprucepost: line {number}: {error}", file=errors)
         return 1
     return 0
 
 
 def main() -> int:
-    """Serve standard input and output."""
+    """Serve batches from standard input on standard output; return the exit status."""
     return serve(sys.stdin, sys.stdout, sys.stderr)
 
 
--- a/sprucepost/interface.py
+++ b/sprucepost/interface.py
@@ -1,7 +1,9 @@
 """The interface of the decision module: its settings, the events it takes and the actions it returns.
 
-All times and durations are milliseconds on the caller's monotonic clock. Machines and services are named by
-opaque strings; zones, classes, tenants and machine kinds by their index in the settings.
+All times and durations are in milliseconds on the caller's monotonic clock; cores and memory are in the units of the
+machine kinds. Machines and services are identified by opaque strings; zones, classes, tenants and machine kinds by
+their index in the settings. Requests are identified by an integer that the caller chooses; attempts are numbered from
+0 within their request.
 """
 
 from __future__ import annotations
@@ -11,15 +13,15 @@
 
 
 class Effect(Enum):
-    """What a second run of a task does."""
+    """Whether a task may run a second time."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # a second run does no harm
+    KEYED = "keyed"  # machines of a group discard repeats of the task's key for a time
+    UNSAFE = "unsafe"  # a second run does harm
 
 
 class Scope(Enum):
-    """A set of machines: the group that discards repeats of a key, or the place a spread limit counts in."""
+    """A set of machines: the group that discards repeats of a key, or the domain of a spread limit."""
 
     NONE = "none"
     MACHINE = "machine"
@@ -29,30 +31,34 @@
 
 
 class ListMode(Enum):
-    """Whether list changes arrive unasked or only after Subscribe."""
+    """Whether changes of the machine list arrive by themselves or only after Subscribe."""
 
     PUSH = "push"
     ASK = "ask"
 
 
 class LoadBasis(Enum):
-    """What the free cores and memory of a load report leave out."""
+    """What counts as occupied in the free cores and memory of a load report."""
 
-    ASKED = "asked"
-    USED = "used"
+    ASKED = "asked"  # what the machine's tasks requested
+    USED = "used"  # what they use at the moment
 
 
 class MachineState(IntEnum):
+    """State of a machine in the list."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
 class ListKind(IntEnum):
-    DELTA = 0
+    """What a MachineList event contains."""
+
+    DELTA = 0  # changed entries only
     FULL = 1
-    CACHED = 2
-    FAILED = 3
+    CACHED = 2  # a full list that may be out of date
+    FAILED = 3  # nothing: the call for the list failed
 
 
 class Ending(Enum):
@@ -60,35 +66,35 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # refused by the machine
     TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
+    CONNECT_FAILED = "connect_failed"  # the offer never reached the machine
+    RESET = "reset"  # the connection broke, or the placed task was lost
     CANCELLED = "cancelled"
-    VOID = "moot"
+    VOID = "moot"  # the offer had no effect, and this says nothing about the machine
 
 
 class Reason(IntEnum):
     """Why an attempt was refused or a placed task was lost."""
 
-    UNTOLD = 0
+    UNTOLD = 0  # no reason was given
     NO_CORES = 1
     NO_MEMORY = 2
     QUEUE_FULL = 3
-    NOT_HERE = 4
+    NOT_HERE = 4  # the machine does not take such tasks
     EVICTED = 5
-    PUSHED_OUT = 6
-    SENT_AWAY = 7
+    PUSHED_OUT = 6  # preempted by a task of higher priority
+    SENT_AWAY = 7  # the machine drains and stops its tasks
 
 
 class StatusKind(IntEnum):
-    """What a note on an unfinished attempt tells."""
+    """What a status note reports, and the meaning of its value."""
 
-    RUNNING = 1
-    CORES_USED = 2
-    MEMORY_USED = 3
-    SERVED_SHARE = 4
-    MACHINE_MEMORY = 5
+    RUNNING = 1  # the task has started
+    CORES_USED = 2  # by the task
+    MEMORY_USED = 3  # by the task
+    SERVED_SHARE = 4  # share of full service that the task gets, from 0 to 1
+    MACHINE_MEMORY = 5  # share of the machine's memory in use
 
 
 def _check(key: str, ok: bool, wanted: str) -> None:
@@ -98,7 +104,7 @@
 
 @dataclass(frozen=True)
 class MachineKind:
-    """The size of one kind of machine."""
+    """One kind of machine and its size."""
 
     name: str
     cores: float
@@ -111,23 +117,23 @@
 
 @dataclass(frozen=True)
 class TaskClass:
-    """One class of tasks: its aims, its worth and what may be done with it."""
+    """One class of tasks: its time limits, its worth and the rules for placing and repeating it."""
 
     name: str
-    aim: float
-    deadline: float
+    aim: float  # ms within which a start earns its full worth
+    deadline: float  # ms that an owner waits for a placement
     effect: Effect
-    worth: float
+    worth: float  # of one second of full service
     late_worth: float = 0.0
     start_worth: float = 0.0
-    group: Scope = Scope.ALL
-    window: float = 0.0
-    kind: int = -1
-    spread: Scope = Scope.NONE
-    most: int = 0
+    group: Scope = Scope.ALL  # keyed: the machines that discard repeats of a key
+    window: float = 0.0  # keyed: ms for which they discard repeats, from the first attempt on
+    kind: int = -1  # index of the only machine kind that takes the class; -1: any
+    spread: Scope = Scope.NONE  # the domain that ``most`` applies to
+    most: int = 0  # tasks of one service that a scheduler may have in one such domain
     priority: int = 0
-    calm: float = 1.0
-    fade: float = 1.0
+    calm: float = 1.0  # share of busy cores up to which a task is served in full
+    fade: float = 1.0  # further share over which service drops to nothing
 
     def __post_init__(self) -> None:
         _check("classes.aim", self.aim > 0, "must be above 0")
@@ -143,7 +149,7 @@
 
 @dataclass(frozen=True)
 class Tenant:
-    """One tenant and the cores that its tasks may ask for, at all placers together, within its share."""
+    """One tenant; ``quota_cores`` limits the cores that its tasks may request at all placers together."""
 
     name: str
     share: float
@@ -155,30 +161,30 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """What one scheduler knows when it starts."""
+    """Settings of one scheduler; ValueError names a key whose value is out of range."""
 
-    number: int
-    n_instances: int
+    number: int  # of this scheduler, from 0
+    n_instances: int  # number of schedulers
     zone: int
     zones: tuple[str, ...]
     kinds: tuple[MachineKind, ...]
     classes: tuple[TaskClass, ...]
     list_mode: ListMode
-    max_attempts: int
-    accepts_cores: float
-    accepts_memory: float
-    cold_bears: float
-    fall: float
-    warm_after: float
-    ask_every: float
-    tick: float
+    max_attempts: int  # per request
+    accepts_cores: float  # machines accept tasks up to this many times their cores
+    accepts_memory: float  # and up to this many times their memory
+    cold_bears: float  # offers per ``fall`` that a cold machine can take from all schedulers together
+    fall: float  # ms, length of the sliding window of the cold limit
+    warm_after: float  # ms after its start for which a machine is cold
+    ask_every: float  # ms between two calls for the machine list
+    tick: float  # ms, granularity of the caller's timers
     tenants: tuple[Tenant, ...] = ()
-    over_share_worth: float = 1.0
-    max_retry_after: float = 0.0
-    room_in_list: bool = False
+    over_share_worth: float = 1.0  # factor on the worth of tasks of a tenant over its quota
+    max_retry_after: float = 0.0  # ms, upper limit of the delay in a refusal
+    room_in_list: bool = False  # whether list entries give free cores and memory
     report_counts: LoadBasis = LoadBasis.USED
-    runs_when_accepted: bool = False
-    preempts: bool = False
+    runs_when_accepted: bool = False  # whether an accepted task has started already
+    preempts: bool = False  # whether machines preempt tasks for one of higher priority
 
     def __post_init__(self) -> None:
         _check("n_instances", self.n_instances >= 1, "must be at least 1")
@@ -201,7 +207,7 @@
 
 @dataclass(frozen=True)
 class MachineEntry:
-    """One machine in the list: ``started`` is 0 if that was long ago, a place -1 if no list has told it."""
+    """One machine in the list. ``started`` is 0 if that was long ago; zone and cell are -1 while they are unknown."""
 
     machine: str
     state: MachineState = MachineState.GONE
@@ -212,17 +218,17 @@
     free_cores: float = 0.0
     free_memory: float = 0.0
 
-    def shares_scope(self, place: Scope, other: MachineEntry) -> bool:
-        """Whether the two machines are in one such place; one of unknown place may be anywhere."""
-        if place is Scope.MACHINE:
+    def shares_scope(self, scope: Scope, other: MachineEntry) -> bool:
+        """Whether both machines are in the same domain of this scope; an unknown location matches any."""
+        if scope is Scope.MACHINE:
             return self.machine == other.machine
-        here, there = (self.cell, other.cell) if place is Scope.CELL else (self.zone, other.zone)
-        return place is Scope.ALL or here == there or -1 in (here, there)
+        own, others = (self.cell, other.cell) if scope is Scope.CELL else (self.zone, other.zone)
+        return scope is Scope.ALL or own == others or -1 in (own, others)
 
 
 @dataclass(frozen=True)
 class MachineList:
-    """A change to the list of machines, the whole list, or word that a call for it failed."""
+    """A change to the machine list, a full list, or the failure of a call for it."""
 
     kind: ListKind
     entries: tuple[MachineEntry, ...] = ()
@@ -230,7 +236,11 @@
 
 @dataclass(frozen=True)
 class TaskRequest:
-    """A task to place; ``left`` is the time until its owner gives up on this ask."""
+    """A task to place.
+
+    ``left`` is the time in ms until its owner gives up on this request, ``lifetime`` the expected remaining run time in
+    ms, if known. ``repeat`` marks a request that its owner has sent before.
+    """
 
     request: int
     task_class: int
@@ -246,7 +256,7 @@
 
 @dataclass(frozen=True)
 class TaskFound:
-    """A task that already runs on a machine and is now this scheduler's to look after."""
+    """A task that already runs on a machine and that this scheduler has to account for from now on."""
 
     request: TaskRequest
     machine: str
@@ -254,7 +264,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """A machine's load as far as the site's reports tell it."""
+    """A machine's load; fields that the site's reports do not include are None."""
 
     free_cores: float | None = None
     free_memory: float | None = None
@@ -265,7 +275,7 @@
 
 @dataclass(frozen=True)
 class Accepted:
-    """The task is placed by this attempt."""
+    """A machine accepted the task in this attempt, ``elapsed`` ms after the offer."""
 
     request: int
     attempt: int
@@ -274,7 +284,7 @@
 
 @dataclass(frozen=True)
 class StatusNote:
-    """Word on an attempt that has not ended."""
+    """A status report on an attempt that has not ended."""
 
     request: int
     attempt: int
@@ -284,7 +294,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """How an attempt ended; ``closed`` where the request is over as well."""
+    """The end of an attempt; ``closed`` if the request is finished as well."""
 
     request: int
     attempt: int
@@ -296,22 +306,25 @@
 
 @dataclass(frozen=True)
 class RequestAbandoned:
-    """Nobody waits for the request any more."""
+    """The owner no longer waits for an answer to the request."""
 
     request: int
 
 
 @dataclass(frozen=True)
 class TimerFired:
-    """A timer set earlier has come due."""
+    """A timer that was set by SetTimer has fired."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class Membership:
-    """The schedulers to reckon with from now on. ``seat`` of ``seats`` share out what cold machines bear: while the
-    size changes they differ from the number and size; with no seats nothing is offered to a cold machine."""
+    """The number of schedulers, and this scheduler's slot for the limit on offers to cold machines.
+
+    The limit is divided among ``slots``. While the fleet's size changes, ``slot`` and ``slots`` differ from the
+    scheduler's number and the size. With no slots, nothing is offered to cold machines.
+    """
 
     n_instances: int
     slot: int
@@ -330,7 +343,7 @@
 
 @dataclass(frozen=True)
 class Offer:
-    """Offer the task to a machine, waiting at most ``timeout``."""
+    """Offer the task to a machine and wait at most ``timeout`` ms."""
 
     request: int
     machine: str
@@ -339,7 +352,7 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Final answer: refused, and a retry does no harm."""
+    """Final answer: refused; a retry does no harm, after ``retry_after`` ms."""
 
     request: int
     retry_after: float = 0.0
@@ -347,14 +360,14 @@
 
 @dataclass(frozen=True)
 class Fail:
-    """Final answer: failed, with no promise about its effect."""
+    """Final answer: failed; the task may have run."""
 
     request: int
 
 
 @dataclass(frozen=True)
 class SetTimer:
-    """Ask for TimerFired ``delay`` from now."""
+    """Request a TimerFired event in ``delay`` ms."""
 
     delay: float
     name: str
@@ -362,7 +375,7 @@
 
 @dataclass(frozen=True)
 class Subscribe:
-    """Ask for list changes from now on."""
+    """Request changes of the machine list from now on."""
 
 
 @dataclass(frozen=True)
--- a/sprucepost/random_source.py
+++ b/sprucepost/random_source.py
@@ -1,4 +1,4 @@
-"""Where chance comes from in parts that are free of I/O: whoever runs them hands in a seeded generator."""
+"""The random number generator that code without I/O takes from its caller, who seeds it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RandomSource(Protocol):
-    """What such a part draws; ``random.Random`` is one."""
+    """The methods of a generator that such code uses; ``random.Random`` has them."""
 
     def random(self) -> float: ...
     def uniform(self, a: float, b: float) -> float: ...
