--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,4 +1,4 @@
-"""Many schedulers and one cold machine that all of them want, without any network: how many offers meet in a window."""
+"""Counts the offers that many schedulers send to the same cold machines in a sliding window, without any network."""
 
 from __future__ import annotations
 
@@ -18,12 +18,15 @@
 
 @dataclass
 class Member:
-    """One scheduler: ``skew`` is what its clock is ahead, ``events`` what it is told at which time."""
+    """One scheduler. Times are in ms after START.
+
+    ``skew`` is how far its clock is ahead; ``timed_events`` are the events that it receives, each at its time.
+    """
 
     number: int
     size: int
     skew: float = 0.0
-    told: list[tuple[float, i.Event]] = field(default_factory=list)
+    timed_events: list[tuple[float, i.Event]] = field(default_factory=list)
     begins: float = 0.0
     ends: float = float("inf")
 
@@ -37,10 +40,10 @@
     seed: int = 1,
     answer: Callable[[float], float] = lambda now: 5.0,
 ) -> tuple[int, int]:
-    """The most offers that any window of ``fall`` brought to a machine, and how many there were in all.
+    """Return the most offers that a machine got in any window of ``fall`` ms, and the number of all offers.
 
-    Every member has tasks waiting at all times; each offer is accepted at once and done, so that the next may follow: a
-    refusal would keep its member away for longer than ``fall``, whatever its allowance.
+    Every member always has waiting tasks. Each offer is accepted and its task ends at once, so that the next may follow:
+    a refusal would keep its member away for longer than ``fall``, whatever its allowance.
     """
     base = settings(
         cold_bears=bears, fall=fall, warm_after=length * 2, accepts_cores=1e6, accepts_memory=1e6, max_attempts=10**9
@@ -57,9 +60,9 @@
 
     for index, member in enumerate(members):
         push(START + member.begins + rng.uniform(0.0, 50.0), index, None)
-        for at, told in member.told:
+        for at, change in member.timed_events:
             if at > member.begins:
-                push(START + at, index, told)
+                push(START + at, index, change)
     recent: dict[str, deque[float]] = {}
     worst = total = 0
     while queue and queue[0][0] < START + length:
@@ -71,9 +74,9 @@
         if event is None:
             scheduler = Scheduler(replace(base, number=member.number, n_instances=member.size), seed + index)
             schedulers[index] = scheduler
-            first = [told for at, told in member.told if at <= member.begins]  # known before any list
+            first = [change for at, change in member.timed_events if at <= member.begins]  # received before any list
             scheduler.handle(local, list(first))
-            # Its list came a while after its own start: machines older than itself would wait a `fall` first.
+            # The machines start after the scheduler: it sends nothing to older ones in its first window of `fall`.
             events: list[i.Event] = [full_list(*(replace(m, started=local + 1.0) for m in cold))]
             for service in range(2):
                 ask = i.TaskRequest(next(requests), 0, f"s{service}", 0.01, 0.01, length * 10)
--- a/tests/membership/test_resize.py
+++ b/tests/membership/test_resize.py
@@ -88,7 +88,7 @@
         if heard < 3000.0:
             told = [(3000.0, seat(generation, number, Side.OLD, START + 3000.0))]
         told.append((over_ms + number % 7 * late_ms / 7, seat(generation, number, Side.OLD, START + over_ms)))
-        members.append(Member(number, 88, told=told))
+        members.append(Member(number, 88, timed_events=told))
     for number in range(350):
         if number < 88:
             continue
@@ -96,7 +96,7 @@
         taken = seat(generation, number, Side.NEW, START + 16_000.0)
         ends = seat(generation, number, Side.NEW, START + over_ms)
         told = [(0.0, held), (16_000.0 if unheard else 5000.0, taken), (over_ms + number % 7 * late_ms / 7, ends)]
-        members.append(Member(number, 350, told=told, begins=5000.0))
+        members.append(Member(number, 350, timed_events=told, begins=5000.0))
     return members
 
 
@@ -111,7 +111,9 @@
 def test_without_waiting_for_those_who_have_not_heard_it_does_not_hold() -> None:
     members = change(88, 28_000.0, 0.0)
     hasty = [
-        replace(member, told=[(0.0, member.told[1][1]), *member.told[1:]]) if member.number >= 88 else member
+        replace(member, timed_events=[(0.0, member.timed_events[1][1]), *member.timed_events[1:]])
+        if member.number >= 88
+        else member
         for member in members
     ]
     assert worst_window(hasty, length=12_000.0)[0] > 30
--- a/tests/node/test_hard_cases.py
+++ b/tests/node/test_hard_cases.py
@@ -24,7 +24,7 @@
     machines = [entry(f"m{n}", started=START + 18_000.0, free_cores=1e6, free_memory=1e6) for n in range(3)]
     gone = i.MachineList(i.ListKind.DELTA, tuple(replace(machine, state=GONE) for machine in machines))
     back = i.MachineList(i.ListKind.DELTA, tuple(machines))
-    return Member(number, size, told=[(15_000.0, gone), (20_000.0, back)])
+    return Member(number, size, timed_events=[(15_000.0, gone), (20_000.0, back)])
 
 
 def test_a_zone_back_cold_and_told_late_to_all_in_one_tick_is_not_pushed_over() -> None:
--- a/tests/node/test_many_hosts.py
+++ b/tests/node/test_many_hosts.py
@@ -7,7 +7,7 @@
 
 from sprucepost.loop import Co, sleep
 from tests.node.virtual import Placer, host_address, known, play_virtual
-from tests.test_decision_slices import BATCH_MOST_S
+from tests.test_decision_slices import MAX_BATCH_S
 
 HOSTS, REPLACED = 3200, 1920
 
@@ -22,7 +22,7 @@
         assert told is not None
         began = time.process_time()
         placer.service.hosts.see(told)
-        assert time.process_time() - began <= BATCH_MOST_S
+        assert time.process_time() - began <= MAX_BATCH_S
         assert len(placer.service.hosts.hosts) == HOSTS + REPLACED
 
     play_virtual(tmp_path, body, known=known(HOSTS))
--- a/tests/play/test_cold_starts.py
+++ b/tests/play/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""What a fleet sends to machines that start cold: `benchmarks.cold_starts` with few starts, and schedulers at fault."""
+"""Offers of a fleet to cold machines: `benchmarks.cold_starts` with few starts, and faulty schedulers."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 from sprucepost.scheduler import Machine, Scheduler
 
 SIZE = 16
-TOLD_IN_TIME = [name for name in CONDITIONS if "known machine" not in name and "address" not in name]
-LATE_DIALS = CONDITIONS["all dials up to 1 s late, told in one tick"]
+NOTIFIED_IN_TIME = [name for name in CONDITIONS if "known machine" not in name and "address" not in name]
+LATE_CONNECTIONS = CONDITIONS["all dials up to 1 s late, told in one tick"]
 OUT_OF_ORDER = CONDITIONS["told out of order: there, gone, there"]
 RESTARTED = replace(CONDITIONS["7 in 10 restarted"], restarts=Restarts(1.0, times=2, down_ms=(200.0, 300.0)))
-WAITING = CONDITIONS["shares rounded, tasks waiting everywhere"]
+WAITING_TASKS = CONDITIONS["shares rounded, tasks waiting everywhere"]
 
 
-def play(conditions: Conditions, scheduler: type[Scheduler] = Scheduler) -> Summary:
+def simulate(conditions: Conditions, scheduler: type[Scheduler] = Scheduler) -> Summary:
     return summarise(FleetPlay(conditions, 1, scheduler).starts(), conditions.bound)
 
 
 @pytest.mark.parametrize("bears", [12.0, 16.0])
-@pytest.mark.parametrize("name", TOLD_IN_TIME)
-def test_the_sum_of_all_processes_stays_within_what_is_put_down_to_chance(name: str, bears: float) -> None:
-    found = play(replace(CONDITIONS[name], size=SIZE, bears=bears))
-    assert found.starts >= 10 and found.used > 0.05
-    assert found.worst <= found.bound
+@pytest.mark.parametrize("name", NOTIFIED_IN_TIME)
+def test_offers_of_all_processes_stay_within_the_bound_for_chance(name: str, bears: float) -> None:
+    summary = simulate(replace(CONDITIONS[name], size=SIZE, bears=bears))
+    assert summary.starts >= 10 and summary.used > 0.05
+    assert summary.worst <= summary.bound
 
 
-@pytest.mark.parametrize("conditions", [LATE_DIALS, OUT_OF_ORDER, RESTARTED, CONDITIONS["much at once"]])
-def test_with_an_offer_for_each_process_no_window_has_more_than_is_borne(conditions: Conditions) -> None:
-    """Each process keeps to its share in the machine's own windows, however late its offers arrive there."""
-    assert play(replace(conditions, size=SIZE, bears=2.0 * SIZE)).worst <= 2 * SIZE
+@pytest.mark.parametrize("conditions", [LATE_CONNECTIONS, OUT_OF_ORDER, RESTARTED, CONDITIONS["much at once"]])
+def test_with_an_allowance_for_each_process_no_window_exceeds_the_limit(conditions: Conditions) -> None:
+    """Each process keeps to its share in the machine's own windows, however late its offers arrive."""
+    assert simulate(replace(conditions, size=SIZE, bears=2.0 * SIZE)).worst <= 2 * SIZE
 
 
-@pytest.mark.parametrize("name", [name for name in CONDITIONS if name not in TOLD_IN_TIME])
-def test_who_was_told_breaks_no_rule_beside_others_who_were_not(name: str) -> None:
-    found = play(replace(CONDITIONS[name], size=SIZE, bears=4.0 * SIZE))
-    assert found.worst_told <= 4 * SIZE and not found.beyond
+@pytest.mark.parametrize("name", [name for name in CONDITIONS if name not in NOTIFIED_IN_TIME])
+def test_notified_processes_keep_the_limit_beside_others_that_were_not_notified(name: str) -> None:
+    summary = simulate(replace(CONDITIONS[name], size=SIZE, bears=4.0 * SIZE))
+    assert summary.worst_told <= 4 * SIZE and not summary.beyond
 
 
-class CountsNoOpenOffer(Scheduler):
-    """At fault: an offer counts for a window from its decision, whenever it may arrive."""
+class IgnoresOpenOffers(Scheduler):
+    """Faulty: an offer counts for one window from its decision, even if it arrives later."""
 
     def _register_attempt(self, attempt: object, number: int) -> None:
         super()._register_attempt(attempt, number)  # type: ignore[arg-type]
@@ -62,24 +62,24 @@
             machine.attempts = open_offers
 
 
-class ForgetsWhatHasGone(Scheduler):
-    """At fault: a cold machine that comes back into the list is taken for a new one."""
+class ForgetsGoneMachines(Scheduler):
+    """Faulty: a cold machine that returns to the list is taken for a new one."""
 
     def _must_retain(self, machine: Machine) -> bool:
         return bool(machine.attempts)
 
 
-class ForgetsItsEarlierLife(Scheduler):
-    """At fault: spends a whole allowance as soon as it runs."""
+class IgnoresItsRestart(Scheduler):
+    """Faulty: uses a whole allowance at once after a restart."""
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
-        found = super().handle(now, [])
+        summary = super().handle(now, [])
         self.started_at = -1.0
-        return found + super().handle(now, events)
+        return summary + super().handle(now, events)
 
 
-class TakesItselfForTheOnlyOne(Scheduler):
-    """At fault: nobody else is reckoned with."""
+class AssumesItIsAlone(Scheduler):
+    """Faulty: takes the whole allowance, as if there were no other scheduler."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         super().__init__(replace(settings, number=0, n_instances=1), seed)
@@ -88,17 +88,17 @@
 @pytest.mark.parametrize(
     "scheduler, conditions",
     [
-        (CountsNoOpenOffer, LATE_DIALS),
-        (ForgetsWhatHasGone, OUT_OF_ORDER),
-        (ForgetsItsEarlierLife, RESTARTED),
-        (TakesItselfForTheOnlyOne, WAITING),
+        (IgnoresOpenOffers, LATE_CONNECTIONS),
+        (ForgetsGoneMachines, OUT_OF_ORDER),
+        (IgnoresItsRestart, RESTARTED),
+        (AssumesItIsAlone, WAITING_TASKS),
     ],
 )
-def test_a_scheduler_at_fault_is_seen(scheduler: type[Scheduler], conditions: Conditions) -> None:
+def test_a_faulty_scheduler_is_detected(scheduler: type[Scheduler], conditions: Conditions) -> None:
     conditions = replace(conditions, size=SIZE, bears=2.0 * SIZE)
-    assert play(conditions).worst <= 2 * SIZE
-    found = play(conditions, scheduler)
-    assert found.worst > found.bound and found.beyond
+    assert simulate(conditions).worst <= 2 * SIZE
+    summary = simulate(conditions, scheduler)
+    assert summary.worst > summary.bound and summary.beyond
 
 
 def test_a_window_is_sliding_and_half_open() -> None:
@@ -108,6 +108,6 @@
     assert not ColdStart(12, 12, 1.0).beyond(12.0)
 
 
-def test_same_seed_same_play() -> None:
+def test_the_same_seed_gives_the_same_result() -> None:
     conditions = replace(CONDITIONS["much at once"], size=SIZE, bears=allowances(SIZE)[0])
     assert FleetPlay(conditions, 3).starts() == FleetPlay(conditions, 3).starts()
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as its users start it: a process that reads batches and writes replies."""
+"""The adapter run as a process that reads batches and writes replies."""
 
 from __future__ import annotations
 
@@ -44,82 +44,82 @@
 ROWS = ["ROW 0 32.0 1 host_one 0 - 1 16.0 0", "ROW 1 32.0 1 host_two 1 - 1 16.0 0"]
 
 
-def up(name: str, info: dict[str, Any] = INFO) -> list[str]:
+def instance_up(name: str, info: dict[str, Any] = INFO) -> list[str]:
     return [f"UP {name} 7 {json.dumps(info)}", "ROSTER 0 2", *ROWS, f"DIRECTORY_UPDATE {name} 1 0 2"]
 
 
-def batch(now: float, *lines: str) -> str:
+def batch_text(now: float, *lines: str) -> str:
     return "\n".join([f"TURN {now}", *lines, "FLUSH"]) + "\n"
 
 
-def demand(name: str, number: int, service: str = "c:s") -> str:
+def demand_line(name: str, number: int, service: str = "c:s") -> str:
     return f"DEMAND {name} {number} 0 0 task-{number} 4000.0 - {service} 1 2.5 0"
 
 
-def run(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "sprucepost.adapter"],
         input=text,
         text=True,
         check=False,
         capture_output=True,
-        env={**os.environ, "PYTHONHASHSEED": seed},
+        env={**os.environ, "PYTHONHASHSEED": hash_seed},
     )
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
-    done = run("TURN 8412.25\nFLUSH\n")
-    assert (done.returncode, done.stdout, done.stderr) == (0, "END\n", "")
+    process = run_adapter("TURN 8412.25\nFLUSH\n")
+    assert (process.returncode, process.stdout, process.stderr) == (0, "END\n", "")
 
 
-def test_a_task_goes_from_request_to_its_end() -> None:
-    offer_line = run(batch(100.0, *up("placer-0"), demand("placer-0", 11))).stdout.splitlines()
-    tried = [line for line in offer_line if line.startswith("TRY")]
-    assert len(tried) == 1
-    _, name, number, host, limit = tried[0].split()
+def test_a_task_runs_from_its_request_to_its_end() -> None:
+    reply = run_adapter(batch_text(100.0, *instance_up("placer-0"), demand_line("placer-0", 11))).stdout.splitlines()
+    offers = [line for line in reply if line.startswith("TRY")]
+    assert len(offers) == 1
+    _, name, number, host, limit = offers[0].split()
     assert (name, number) == ("placer-0", "11") and host in ("host_one", "host_two") and float(limit) > 0
-    text = batch(100.0, *up("placer-0"), demand("placer-0", 11))
-    text += batch(
+    text = batch_text(100.0, *instance_up("placer-0"), demand_line("placer-0", 11))
+    text += batch_text(
         110.0,
         f"ACCEPTED placer-0 11 0 {host} 10.0",
         f"STATUS_NOTE placer-0 11 0 {host} 1 0.5",
         f"STATUS_NOTE placer-0 11 0 {host} 77 0.5",
     )
-    text += batch(900.0, f"RESPONSE placer-0 11 0 {host} ok 800.0 1 - 15.0,30.0,3")
-    text += batch(950.0, "LAPSED placer-0 11", "BELL placer-0 answer:11", "NOVELTY placer-0 1 2 3")
-    done = run(text)
-    assert done.returncode == 0 and done.stderr == ""
-    assert done.stdout.split("END\n")[1:] == ["", "", "", ""]
+    text += batch_text(900.0, f"RESPONSE placer-0 11 0 {host} ok 800.0 1 - 15.0,30.0,3")
+    text += batch_text(950.0, "LAPSED placer-0 11", "BELL placer-0 answer:11", "NOVELTY placer-0 1 2 3")
+    process = run_adapter(text)
+    assert process.returncode == 0 and process.stderr == ""
+    assert process.stdout.split("END\n")[1:] == ["", "", "", ""]
 
 
-def test_a_killed_instance_is_forgotten_and_may_come_up_again() -> None:
-    text = batch(100.0, *up("placer-0"), demand("placer-0", 1))
-    text += batch(200.0, "KILLED placer-0", demand("placer-0", 2))
-    text += batch(
+def test_a_killed_instance_is_removed_and_may_start_again() -> None:
+    text = batch_text(100.0, *instance_up("placer-0"), demand_line("placer-0", 1))
+    text += batch_text(200.0, "KILLED placer-0", demand_line("placer-0", 2))
+    text += batch_text(
         300.0,
-        *up("placer-0"),
+        *instance_up("placer-0"),
         "FOUND placer-0 3 0 0 task-1 9.0 5.0 c:s 1 2.5 1 host_one",
-        demand("placer-0", 4),
+        demand_line("placer-0", 4),
     )
-    done = run(text)
-    replies = done.stdout.split("END\n")
-    assert replies[1] == "" and "TRY placer-0 4" in replies[2] and done.returncode == 0
+    process = run_adapter(text)
+    replies = process.stdout.split("END\n")
+    assert replies[1] == "" and "TRY placer-0 4" in replies[2] and process.returncode == 0
 
 
-def test_instances_act_alike_together_and_apart_and_under_any_hash_seed() -> None:
-    def day(*names: str) -> str:
-        text = batch(100.0, *(line for name in names for line in up(name)))
+def test_an_instance_decides_the_same_alone_and_beside_others_under_any_hash_seed() -> None:
+    def input_for(*names: str) -> str:
+        text = batch_text(100.0, *(line for name in names for line in instance_up(name)))
         for step in range(60):
             now = 110.0 + 40 * step
-            text += batch(now, *(demand(name, step, f"c:{step % 7}") for name in names))
+            text += batch_text(now, *(demand_line(name, step, f"c:{step % 7}") for name in names))
         return text
 
-    together = run(day("placer-0", "placer-1")).stdout.splitlines()
+    together = run_adapter(input_for("placer-0", "placer-1")).stdout.splitlines()
     for name in ("placer-0", "placer-1"):
-        alone = run(day(name), seed="12345").stdout.splitlines()
-        mine = [line for line in together if f" {name} " in line]
-        assert mine == [line for line in alone if line != "END"]
-        assert any(line.startswith("TRY") for line in mine)
+        alone = run_adapter(input_for(name), hash_seed="12345").stdout.splitlines()
+        lines = [line for line in together if f" {name} " in line]
+        assert lines == [line for line in alone if line != "END"]
+        assert any(line.startswith("TRY") for line in lines)
 
 
 @pytest.mark.parametrize(
@@ -130,27 +130,29 @@
         "TURN 1\nTURN 2\n",
         "TURN 1\n",
         "TURN nan\nFLUSH\n",
-        batch(1.0, "UP placer-0 7 {bad json"),
-        batch(1.0, "UP placer-0 7 {}"),
-        batch(1.0, "ROSTER 0 2", ROWS[0]),
-        batch(1.0, ROWS[0]),
-        batch(1.0, *up("p"), "DIRECTORY_UPDATE p 1 9 1"),
-        batch(1.0, *up("p"), "DEMAND p x"),
-        batch(1.0, *up("p"), "DEMAND p 1 0"),
-        batch(1.0, *up("p"), "RESPONSE p 1 0 h vanished 1 0 - -"),
+        batch_text(1.0, "UP placer-0 7 {bad json"),
+        batch_text(1.0, "UP placer-0 7 {}"),
+        batch_text(1.0, "ROSTER 0 2", ROWS[0]),
+        batch_text(1.0, ROWS[0]),
+        batch_text(1.0, *instance_up("p"), "DIRECTORY_UPDATE p 1 9 1"),
+        batch_text(1.0, *instance_up("p"), "DEMAND p x"),
+        batch_text(1.0, *instance_up("p"), "DEMAND p 1 0"),
+        batch_text(1.0, *instance_up("p"), "RESPONSE p 1 0 h vanished 1 0 - -"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(text: str) -> None:
-    done = run(text)
-    assert done.returncode == 1
-    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("sprucepost: line ")
+def test_malformed_input_ends_the_process_with_one_line_on_stderr(text: str) -> None:
+    process = run_adapter(text)
+    assert process.returncode == 1
+    assert len(process.stderr.splitlines()) == 1 and process.stderr.startswith("sprucepost: line ")
 
 
-def test_an_exception_in_the_module_is_the_declared_failure() -> None:
-    done = run(batch(1.0, *up("placer-0"), "DEMAND placer-0 1 99 0 task-1 4000.0 - c:s 1 2.5 0"))
-    assert done.returncode == 0
-    assert [line.split()[0] for line in done.stdout.splitlines()] == ["BAIL_OUT", "END"]
-    assert "IndexError" in done.stdout
+def test_an_exception_in_the_scheduler_is_reported_as_a_failure() -> None:
+    process = run_adapter(
+        batch_text(1.0, *instance_up("placer-0"), "DEMAND placer-0 1 99 0 task-1 4000.0 - c:s 1 2.5 0")
+    )
+    assert process.returncode == 0
+    assert [line.split()[0] for line in process.stdout.splitlines()] == ["BAIL_OUT", "END"]
+    assert "IndexError" in process.stdout
 
 
 @pytest.mark.parametrize(
@@ -173,19 +175,19 @@
         "policy_limits.max_attempts",
     ],
 )
-def test_a_missing_setting_is_named(key: str) -> None:
+def test_the_error_names_a_missing_setting(key: str) -> None:
     info = json.loads(json.dumps(INFO))
-    holder = info
+    container = info
     *path, last = key.split(".")
     for part in path:
-        holder = holder[part]
-    del holder[last]
+        container = container[part]
+    del container[last]
     with pytest.raises(ValueError, match=key):
         settings_from(info)
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "expected_key"),
     [
         (("n_instances",), 0, "n_instances"),
         (("zone",), 5, "zone"),
@@ -201,11 +203,11 @@
         (("policy_limits", "max_retry_after"), "long", "policy_limits.max_retry_after"),
     ],
 )
-def test_a_setting_without_sense_is_named(path: tuple[Any, ...], value: object, named: str) -> None:
+def test_the_error_names_an_invalid_setting(path: tuple[Any, ...], value: object, expected_key: str) -> None:
     info = json.loads(json.dumps(INFO))
-    holder = info
+    container = info
     for part in path[:-1]:
-        holder = holder[part]
-    holder[path[-1]] = value
-    with pytest.raises(ValueError, match=named):
+        container = container[part]
+    container[path[-1]] = value
+    with pytest.raises(ValueError, match=expected_key):
         settings_from(info)
