--- a/sprucepost/node/jsonl.py
+++ b/sprucepost/node/jsonl.py
@@ -8,12 +8,12 @@
 from enum import StrEnum
 from typing import Any
 
-from sprucepost.node.bounds import MOST, Framing, Malformed
+from sprucepost.node.framing import MAX_MESSAGE_BYTES, Framing, Malformed
 
 _ID = re.compile("[0-9a-fA-F]{16}")
 
 
-class Word(StrEnum):
+class MessageType(StrEnum):
     """The types of messages."""
 
     OPEN = "open"
@@ -31,7 +31,7 @@
 class Line:
     """One message; ``sid`` is its task's id in small letters."""
 
-    word: Word
+    type: MessageType
     sid: str
     attrs: dict[str, str] = field(default_factory=dict)
     code: int | None = None
@@ -41,13 +41,13 @@
 class Decoder(Framing[Line]):
     """A host's bytes."""
 
-    def _end(self, data: bytearray, at: int) -> int | None:
+    def _message_end(self, data: bytearray, at: int) -> int | None:
         end = data.find(b"\n", at) + 1
-        if (end or len(data) + 1) - at > MOST:
+        if (end or len(data) + 1) - at > MAX_MESSAGE_BYTES:
             raise Malformed("a line without an end")
         return end or None
 
-    def _read(self, data: bytes) -> Line:
+    def _parse(self, data: bytes) -> Line:
         return _line(data[:-1])
 
 
@@ -73,7 +73,7 @@
     return Line(_WORDS[word], sid.lower(), {key: str(value) for key, value in attrs.items()}, code, text)
 
 
-_WORDS: dict[str, Word] = {word.value: word for word in Word}
+_WORDS: dict[str, MessageType] = {word.value: word for word in MessageType}
 
 
 def _plain(value: Any) -> bool:
@@ -96,7 +96,7 @@
 
 
 def encode(
-    word: Word, sid: str, attrs: dict[str, str] | None = None, code: int | None = None, text: str | None = None
+    word: MessageType, sid: str, attrs: dict[str, str] | None = None, code: int | None = None, text: str | None = None
 ) -> bytes:
     """One line; ``text`` is given as :func:`quoted` returned it. ValueError where it is longer than a line may be."""
     parts = f'{{"msg":"{word.value}","sid":"{sid}","attrs":{json.dumps(attrs or {}, separators=(",", ":"))}'
@@ -105,6 +105,6 @@
     if text is not None:
         parts += f',"text":{text}'
     line = (parts + "}\n").encode("utf-8")
-    if len(line) > MOST:
+    if len(line) > MAX_MESSAGE_BYTES:
         raise ValueError(f"a line of {len(line)} bytes")
     return line
--- a/tests/node/test_given_up_in_the_batch_of_its_refusal.py
+++ b/tests/node/test_cancel_during_refusal.py
@@ -10,7 +10,7 @@
 from sprucepost.loop import Co, sleep
 from sprucepost.node.tasks import Tasks
 from tests.node.platform import setup
-from tests.node.virtual import LISTEN, Placer, known, play_virtual
+from tests.node.virtual import LISTEN, Placer, known_hosts, run_virtual
 
 TASK, OTHER = "c0455aa5c7e00001", "c0455aa5c7e00002"
 
@@ -20,16 +20,16 @@
 @pytest.mark.parametrize("by", ["its owner", "its connection's end"])
 def test_the_refusal_of_a_request_that_was_given_up_is_moot(tmp_path: Path, hosts: int, by: str) -> None:
     def body(placer: Placer) -> Co[None]:
-        desk, tasks = placer.service.desk, placer.service.tasks
-        tell = desk.before
+        driver, tasks = placer.service.driver, placer.service.tasks
+        tell = driver.before_batch
 
         def leave_first() -> None:
-            timers = [event.name for event in desk._events if isinstance(event, i.TimerFired)]
+            timers = [event.name for event in driver._events if isinstance(event, i.TimerFired)]
             if any(name.startswith("answer:") for name in timers) and tasks.ledger.current(TASK) is not None:
                 _leave(tasks, by)
             tell()
 
-        desk.before = leave_first
+        driver.before_batch = leave_first
         placer.loop.arrive(LISTEN, "10.9.0.1:1000", setup(TASK, LEFT="300"))
         yield from sleep(1000)
         assert tasks.counters["given_up"] == 1
@@ -37,11 +37,11 @@
         yield from sleep(1000)
         assert sock.sent, "the placer goes on"
 
-    play_virtual(tmp_path, body, known=known(hosts))
+    run_virtual(tmp_path, body, known=known_hosts(hosts))
 
 
 def _leave(tasks: Tasks, by: str) -> None:
     if by == "its owner":
-        tasks.owner_released(TASK)
+        tasks.owner_cancelled(TASK)
     else:
-        tasks.owner_gone([TASK])
+        tasks.owner_disconnected([TASK])
--- a/tests/node/virtual.py
+++ b/tests/node/virtual.py
@@ -9,8 +9,8 @@
 
 from sprucepost.loop import Address, Co, Listener, Scope, Sock, in_scope
 from sprucepost.node import jsonl
-from sprucepost.node.config import read
-from sprucepost.node.jsonl import Word
+from sprucepost.node.config import read_config
+from sprucepost.node.jsonl import MessageType
 from sprucepost.node.log import Log
 from sprucepost.node.service import Service
 from tests.node.platform import settings
@@ -98,7 +98,7 @@
     def _poll(self, wait_ms: float | None) -> None:
         ready = self._ready_calls()
         if ready:
-            self._polled(self.time, 0.0)
+            self._after_poll(self.time, 0.0)
         else:
             assert wait_ms is not None, "nothing will ever happen"
             super()._poll(wait_ms)
@@ -122,7 +122,7 @@
     return f"10.0.{number // 250}.{number % 250 + 1}", 2905
 
 
-def known(hosts: int) -> dict[str, Any]:
+def known_hosts(hosts: int) -> dict[str, Any]:
     """What a configuration tells of so many hosts: one whole list."""
     entries = [
         {
@@ -144,12 +144,12 @@
         self.document: dict[str, Any] = {
             "name": "n0", "listen": "{}:{}".format(*LISTEN), "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64}, "bulletin": "{}:{}".format(*DISCOVERY),
-            "known": known(1), "settings": settings(), **changes,
+            "known": known_hosts(1), "settings": settings(), **changes,
         }  # fmt: skip
         self.path.write_text(json.dumps(self.document))
         environment = {"BALANCER_CONFIG": str(self.path)}
         log = Log(loop, "n0", lambda line: self.lines.append(json.loads(line)))
-        self.service = Service(loop, scope, environment, read(environment), log)
+        self.service = Service(loop, scope, environment, read_config(environment), log)
         scope.spawn(self.service.run(), "placer")
 
     def dialled(self, address: Address) -> list[VirtualSock]:
@@ -164,12 +164,12 @@
             sock.up = True
             lines, sock.sent = jsonl.Decoder().feed(bytes(sock.sent)), bytearray()
             for line in lines:
-                if line.word is Word.OPEN:
-                    sock.inbox.append(jsonl.encode(Word.READY, line.sid, text=jsonl.quoted("x")))
-                    sock.inbox.append(jsonl.encode(Word.CLOSE, line.sid, code=16))
+                if line.type is MessageType.OPEN:
+                    sock.inbox.append(jsonl.encode(MessageType.READY, line.sid, text=jsonl.quoted("x")))
+                    sock.inbox.append(jsonl.encode(MessageType.CLOSE, line.sid, code=16))
 
 
-def play_virtual(folder: Path, body: Callable[[Placer], Co[None]], **changes: Any) -> None:
+def run_virtual(folder: Path, body: Callable[[Placer], Co[None]], **changes: Any) -> None:
     """Run a test's coroutine beside a placer whose configuration has these changes."""
     loop = SocketLoop()
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -53,7 +53,7 @@
         return entry(name, cell=cell, zone=zone, state=self.state[name], started=self.started[name])
 
     def feed(self, *events: i.Event) -> None:
-        self.check(self.cluster.at(0.0, *events))
+        self.check(self.cluster.after(0.0, *events))
 
     def check(self, actions: list[i.Action]) -> None:
         for action in actions:
@@ -145,7 +145,7 @@
         unfinished = checker.open_offers()
         if step_kind == "ask":
             number = other % len(CLASSES)
-            ask = checker.cluster.ask(f"c{number}s{pick % 3}", task_class=number, left=50.0 + pick % 3000)
+            ask = checker.cluster.task_request(f"c{number}s{pick % 3}", task_class=number, left=50.0 + pick % 3000)
             checker.requests[ask.request] = (ask, checker.cluster.now + ask.left)
             checker.offers[ask.request] = []
             checker.feed(ask)
