--- a/benchmarks/list_storm.py
+++ b/benchmarks/list_storm.py
@@ -46,7 +46,7 @@
     def watch(number: int) -> DiscoveryWatch:
         def failed(found: Any) -> None:
             if found.kind.name == "FAILED":
-                loop.call_later(again_ms * rng.uniform(0.5, 1.0), lambda: watches[number].ask())
+                loop.call_later(again_ms * rng.uniform(0.5, 1.0), lambda: watches[number].start_watch())
 
         def told(now_ms: float) -> None:
             heard.setdefault(number, loop.now() - began)
@@ -62,7 +62,7 @@
 
     watches += [watch(n) for n in range(size)]
     for one in watches:
-        one.ask()
+        one.start_watch()
     while len(heard) < size and loop.now() - began < limit_ms:
         yield from sleep(20.0)
     times = sorted(heard.values())
--- a/sprucepost/membership/generation.py
+++ b/sprucepost/membership/generation.py
@@ -88,18 +88,20 @@
 
 
 @dataclass(frozen=True)
-class Stance:
+class SlotAssignment:
     """Where a placer sits now. ``seats`` 0: no cold offers. ``until_ms``: when that changes by itself."""
 
     phase: Phase
-    n_instances: int
-    seat: int
-    seats: int
+    fleet_size: int
+    slot: int
+    slots: int
     until_ms: float | None = None
-    why: str = ""
+    reason: str = ""
 
 
-def stance(generation: Generation, number: int, side: Side, now_ms: float, told: bool = True) -> Stance:
+def assign_slot(
+    generation: Generation, number: int, side: Side, now_ms: float, all_informed: bool = True
+) -> SlotAssignment:
     """What a placer does under ``generation``.
 
     ``told``: no placer is known that has not heard of this generation. Placers that keep a view know; others believe it.
@@ -114,24 +116,26 @@
     if not generation.announced:
         if side is Side.OLD:
             return _seated(Phase.WAITING, number, previous, most, ends)
-        return Stance(Phase.HELD, most, 0, 0, ends, "the old size was not told of the change and has all seats")
+        return SlotAssignment(Phase.HELD, most, 0, 0, ends, "the old size was not told of the change and has all seats")
     if now_ms < generation.begins_ms and not generation.rollback:
         if side is Side.OLD:
             return _seated(Phase.WAITING, number, previous, most, generation.begins_ms)
-        return Stance(Phase.WAITING, most, 0, 0, generation.begins_ms, "the change has not begun")
-    if not told and side is Side.NEW and not generation.rollback:
-        return Stance(Phase.HELD, most, 0, 0, ends, "not every placer has heard of the change")
+        return SlotAssignment(Phase.WAITING, most, 0, 0, generation.begins_ms, "the change has not begun")
+    if not all_informed and side is Side.NEW and not generation.rollback:
+        return SlotAssignment(Phase.HELD, most, 0, 0, ends, "not every placer has heard of the change")
     # The seats of the size that was there first come first, whichever of the two is to stay.
     first = size if generation.rollback else previous
     in_first = (side is Side.OLD) != generation.rollback
     seats = size + previous
     seat = number if in_first else first + number
     if number >= (first if in_first else seats - first):
-        return Stance(Phase.JOINT, most, 0, 0, ends, f"number {number} has no seat in this change")
-    return Stance(Phase.JOINT, most, seat, seats, ends)
+        return SlotAssignment(Phase.JOINT, most, 0, 0, ends, f"number {number} has no seat in this change")
+    return SlotAssignment(Phase.JOINT, most, seat, seats, ends)
 
 
-def _seated(phase: Phase, number: int, size: int, reckon: int | None = None, until: float | None = None) -> Stance:
+def _seated(
+    phase: Phase, number: int, size: int, reckon: int | None = None, until: float | None = None
+) -> SlotAssignment:
     if number >= size:
-        return Stance(phase, reckon or size, 0, 0, until, f"number {number} is not below the size {size}")
-    return Stance(phase, reckon or size, number, size, until)
+        return SlotAssignment(phase, reckon or size, 0, 0, until, f"number {number} is not below the size {size}")
+    return SlotAssignment(phase, reckon or size, number, size, until)
--- a/sprucepost/membership/resize.py
+++ b/sprucepost/membership/resize.py
@@ -6,13 +6,13 @@
 ===============  ==============================================  ===================================================
 what             from                                            what for
 ===============  ==============================================  ===================================================
-newest           the highest number; of two with one number and  all run under one generation in the end
+newer_generation           the highest number; of two with one number and  all run under one generation in the end
                  unlike content the larger size (which spends
                  less), then a fixed order
 is_disputed      a known placer holds another generation of the  nobody takes a seat until all have the same
                  same number
 is_known_to_all  no known placer has an older generation         the new side takes its seats (else it is held)
-is_complete      every number of the new size is held by one     an end is proposed, ``LEAD_MS`` ahead; of several
+is_complete      every number of the new size is held by one     an end is proposed, ``END_NOTICE_MS`` ahead; of several
                  who is here, and nobody else is known           proposals the earliest counts
 ===============  ==============================================  ===================================================
 
@@ -26,7 +26,7 @@
 
 from sprucepost.membership.generation import Generation
 
-LEAD_MS = 15_000.0  # as long as docs/view.md promises for news to reach all who can be reached
+END_NOTICE_MS = 15_000.0  # as long as docs/view.md promises for news to reach all who can be reached
 
 
 @dataclass(frozen=True)
@@ -35,10 +35,10 @@
 
     number: int
     generation: Generation
-    is_here: bool = True
+    is_reachable: bool = True
 
 
-def newest(one: Generation, other: Generation) -> Generation:
+def newer_generation(one: Generation, other: Generation) -> Generation:
     """The generation that counts: commutative, associative, idempotent."""
     if one.order != other.order:
         return one if one.order > other.order else other
@@ -72,7 +72,7 @@
         """Whether the fleet is what this generation wants it to be, and everybody runs under it."""
         numbers = [self.number, *(other.number for other in self.others)]
         return (
-            all(other.is_here and other.generation.order == self.generation.order for other in self.others)
+            all(other.is_reachable and other.generation.order == self.generation.order for other in self.others)
             and len(numbers) == self.generation.size
             and set(numbers) == set(range(self.generation.size))
         )
@@ -82,5 +82,5 @@
         mine = self.generation
         if mine.previous is None or mine.over_ms is not None or now_ms < mine.begins_ms or not self.is_complete:
             return None
-        ends = now_ms + LEAD_MS
+        ends = now_ms + END_NOTICE_MS
         return replace(mine, over_ms=ends) if ends < mine.ends_ms else None
--- a/sprucepost/membership/skew.py
+++ b/sprucepost/membership/skew.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class ClockGuard:
+class ClockSkewMonitor:
     """Judges this host's clock by the times that the list puts on its updates.
 
     Windows of cold machines are cut by the wall clock, and placers must agree on it. All hear the same list, so its time is
@@ -19,19 +19,19 @@
             raise ValueError("most_ms: must be above 0")
         self._most = most_ms
         self._leads: list[float] = []
-        self.off = False
+        self.is_skewed = False
 
     @property
     def lead_ms(self) -> float:
         """The best guess at how far this clock is ahead; 0 before any update."""
         return min(self._leads, default=0.0)
 
-    def hear(self, now_ms: float, wall_ms: float, told_ms: float) -> bool:
+    def record_update(self, now_ms: float, wall_ms: float, told_ms: float) -> bool:
         """An update with the list's own time, by the placer's clock and the host's; whether the verdict has changed."""
         if told_ms <= 0:
             return False  # a list that does not tell its time
         self._leads = [*self._leads, wall_ms - told_ms][-self.KEPT :]
         error = abs(now_ms - (wall_ms - self.lead_ms))
-        before = self.off
-        self.off = error > (self._most / 2 if self.off else self._most)
-        return self.off is not before
+        before = self.is_skewed
+        self.is_skewed = error > (self._most / 2 if self.is_skewed else self._most)
+        return self.is_skewed is not before
--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -16,12 +16,12 @@
 from sprucepost.placer.discovery import DiscoveryWatch, WatchOptions
 from sprucepost.placer.engine import Engine
 from sprucepost.placer.fleet_membership import FleetMembership, MembershipCallbacks
-from sprucepost.placer.life import Facts, State, judge
+from sprucepost.placer.http_pages import pages
+from sprucepost.placer.lifecycle import Facts, State, judge
 from sprucepost.placer.links import Links
 from sprucepost.placer.log import Logs
 from sprucepost.placer.notify import Notifier
 from sprucepost.placer.owners import Owners
-from sprucepost.placer.pages import pages
 from sprucepost.settings import PlacerFile
 from sprucepost.settings.reload import changes, refused
 from sprucepost.settings.running import settings_fingerprint
@@ -42,12 +42,12 @@
 FIRST_WORD_MS = 500.0  # a placer that keeps a view hears of its predecessor before it attaches to machines
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-def address_text(address: Address) -> str:
+def format_address(address: Address) -> str:
     return address if isinstance(address, str) else f"{address[0]}:{address[1]}"
 
 
@@ -62,7 +62,9 @@
         # Ordered by time, so that a machine knows the newer of two; random below, so that two never share one.
         self.incarnation = int(loop.wall()) << 16 | int.from_bytes(loop.token(2), "big")
         self.log = logs.log.bind(placer=options.number, incarnation=self.incarnation)
-        self.engine = Engine(loop, cluster, options, lambda: self.discovery.ask(), self._info, file.generation())
+        self.engine = Engine(
+            loop, cluster, options, lambda: self.discovery.start_watch(), self._info, file.generation()
+        )
         self.owners = Owners(
             loop,
             options.number,
@@ -71,7 +73,7 @@
             options.limits.unacknowledged,
             SessionTable(options.limits.sessions, min(options.limits.sessions, options.limits.sessions_per_peer)),
             self.engine.admission,
-            self.engine.from_owner,
+            self.engine.on_owner_frame,
         )
         self.links = Links(
             loop,
@@ -90,7 +92,7 @@
             loop,
             scope,
             WatchOptions(
-                address_of(options.list),
+                parse_address(options.list),
                 options.source,
                 options.number,
                 tuple(cluster.zones),
@@ -98,7 +100,7 @@
             ),
             self.engine.roster.on_list,
             lambda machine, address: self._see(machine, address),
-            self.engine.hear_list,
+            self.engine.on_list_update,
         )
         self.health = Health()
         self.configuration: PlacerConfiguration | None = None
@@ -134,7 +136,7 @@
         self.slot_trouble = ""  # what is wrong with the slot that holds our number
         self._stop_at: float | None = None
         self._hurry = self._nudged = False
-        self.listen: Address = ""
+        self.grpc_address: Address = ""
         self.http: Http1 | None = None
 
     def _peers(self) -> Peers | None:
@@ -296,10 +298,10 @@
         """Bind the ports, or take those that were passed, and begin. OSError where a port cannot be bound."""
         passed = listeners or {}
         if "grpc" in passed or "0" in passed:
-            self.listen = self.server.serve(passed.get("grpc") or passed["0"])
+            self.grpc_address = self.server.serve(passed.get("grpc") or passed["0"])
         else:
-            self.listen = self.server.listen(address_of(self.file.placer.listen))
-        http = passed.get("http") or passed.get("1") or address_of(self.file.placer.http)
+            self.grpc_address = self.server.listen(parse_address(self.file.placer.listen))
+        http = passed.get("http") or passed.get("1") or parse_address(self.file.placer.http)
         self.http = Http1(self.loop, http, pages(self))
         for service in ("", SERVICE):
             self.health.set(service, NOT_SERVING)
@@ -307,12 +309,12 @@
         self.engine.start()
         if self.peers is not None:
             if not self.peers.view.me.address:
-                self.peers.view.update(address=address_text(self.listen))
+                self.peers.view.update(address=format_address(self.grpc_address))
             self.links.suspended = True
             self.loop.call_later(FIRST_WORD_MS, self._begin_links)
             self.peers.start()
         self._move()
-        self.log.info("listening", address=address_text(self.listen), http=address_text(self.http.address))
+        self.log.info("listening", address=format_address(self.grpc_address), http=format_address(self.http.address))
 
     def _taken(self, machine: str, text: str) -> None:
         """A machine has a live stream of an older process with our number: the younger, which is us, leaves ready."""
--- a/sprucepost/placer/discovery.py
+++ b/sprucepost/placer/discovery.py
@@ -12,11 +12,13 @@
 from sprucepost.wire.connection import Options
 from sprucepost.wire.status import RpcError
 
-WATCH = "/sprucepost.v1.Fleet/Watch"
-CONNECT_MS = 2000.0
-ANSWER_MS = 5000.0  # for the first update of a watch
-SLOW_LIST_FACTOR = 8  # times that, once a call was not answered by then
-KEEPALIVE = Options(keepalive_ms=10_000.0, keepalive_wait_ms=5000.0)  # more pings than that are taken for a flood
+WATCH_PATH = "/sprucepost.v1.Fleet/Watch"
+CONNECT_TIMEOUT_MS = 2000.0
+FIRST_UPDATE_TIMEOUT_MS = 5000.0  # for the first update of a watch
+SLOW_LIST_TIMEOUT_FACTOR = 8  # times that, once a call was not answered by then
+CONNECTION_OPTIONS = Options(
+    keepalive_ms=10_000.0, keepalive_wait_ms=5000.0
+)  # more pings than that are taken for a flood
 MISSED_HEARTBEATS = 3  # of silence after which a watch counts as broken: one may be late, two tell nothing of the cause
 
 
@@ -57,11 +59,11 @@
         self._cells: dict[str, int] = {}
         self._on_list, self._on_address, self._on_time = on_list, on_address, on_time
         self._task: Task[None] | None = None
-        self._answer_timeout_ms = ANSWER_MS
+        self._answer_timeout_ms = FIRST_UPDATE_TIMEOUT_MS
         self.heard_at: float | None = None  # when the latest update came, on the loop's clock
         self.failures = 0
 
-    def ask(self) -> None:
+    def start_watch(self) -> None:
         """Begin a watch, unless one is open."""
         if self._task is None or self._task.done:
             self._task = self._scope.spawn(self._watch(), "list")
@@ -71,9 +73,9 @@
         try:
             task = yield from current()
             connection = yield from open_client(
-                self._loop, self._options.address, CONNECT_MS, KEEPALIVE, self._options.source
+                self._loop, self._options.address, CONNECT_TIMEOUT_MS, CONNECTION_OPTIONS, self._options.source
             )
-            call = connection.call(WATCH)
+            call = connection.call(WATCH_PATH)
             call.send(pb.WatchRequest(number=self._options.number).SerializeToString())
             call.end()
             timeout_ms, heard = self._answer_timeout_ms, False
@@ -82,13 +84,13 @@
                     data = yield from within(task, timeout_ms, call.receive())
                 except TimedOut:
                     if not heard:
-                        self._answer_timeout_ms = SLOW_LIST_FACTOR * ANSWER_MS
+                        self._answer_timeout_ms = SLOW_LIST_TIMEOUT_FACTOR * FIRST_UPDATE_TIMEOUT_MS
                     raise
                 if data is None:
                     break
-                heard, self._answer_timeout_ms = True, ANSWER_MS
+                heard, self._answer_timeout_ms = True, FIRST_UPDATE_TIMEOUT_MS
                 update = pb.FleetUpdate.FromString(data)
-                timeout_ms = MISSED_HEARTBEATS * update.beat_ms if update.beat_ms > 0 else ANSWER_MS
+                timeout_ms = MISSED_HEARTBEATS * update.beat_ms if update.beat_ms > 0 else FIRST_UPDATE_TIMEOUT_MS
                 self.heard_at = self._loop.now()
                 self._on_time(update.now_ms)
                 if update.whole or update.entries:
--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -127,7 +127,7 @@
 
     # Owners
 
-    def from_owner(self, session: SessionPort, frame: pb.OwnerFrame) -> None:
+    def on_owner_frame(self, session: SessionPort, frame: pb.OwnerFrame) -> None:
         """A new frame of an owner."""
         kind = frame.WhichOneof("body")
         if kind == "submit":
@@ -139,7 +139,7 @@
 
     # Machines
 
-    def attached(self, machine: str, hello: machine_pb2.Attached, new_life: bool) -> None:
+    def on_machine_attached(self, machine: str, hello: machine_pb2.Attached, new_life: bool) -> None:
         """A machine attached with a new session: what it is and holds, against what we thought."""
         fresh = self.roster.on_attached(machine, hello.started_ms, new_life)
         incarnation = self.attempts.machines.incarnation
@@ -151,7 +151,7 @@
                 self.late_messages.on_held(machine, held)
         self.late_messages.fail_missing_hand_overs(machine)  # what it holds has been named by now
 
-    def resumed(self, machine: str, hello: machine_pb2.Attached) -> None:
+    def on_machine_resumed(self, machine: str, hello: machine_pb2.Attached) -> None:
         """The session goes on, and its frames tell the rest. But an answer may be lost within the machine, before it
         became a frame: a task that the machine names, and whose offer still waits, is accepted."""
         self.roster.on_attached(machine, hello.started_ms, False)
@@ -161,10 +161,10 @@
             if held.incarnation == self.attempts.machines.incarnation and out is not None and not out.accepted:
                 self.attempts.accept(key, out)
 
-    def detached(self, machine: str) -> None:
+    def on_machine_detached(self, machine: str) -> None:
         self.roster.on_detached(machine)
 
-    def answer(self, machine: str, frame: machine_pb2.FromMachine) -> None:
+    def on_machine_frame(self, machine: str, frame: machine_pb2.FromMachine) -> None:
         """A new frame of a machine about one attempt."""
         self.roster.on_machine_frame(machine)
         key = (frame.request, frame.attempt)
@@ -174,12 +174,12 @@
         elif kind == "accepted":
             self.late_messages.on_accepted(machine, frame)
 
-    def write(self, key: Key, life: int) -> machine_pb2.Offer | None:
+    def build_offer(self, key: Key, life: int) -> machine_pb2.Offer | None:
         return self.attempts.build_offer(key, life)
 
     # The list
 
-    def hear_list(self, told_ms: float) -> None:
+    def on_list_update(self, told_ms: float) -> None:
         """An update of the list has come, with the list's own time."""
         self.driver.check_list_time(told_ms)
         self.roster.on_list_heartbeat()
--- a/sprucepost/placer/fleet_membership.py
+++ b/sprucepost/placer/fleet_membership.py
@@ -24,7 +24,7 @@
 from functools import reduce
 
 from sprucepost.loop import Loop
-from sprucepost.membership import Generation, KnownPlacer, Resize, newest
+from sprucepost.membership import Generation, KnownPlacer, Resize, newer_generation
 from sprucepost.view import View
 
 CHECK_MS = 1000.0  # at the least, also where no record has changed: some of it depends on the time
@@ -103,7 +103,7 @@
             if name != view.me.name and not record.left and record.generation.size
         ]
         mine = view.me.generation
-        best = reduce(newest, (other.generation for other in others), mine)
+        best = reduce(newer_generation, (other.generation for other in others), mine)
         resize = Resize(view.me.number, best, others)
         best = resize.propose_end(self._wall()) or best
         if best != mine:
--- a/sprucepost/placer/lease.py
+++ b/sprucepost/placer/lease.py
@@ -13,7 +13,7 @@
 its file                               holds on
 nothing, or a file that nobody holds   takes the name again, and holds both files until it has
 a file that another process holds      keeps its number, says so, and tries again at each look; of two with one number
-                                       machines tell the younger, which leaves ready (:mod:`sprucepost.placer.life`)
+                                       machines tell the younger, which leaves ready (:mod:`sprucepost.placer.lifecycle`)
 an error (read-only, full, not there)  holds on, and says so once: the lock needs no room
 =====================================  =================================================================================
 """
--- a/sprucepost/placer/links.py
+++ b/sprucepost/placer/links.py
@@ -1,8 +1,8 @@
 """Streams to machines: one for each, attached at once and again after every break.
 
 A link numbers what it sends in a session that outlives its stream. It holds no offers, only the attempts whose offers
-are to be written: the frame is made by ``Receiver.write`` at the moment at which it goes out, also when it goes out again
-after a break, and is left out where it must not.
+are to be written: the frame is made by ``Receiver.build_offer`` at the moment at which it goes out, also when it goes
+out again after a break, and is left out where it must not.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 class Receiver(Protocol):
     """What the engine hears of a machine."""
 
-    def attached(self, machine: str, hello: pb.Attached, new_life: bool) -> None: ...
-    def resumed(self, machine: str, hello: pb.Attached) -> None: ...
-    def detached(self, machine: str) -> None: ...
-    def answer(self, machine: str, frame: pb.FromMachine) -> None: ...
-    def write(self, key: Key, life: int) -> pb.Offer | None:
+    def on_machine_attached(self, machine: str, hello: pb.Attached, new_life: bool) -> None: ...
+    def on_machine_resumed(self, machine: str, hello: pb.Attached) -> None: ...
+    def on_machine_detached(self, machine: str) -> None: ...
+    def on_machine_frame(self, machine: str, frame: pb.FromMachine) -> None: ...
+    def build_offer(self, key: Key, life: int) -> pb.Offer | None:
         """The offer as it may go out now to that life of its machine."""
         ...
 
@@ -126,7 +126,7 @@
         while self._queue and self.call is not None and not self.call.behind:
             key = next(iter(self._queue))
             del self._queue[key]
-            offer = self._links.receiver.write(key, self.machine_incarnation)
+            offer = self._links.receiver.build_offer(key, self.machine_incarnation)
             if offer is not None:
                 self.send(pb.ToMachine(offer=offer))
 
@@ -158,7 +158,7 @@
         if fresh:
             if self._ack_timer is None:
                 self._ack_timer = self._loop.call_later(ACK_MS, self._ack)
-            self._links.receiver.answer(self.machine, frame)
+            self._links.receiver.on_machine_frame(self.machine, frame)
         if self._queue:
             self._write_offers()
 
@@ -202,7 +202,7 @@
             finally:
                 if self.call is not None:
                     self.call = None
-                    self._links.receiver.detached(self.machine)
+                    self._links.receiver.on_machine_detached(self.machine)
             if connection is not None:
                 connection.close()
             yield from sleep(wait * self._links.rng.uniform(0.5, 1.0))
@@ -241,9 +241,9 @@
             frame.seq, frame.ack = seq, self._session.ack()
             call.send(frame.SerializeToString())
         if attached.resumed:
-            self._links.receiver.resumed(self.machine, attached)
+            self._links.receiver.on_machine_resumed(self.machine, attached)
         else:
-            self._links.receiver.attached(self.machine, attached, new_life)
+            self._links.receiver.on_machine_attached(self.machine, attached, new_life)
         call.deliver(lambda data: self._frame(call, data))  # some may have come in one read with the first
         self._links.counters["link_resumed" if attached.resumed else "link_attached"] += 1
         self._write_offers()
@@ -253,7 +253,7 @@
         """What goes out again after a break: no offer that must not go out now, and none with its first time."""
         if frame.WhichOneof("body") != "offer":
             return frame
-        offer = self._links.receiver.write((frame.offer.request, frame.offer.attempt), self.machine_incarnation)
+        offer = self._links.receiver.build_offer((frame.offer.request, frame.offer.attempt), self.machine_incarnation)
         return pb.ToMachine(nothing=pb.Nothing()) if offer is None else pb.ToMachine(offer=offer)
 
 
--- a/sprucepost/placer/process.py
+++ b/sprucepost/placer/process.py
@@ -12,7 +12,7 @@
 from msgspec import structs
 
 from sprucepost.loop import Co, Loop, Scope
-from sprucepost.placer.daemon import Placer, address_text
+from sprucepost.placer.daemon import Placer, format_address
 from sprucepost.placer.lease import Lease, resolve
 from sprucepost.placer.log import Logs
 from sprucepost.placer.notify import Notifier, activated
@@ -55,7 +55,7 @@
         """Its addresses and incarnation as one JSON line."""
         placer = self._placer
         assert placer.http is not None
-        addresses = {"listen": address_text(placer.listen), "http": address_text(placer.http.address)}
+        addresses = {"listen": format_address(placer.grpc_address), "http": format_address(placer.http.address)}
         return json.dumps({**addresses, "incarnation": placer.incarnation})
 
     def handle_signals(self) -> None:
--- a/sprucepost/placing/fleet_driver.py
+++ b/sprucepost/placing/fleet_driver.py
@@ -10,7 +10,7 @@
 
 from sprucepost import interface as i
 from sprucepost.loop import Loop, Timer
-from sprucepost.membership import ClockGuard, Generation, Side, Stance, stance
+from sprucepost.membership import ClockSkewMonitor, Generation, Side, SlotAssignment, assign_slot
 from sprucepost.placing.scheduler_driver import SchedulerDriver
 
 
@@ -33,7 +33,7 @@
         self._number = settings.number
         self._generation, self.side = generation, Side.NEW
         self._all_informed, self._disputed = True, False  # as long as no view says otherwise
-        self._guard = ClockGuard(clock_apart_ms)
+        self._guard = ClockSkewMonitor(clock_apart_ms)
         self._slot_timer: Timer | None = None
 
     def now(self) -> float:
@@ -41,8 +41,8 @@
         return self._clock.read(self.loop.now(), self.loop.wall() - self._guard.lead_ms)
 
     @property
-    def stance(self) -> Stance:
-        return stance(self._generation, self._number, self.side, self.now(), self._all_informed)
+    def slot_assignment(self) -> SlotAssignment:
+        return assign_slot(self._generation, self._number, self.side, self.now(), self._all_informed)
 
     def set_generation(self, generation: Generation, side: Side) -> None:
         """Another generation, from a reload of the settings."""
@@ -58,8 +58,8 @@
 
     def check_list_time(self, list_ms: float) -> None:
         """The list's own clock, against this one."""
-        if self._guard.hear(self.now(), self.loop.wall(), list_ms):
-            self._log("clock_off" if self._guard.off else "clock_good", host_leads_ms=round(self._guard.lead_ms))
+        if self._guard.record_update(self.now(), self.loop.wall(), list_ms):
+            self._log("clock_off" if self._guard.is_skewed else "clock_good", host_leads_ms=round(self._guard.lead_ms))
             self.update_slot()
 
     def update_slot(self) -> None:
@@ -67,9 +67,9 @@
         if self._slot_timer is not None:
             self._slot_timer.cancel()
             self._slot_timer = None
-        found = self.stance
-        seats = 0 if self._guard.off or self._disputed else found.seats
-        self.push(i.Membership(found.n_instances, found.seat if seats else 0, seats))
-        self._log("seat", phase=found.phase.value, seat=found.seat, seats=seats, why=found.why or None)
+        found = self.slot_assignment
+        seats = 0 if self._guard.is_skewed or self._disputed else found.slots
+        self.push(i.Membership(found.fleet_size, found.slot if seats else 0, seats))
+        self._log("seat", phase=found.phase.value, seat=found.slot, seats=seats, why=found.reason or None)
         if found.until_ms is not None:
             self._slot_timer = self.loop.call_later(found.until_ms - self.now() + 1.0, self.update_slot)
--- a/sprucepost/play/cold_starts.py
+++ b/sprucepost/play/cold_starts.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from sprucepost import interface as i
-from sprucepost.membership import Generation, Side, stance
+from sprucepost.membership import Generation, Side, assign_slot
 from sprucepost.play.agenda import Agenda
 from sprucepost.play.cold_conditions import ColdStart, Conditions, Life
 from sprucepost.scheduler import Scheduler
@@ -252,10 +252,10 @@
             process.stopped_until = self.now + length
 
     def _take_seat(self, generation: Generation, number: int, side: Side) -> None:
-        found = stance(generation, number, side, self.now)
+        found = assign_slot(generation, number, side, self.now)
         if side is Side.NEW:
             self._begin(number, generation.size)
-        event = i.Membership(found.n_instances, found.seat if found.seats else 0, found.seats)
+        event = i.Membership(found.fleet_size, found.slot if found.slots else 0, found.slots)
         self._handle(self._processes[number], event)
 
     def _do(self, process: Process, call: Callable[[], None]) -> None:
--- a/sprucepost/scale/fleet.py
+++ b/sprucepost/scale/fleet.py
@@ -14,7 +14,7 @@
 
 from sprucepost.loop import TimedOut, in_scope
 from sprucepost.loop.epoll import EpollLoop
-from sprucepost.placer.daemon import address_of, address_text
+from sprucepost.placer.daemon import format_address, parse_address
 from sprucepost.scale import deployment
 from sprucepost.scale.hollow.members import member_name
 from sprucepost.scale.hollow.platform import node_settings
@@ -329,7 +329,7 @@
             yield from self._announced(node.process, dict[str, Any])
 
     def _start_node(self, number: int, file: PlatformFile, bulletin: str) -> None:
-        address = address_text(free_address(self._loop))
+        address = format_address(free_address(self._loop))
         name, path = f"node{number}", self._group.folder / f"{self.name}-node{number}.json"
         configuration = {
             "name": name,
@@ -429,7 +429,7 @@
         """Give an order to a hollow process; its result."""
 
         def give() -> Any:
-            connection = yield from open_client(self._loop, address_of(hollow.announcement.control))
+            connection = yield from open_client(self._loop, parse_address(hollow.announcement.control))
             try:
                 return (yield from order(connection, what, **arguments))
             finally:
--- a/sprucepost/scale/hollow/clients.py
+++ b/sprucepost/scale/hollow/clients.py
@@ -7,7 +7,7 @@
 from hdrh.histogram import HdrHistogram
 
 from sprucepost.loop import Loop, Scope
-from sprucepost.placer.daemon import address_of
+from sprucepost.placer.daemon import parse_address
 from sprucepost.scale import deployment
 from sprucepost.scale.hollow.settings import ClientsFile
 from sprucepost.standin.orders import Orders
@@ -34,7 +34,7 @@
     def __init__(self, loop: Loop, scope: Scope, file: ClientsFile) -> None:
         self._loop, self._file = loop, file
         self._rng = loop.rng()
-        placers = [address_of(text) for text in file.placers]
+        placers = [parse_address(text) for text in file.placers]
         self._owners: dict[str, TeamOwners] = {}
         for team, share in file.shares.items():
             owners = TeamOwners(
--- a/sprucepost/scale/hollow/members.py
+++ b/sprucepost/scale/hollow/members.py
@@ -17,8 +17,8 @@
 from sprucepost.loop import Co, Loop, Scope, TimedOut, sleep
 from sprucepost.membership import Generation
 from sprucepost.peers import Peers
-from sprucepost.placer.daemon import address_of, address_text
-from sprucepost.placer.discovery import CONNECT_MS, KEEPALIVE, WATCH
+from sprucepost.placer.daemon import format_address, parse_address
+from sprucepost.placer.discovery import CONNECT_TIMEOUT_MS, CONNECTION_OPTIONS, WATCH_PATH
 from sprucepost.scale.hollow.settings import Known, MembersFile, MemberSpec, MembersStatus
 from sprucepost.settings.running import settings_fingerprint
 from sprucepost.standin.orders import Orders
@@ -74,7 +74,7 @@
             looked=lambda: None,
             log=lambda event, **more: None,
         )
-        address = address_text(Server(loop, scope, self.peers.methods()).listen(("127.0.0.1", 0)))
+        address = format_address(Server(loop, scope, self.peers.methods()).listen(("127.0.0.1", 0)))
         self.known = msgspec.structs.replace(known, address=address)
 
     @property
@@ -126,9 +126,9 @@
         while True:
             connection: ClientConnection | None = None
             try:
-                address = address_of(self._file.list_address)
-                connection = yield from open_client(self._loop, address, CONNECT_MS, KEEPALIVE, None)
-                call = connection.call(WATCH)
+                address = parse_address(self._file.list_address)
+                connection = yield from open_client(self._loop, address, CONNECT_TIMEOUT_MS, CONNECTION_OPTIONS, None)
+                call = connection.call(WATCH_PATH)
                 call.send(fleet_pb2.WatchRequest(number=number).SerializeToString())
                 call.end()
                 while (yield from call.receive()) is not None:
--- a/sprucepost/scale/hollow/platform.py
+++ b/sprucepost/scale/hollow/platform.py
@@ -17,7 +17,7 @@
 from sprucepost.node import binary, jsonl
 from sprucepost.node.binary import Code, Kind, Message
 from sprucepost.node.jsonl import Line, MessageType
-from sprucepost.placer.daemon import address_of, address_text
+from sprucepost.placer.daemon import format_address, parse_address
 from sprucepost.scale import deployment
 from sprucepost.scale.hollow.settings import HostSpec, PlatformFile
 from sprucepost.standin.orders import Orders
@@ -87,7 +87,7 @@
         ]
         return {
             "uid": self.spec.name,
-            "endpoint": address_text(self.address),
+            "endpoint": format_address(self.address),
             "az": self.spec.zone,
             "model": deployment.KIND,
             "pod_group": self.spec.rack,
@@ -216,7 +216,7 @@
     @property
     def addresses(self) -> list[str]:
         """The bulletin's, then those of the hosts."""
-        return [address_text(self.bulletin.address), *(address_text(host.address) for host in self.hosts)]
+        return [format_address(self.bulletin.address), *(format_address(host.address) for host in self.hosts)]
 
     def changed(self, host: Host) -> None:
         """Its room is another one: the bulletin's next event tells it."""
@@ -275,7 +275,7 @@
     ) -> dict[str, Any]:
         """As many running from the start, by the nodes and by placers that are not there, and new ones at those rates."""
         self._life_ms = life_ms
-        self._owners = [Owner(self, address_of(node), team) for node in nodes for team in self._file.shares]
+        self._owners = [Owner(self, parse_address(node), team) for node in nodes for team in self._file.shares]
         for _ in range(running):
             self._ask_one()
         for number in range(hollow_running):
--- a/sprucepost/scale/hollow/workers.py
+++ b/sprucepost/scale/hollow/workers.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from sprucepost.loop import Co, Loop, Scope, sleep
-from sprucepost.placer.daemon import address_of, address_text
+from sprucepost.placer.daemon import format_address, parse_address
 from sprucepost.scale import deployment
 from sprucepost.scale.hollow.settings import WorkersFile
 from sprucepost.standin.machine_types import AttemptId, MachineModel, MachineState, Offer
@@ -48,11 +48,11 @@
         self._loop, self._scope = loop, scope
         self._rng = loop.rng()
         self._classes = class_models(file.cluster, {})
-        self.field = ReportingField(loop, scope, file.cluster, self._classes, address_of(file.list_address))
+        self.field = ReportingField(loop, scope, file.cluster, self._classes, parse_address(file.list_address))
         scope.spawn(self.field.report(), "reports")
         for fields in file.workers:
             host = self.field.add(MachineModel(**fields))
-            host.public = address_text(host.address)
+            host.public = format_address(host.address)
             self.field.changed(host)
         self._hosts = list(self.field.hosts.values())
         self._requests = count(1)
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -46,8 +46,8 @@
         for placer in placers:
             yield from world.ready(placer, 1)
         process = load(
-            address(placers[0].listen), "--versus", address(placers[1].listen), "--plan", str(tmp_path / "a.json"),
-            "--versus-plan", str(tmp_path / "b.json"),
+            address(placers[0].grpc_address), "--versus", address(placers[1].grpc_address), "--plan",
+            str(tmp_path / "a.json"), "--versus-plan", str(tmp_path / "b.json"),
             "--save", str(tmp_path / "f.json"), "--html", str(tmp_path / "f.html"),
         )  # fmt: skip
         yield from wait_for(lambda: process.poll() is not None, 30_000)
@@ -66,7 +66,7 @@
     def day(world: World) -> Any:
         world.machine("m1")
         placer = world.placer()
-        front = world.tap.add("placer-0", placer.listen)
+        front = world.tap.add("placer-0", placer.grpc_address)
         owners = [world.owner(front, name) for name in ("a", "b")]
         yield from world.ready(placer, 1)
         yield from wait_for(lambda: all(owner.up for owner, _ in owners))
--- a/tests/load/test_run.py
+++ b/tests/load/test_run.py
@@ -25,7 +25,7 @@
         placer = world.placer()
         yield from world.ready(placer, 1)
         what = plan(200.0, 1.0, 2)
-        found = yield from Run(world.loop, world.scope, [placer.listen], what).play(asks(what))
+        found = yield from Run(world.loop, world.scope, [placer.grpc_address], what).play(asks(what))
         return found.figures(1.0)
 
     figures = play(body)
@@ -41,7 +41,7 @@
 
     def body(world: World) -> Co[Any]:
         placer = world.placer()
-        front = world.tap.add("placer-0", placer.listen)
+        front = world.tap.add("placer-0", placer.grpc_address)
         run = Run(world.loop, world.scope, [front], plan(1.0, 1.0, 1, owners=1))
         ask = Ask(0.0, "web", 0, "s", 0.01, 0.01, 700.0, 500.0, 10.0)
 
@@ -61,7 +61,7 @@
         world.machine("m1")
         placer = world.placer()
         yield from world.ready(placer, 1)
-        front = world.tap.add("placer-0", placer.listen)
+        front = world.tap.add("placer-0", placer.grpc_address)
         what = plan(100.0, 1.5, 3, owners=1)
         job = world.scope.spawn(Run(world.loop, world.scope, [front], what).play(asks(what)), "load")
         yield from wait_for(lambda: placer.engine.ledger.outcomes)
--- a/tests/membership/test_generation.py
+++ b/tests/membership/test_generation.py
@@ -11,7 +11,7 @@
 
 from sprucepost import interface as i
 from sprucepost.loop import AlignedClock
-from sprucepost.membership import ClockGuard, Generation, Phase, Side, stance
+from sprucepost.membership import ClockSkewMonitor, Generation, Phase, Side, assign_slot
 from tests.cold_fleet import Member, worst_window
 
 CHANGE = Generation(2, 350, previous=88, begins_ms=1000.0, overlap_ms=5000.0, announced=True)
@@ -26,10 +26,10 @@
     generation = Generation(3, size, previous, 1000.0, 5000.0, announced, rollback)
     old = [(n, Side.OLD) for n in range(previous)]
     new = [(n, Side.NEW) for n in range(size)]
-    stances = [stance(generation, n, side, now) for n, side in [*old, *new]]
+    stances = [assign_slot(generation, n, side, now) for n, side in [*old, *new]]
     if any(s.phase is Phase.DONE for s in stances):  # the old side's numbers are the new side's now: one of each lives
-        stances = [stance(generation, n, Side.NEW, now) for n in range(size)]
-    seated = [(s.seat, s.seats) for s in stances if s.seats]
+        stances = [assign_slot(generation, n, Side.NEW, now) for n in range(size)]
+    seated = [(s.slot, s.slots) for s in stances if s.slots]
     assert len(seated) == len(set(seated))
     assert len({seats for _, seats in seated}) <= 1, "two layouts at once"
     assert all(seat < seats for seat, seats in seated)
@@ -49,42 +49,42 @@
 def test_the_phases_of_an_announced_change(
     now: float, side: Side, number: int, phase: Phase, seat: int, seats: int
 ) -> None:
-    found = stance(CHANGE, number, side, now)
-    assert (found.phase, found.seat, found.seats) == (phase, seat, seats)
+    found = assign_slot(CHANGE, number, side, now)
+    assert (found.phase, found.slot, found.slots) == (phase, seat, seats)
 
 
 def test_a_change_that_was_not_announced_holds_the_new_side_back() -> None:
     change = Generation(2, 350, previous=88, begins_ms=1000.0, overlap_ms=5000.0)
-    assert stance(change, 5, Side.NEW, 3000.0).seats == 0
-    assert stance(change, 5, Side.OLD, 3000.0).seats == 88
-    assert stance(change, 5, Side.NEW, 6000.0).seats == 350
+    assert assign_slot(change, 5, Side.NEW, 3000.0).slots == 0
+    assert assign_slot(change, 5, Side.OLD, 3000.0).slots == 88
+    assert assign_slot(change, 5, Side.NEW, 6000.0).slots == 350
 
 
 def test_a_rollback_keeps_everybody_where_it_sat() -> None:
     back = Generation(3, 88, previous=350, begins_ms=2000.0, overlap_ms=5000.0, announced=True, rollback=True)
     for now in (1500.0, 3000.0):
         for number in (0, 40, 87):  # started for the old size again: the seats of those that were there first
-            assert stance(back, number, Side.NEW, now).seat == stance(CHANGE, number, Side.OLD, 3000.0).seat
+            assert assign_slot(back, number, Side.NEW, now).slot == assign_slot(CHANGE, number, Side.OLD, 3000.0).slot
         for number in (0, 200, 349):  # on their way out
-            assert stance(back, number, Side.OLD, now).seat == stance(CHANGE, number, Side.NEW, 3000.0).seat
-    assert stance(back, 5, Side.NEW, 7000.0).seats == 88
-    assert stance(back, 200, Side.OLD, 7000.0).seats == 0
+            assert assign_slot(back, number, Side.OLD, now).slot == assign_slot(CHANGE, number, Side.NEW, 3000.0).slot
+    assert assign_slot(back, 5, Side.NEW, 7000.0).slots == 88
+    assert assign_slot(back, 200, Side.OLD, 7000.0).slots == 0
 
 
 def test_numbers_above_the_size_take_no_seat_and_say_so() -> None:
-    found = stance(Generation(1, 88), 88, Side.NEW, 0.0)
-    assert found.seats == 0 and found.why == "number 88 is not below the size 88"
+    found = assign_slot(Generation(1, 88), 88, Side.NEW, 0.0)
+    assert found.slots == 0 and found.reason == "number 88 is not below the size 88"
 
 
 def test_an_end_that_the_fleet_has_settled_comes_before_the_overlaps() -> None:
-    assert stance(replace(CHANGE, over_ms=2000.0), 7, Side.NEW, 2000.0).phase is Phase.DONE
-    assert stance(replace(CHANGE, over_ms=2000.0), 7, Side.NEW, 1999.0).phase is Phase.JOINT
-    assert stance(replace(CHANGE, over_ms=9000.0), 7, Side.NEW, 6000.0).phase is Phase.DONE, "never later"
+    assert assign_slot(replace(CHANGE, over_ms=2000.0), 7, Side.NEW, 2000.0).phase is Phase.DONE
+    assert assign_slot(replace(CHANGE, over_ms=2000.0), 7, Side.NEW, 1999.0).phase is Phase.JOINT
+    assert assign_slot(replace(CHANGE, over_ms=9000.0), 7, Side.NEW, 6000.0).phase is Phase.DONE, "never later"
 
 
 def as_event(generation: Generation, number: int, side: Side, now: float) -> i.Membership:
-    found = stance(generation, number, side, now)
-    return i.Membership(found.n_instances, found.seat, found.seats)
+    found = assign_slot(generation, number, side, now)
+    return i.Membership(found.fleet_size, found.slot, found.slots)
 
 
 BEGINS, OVERLAP = 12_000.0, 24_000.0
@@ -126,24 +126,24 @@
 
 
 def test_a_clock_far_off_is_noticed_and_a_late_update_is_not_mistaken_for_one() -> None:
-    guard = ClockGuard(500.0)
+    guard = ClockSkewMonitor(500.0)
     for late in (3000.0, 900.0, 20.0, 2000.0):
-        guard.hear(1e6, 1e6 + late, 1e6)
+        guard.record_update(1e6, 1e6 + late, 1e6)
     assert guard.lead_ms == 20.0
-    guard = ClockGuard(
+    guard = ClockSkewMonitor(
         500.0
     )  # the host leads by 30 s, and the placer's clock, aligned to it, has yet to follow the list
-    assert guard.hear(1e6 + 30_000.0, 1e6 + 30_000.0, 1e6) and guard.off
-    assert not guard.hear(1e6 + 300.0, 1e6 + 30_000.0, 1e6) and guard.off  # not well enough yet
-    assert guard.hear(1e6 + 200.0, 1e6 + 30_000.0, 1e6) and not guard.off
-    assert guard.hear(1e6 - 700.0, 1e6 + 30_000.0, 1e6) and guard.off  # trailing is as bad
+    assert guard.record_update(1e6 + 30_000.0, 1e6 + 30_000.0, 1e6) and guard.is_skewed
+    assert not guard.record_update(1e6 + 300.0, 1e6 + 30_000.0, 1e6) and guard.is_skewed  # not well enough yet
+    assert guard.record_update(1e6 + 200.0, 1e6 + 30_000.0, 1e6) and not guard.is_skewed
+    assert guard.record_update(1e6 - 700.0, 1e6 + 30_000.0, 1e6) and guard.is_skewed  # trailing is as bad
 
 
 @pytest.mark.parametrize("lead", [500.0, -500.0, 30_000.0])
 def test_clocks_of_hosts_apart_come_together_at_the_lists(lead: float) -> None:
-    guard, clock = ClockGuard(500.0), AlignedClock(0.0, 1e9 + lead)
+    guard, clock = ClockSkewMonitor(500.0), AlignedClock(0.0, 1e9 + lead)
     for second in range(1, 700):
         true = 1e9 + second * 1000.0
         now = clock.read(second * 1000.0, true + lead - guard.lead_ms)
-        guard.hear(now, true + lead, true - 3.0)
-    assert abs(now - true) < 10.0 and not guard.off
+        guard.record_update(now, true + lead, true - 3.0)
+    assert abs(now - true) < 10.0 and not guard.is_skewed
--- a/tests/membership/test_resize.py
+++ b/tests/membership/test_resize.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from sprucepost import interface as i
-from sprucepost.membership import Generation, KnownPlacer, Phase, Resize, Side, newest, stance
-from sprucepost.membership.resize import LEAD_MS
+from sprucepost.membership import Generation, KnownPlacer, Phase, Resize, Side, assign_slot, newer_generation
+from sprucepost.membership.resize import END_NOTICE_MS
 from tests.cold_fleet import START, Member, worst_window
 
 CHANGE = Generation(2, 6, previous=4, begins_ms=1000.0, overlap_ms=60_000.0, announced=True)
@@ -23,9 +23,9 @@
 
 @given(GENERATIONS, GENERATIONS, GENERATIONS)
 def test_which_generation_counts_depends_on_no_order(a: Generation, b: Generation, c: Generation) -> None:
-    assert newest(a, b) == newest(b, a) and newest(a, a) == a
-    assert newest(newest(a, b), c) == newest(a, newest(b, c))
-    assert newest(a, b).number == max(a.number, b.number)
+    assert newer_generation(a, b) == newer_generation(b, a) and newer_generation(a, a) == a
+    assert newer_generation(newer_generation(a, b), c) == newer_generation(a, newer_generation(b, c))
+    assert newer_generation(a, b).number == max(a.number, b.number)
 
 
 def others(*more: KnownPlacer, size: int = 6, generation: Generation = CHANGE) -> list[KnownPlacer]:
@@ -39,9 +39,9 @@
         (others(size=5), True, False, False),  # one of the new size is missing
         (others(KnownPlacer(6, CHANGE)), True, False, False),  # one above the new size is there
         (others(KnownPlacer(5, CHANGE)), True, False, False),  # a number twice
-        (others(KnownPlacer(3, BEFORE, is_here=False)), False, False, False),  # cut off, and has not heard
+        (others(KnownPlacer(3, BEFORE, is_reachable=False)), False, False, False),  # cut off, and has not heard
         (others(KnownPlacer(3, BEFORE)), False, False, False),
-        (others(KnownPlacer(3, CHANGE, is_here=False)), True, False, False),
+        (others(KnownPlacer(3, CHANGE, is_reachable=False)), True, False, False),
         (others(KnownPlacer(3, replace(CHANGE, size=9))), True, False, True),
         (others(KnownPlacer(3, replace(CHANGE, over_ms=5.0))), True, False, False),  # its end is not another content
         (others(generation=replace(CHANGE, over_ms=9e9)), True, True, False),
@@ -55,26 +55,26 @@
 def test_an_end_is_proposed_ahead_once_and_only_where_it_helps() -> None:
     resize = Resize(0, CHANGE, others())
     assert resize.propose_end(999.0) is None, "it has not begun"
-    assert resize.propose_end(2000.0) == replace(CHANGE, over_ms=2000.0 + LEAD_MS)
-    assert resize.propose_end(61_000.0 - LEAD_MS) is None, "the overlap ends as soon"
+    assert resize.propose_end(2000.0) == replace(CHANGE, over_ms=2000.0 + END_NOTICE_MS)
+    assert resize.propose_end(61_000.0 - END_NOTICE_MS) is None, "the overlap ends as soon"
     assert Resize(0, replace(CHANGE, over_ms=9000.0), others()).propose_end(2000.0) is None
     assert Resize(0, CHANGE, others(size=5)).propose_end(2000.0) is None
     assert Resize(0, Generation(2, 6), others(generation=Generation(2, 6))).propose_end(2000.0) is None, "no change"
 
 
 def test_the_new_side_waits_for_all_to_have_heard_and_the_old_one_does_not() -> None:
-    assert stance(CHANGE, 5, Side.NEW, 2000.0, told=False).phase is Phase.HELD
-    assert stance(CHANGE, 5, Side.NEW, 2000.0).seat == 9
-    assert stance(CHANGE, 3, Side.OLD, 2000.0, told=False).seat == 3
+    assert assign_slot(CHANGE, 5, Side.NEW, 2000.0, all_informed=False).phase is Phase.HELD
+    assert assign_slot(CHANGE, 5, Side.NEW, 2000.0).slot == 9
+    assert assign_slot(CHANGE, 3, Side.OLD, 2000.0, all_informed=False).slot == 3
     back = replace(CHANGE, rollback=True)
-    assert stance(back, 5, Side.NEW, 2000.0, told=False) == stance(back, 5, Side.NEW, 2000.0), (
+    assert assign_slot(back, 5, Side.NEW, 2000.0, all_informed=False) == assign_slot(back, 5, Side.NEW, 2000.0), (
         "everybody keeps its seat"
     )
 
 
-def seat(generation: Generation, number: int, side: Side, now: float, told: bool = True) -> i.Membership:
-    found = stance(generation, number, side, now, told)
-    return i.Membership(found.n_instances, found.seat if found.seats else 0, found.seats)
+def seat(generation: Generation, number: int, side: Side, now: float, all_informed: bool = True) -> i.Membership:
+    found = assign_slot(generation, number, side, now, all_informed)
+    return i.Membership(found.fleet_size, found.slot if found.slots else 0, found.slots)
 
 
 def change(unheard: int, over_ms: float, late_ms: float) -> list[Member]:
@@ -92,7 +92,7 @@
     for number in range(350):
         if number < 88:
             continue
-        held = seat(generation, number, Side.NEW, START + 5000.0, told=False)
+        held = seat(generation, number, Side.NEW, START + 5000.0, all_informed=False)
         taken = seat(generation, number, Side.NEW, START + 16_000.0)
         ends = seat(generation, number, Side.NEW, START + over_ms)
         told = [(0.0, held), (16_000.0 if unheard else 5000.0, taken), (over_ms + number % 7 * late_ms / 7, ends)]
--- a/tests/placer/test_credit.py
+++ b/tests/placer/test_credit.py
@@ -28,7 +28,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m0", admit_ms=60.0)
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         yield from wait_for(lambda: owner.up)
         bound(placer.owners, 3)
@@ -55,7 +55,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m0", admit_ms=100.0)
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         yield from wait_for(lambda: owner.up)
         bound(placer.owners, 1)
@@ -81,7 +81,7 @@
 
     def body(world: World) -> Co[Any]:
         placer = world.placer()  # no machine: each ask waits for as long as it may
-        front = world.tap.add("placer-0", placer.listen)
+        front = world.tap.add("placer-0", placer.grpc_address)
         owner, followed = world.owner(front)
         yield from wait_for(lambda: owner.up)
         world.tap.blow("reset", target="placer-0")
@@ -105,8 +105,8 @@
     def body(world: World) -> Co[Any]:
         world.machine("m0", cores=1000.0, memory=2000.0)
         placer = world.placer(limits=Limits(open_tasks=1000))
-        new, heard = world.owner(placer.listen, "new")
-        old, old_heard = world.owner(placer.listen, "old")
+        new, heard = world.owner(placer.grpc_address, "new")
+        old, old_heard = world.owner(placer.grpc_address, "old")
         yield from world.ready(placer, 1)
         yield from wait_for(lambda: new.up and old.up)
         for session in placer.owners.sessions.values():
@@ -141,7 +141,7 @@
 def test_a_stream_that_is_refused_without_end_is_left_unread_and_its_asks_are_charged_the_pause() -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer(limits=Limits(open_tasks=1))
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from wait_for(lambda: owner.up)
         admission = placer.owners.admission
         admission.service_time.cost_ms = 50.0  # refusing one is taken to cost 5 ms
@@ -170,7 +170,7 @@
 
     def body(world: World) -> Co[Any]:
         placer = world.placer()
-        owner, _ = world.owner(placer.listen)
+        owner, _ = world.owner(placer.grpc_address)
         yield from wait_for(lambda: owner.up)
         (session,) = placer.owners.sessions.values()
         assert session.call is not None and owner.call is not None
@@ -194,7 +194,7 @@
 
     def body(world: World) -> Co[Any]:
         placer = world.placer(limits=Limits(open_tasks=1, sessions=100))
-        owner, _ = world.owner(placer.listen)
+        owner, _ = world.owner(placer.grpc_address)
         yield from wait_for(lambda: owner.up)
         owner.submit("open", task(), 5000)  # no machine: it takes the only room
         yield from wait_for(lambda: placer.engine.ledger.open == 1)
--- a/tests/placer/test_life.py
+++ b/tests/placer/test_lifecycle.py
@@ -19,7 +19,7 @@
 
 from sprucepost.loop import Co, sleep
 from sprucepost.loop.epoll import EpollLoop
-from sprucepost.placer.life import Facts, State, judge
+from sprucepost.placer.lifecycle import Facts, State, judge
 from sprucepost.placer.notify import Notifier, activated
 from sprucepost.settings import PlacerFile
 from sprucepost.settings.reload import changes, refused
@@ -222,7 +222,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         statuses: list[int] = []
 
@@ -250,7 +250,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         statuses: list[int] = []
 
--- a/tests/placer/test_path.py
+++ b/tests/placer/test_path.py
@@ -20,7 +20,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         owner.submit("t1", task(life_ms=200), 3000)
         yield from wait_for(lambda: "ended" in followed.kinds("t1"))
@@ -33,7 +33,7 @@
 def test_tasks_without_sense_are_refused_at_once() -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from wait_for(lambda: owner.up)
         owner.submit("a", task("none"), 3000)
         owner.submit("b", task(cores=-1), 3000)
@@ -50,7 +50,7 @@
 def test_without_machines_the_answer_comes_before_the_owner_gives_up() -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from wait_for(lambda: owner.up)
         sent = world.loop.now()
         owner.submit("t", task(), 400)
@@ -64,7 +64,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
-        front = world.tap.add("placer-0", placer.listen)
+        front = world.tap.add("placer-0", placer.grpc_address)
         owner, followed = world.owner(front)
         owner.hold_acks = True
         yield from world.ready(placer, 1)
@@ -87,7 +87,7 @@
     def body(world: World) -> Co[Any]:
         hosts = [world.machine("m1"), world.machine("m2")]
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 2)
         for host in hosts:
             host.answer_loss = 1.0
@@ -110,7 +110,7 @@
     def body(world: World) -> Co[Any]:
         hosts = [world.machine("m1"), world.machine("m2")]
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 2)
         for host in hosts:
             host.answer_loss = 1.0
@@ -128,7 +128,7 @@
     def body(world: World) -> Co[Any]:
         host = world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         world.tap.set("answers", Condition(target="m1", up=False, hold=True))
         owner.submit("t", task("once", life_ms=20_000), 600)
@@ -147,7 +147,7 @@
     def body(world: World) -> Co[Any]:
         host = world.machine("m1", unclaimed_ms=300.0)
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         world.tap.set("answers", Condition(target="m1", up=False, hold=True))
         owner.submit("t", task("once"), 600)
@@ -164,7 +164,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         world.tap.blow("truncate", target="m1", after=30)  # the offer's frame breaks off
         owner.submit("t", task(), 3000)
@@ -179,7 +179,7 @@
         world.machine("m1")
         world.machine("m2")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 2)
         for pipe in list(world.tap.pipes):
             if pipe.target == "m1":
@@ -203,7 +203,7 @@
     def body(world: World) -> Co[Any]:
         host = world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         for n in range(5):
             owner.submit(f"t{n}", task("bill", service=f"s{n}"), 3000)
@@ -211,7 +211,7 @@
         offers = host.counts["offers"]
         _kill(placer)
         yield from sleep(20)  # incarnations are ordered by time
-        second = world.placer(listen=f"127.0.0.1:{placer.listen[1]}")
+        second = world.placer(listen=f"127.0.0.1:{placer.grpc_address[1]}")
         yield from wait_for(lambda: second.engine.ledger.outcomes.total() == 5)
         yield from wait_for(lambda: followed.sessions == [False, False])
         for n in range(5):
@@ -247,7 +247,7 @@
         yield from wait_for(lambda: new.conflict)
         yield from sleep(20)
         why = new.not_ready()
-        owner, followed = world.owner(new.listen)
+        owner, followed = world.owner(new.grpc_address)
         yield from wait_for(lambda: owner.up)
         owner.submit("t", task(), 500)
         yield from wait_for(lambda: followed.outcomes("t"))
@@ -283,8 +283,8 @@
     def body(world: World) -> Co[Any]:
         host = world.machine("m1")
         placer = world.placer()
-        first, one = world.owner(placer.listen, "first")
-        second, two = world.owner(placer.listen, "second")
+        first, one = world.owner(placer.grpc_address, "first")
+        second, two = world.owner(placer.grpc_address, "second")
         yield from world.ready(placer, 1)
         yield from wait_for(lambda: first.up and second.up)
         first.submit("t", task("once"), 2000)
@@ -301,7 +301,7 @@
     def body(world: World) -> Co[Any]:
         host = world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         owner.submit("placed", task(), 3000)
         yield from wait_for(lambda: followed.outcomes("placed"))
@@ -322,7 +322,7 @@
     def body(world: World) -> Co[Any]:
         host = world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         owner.submit("t", task(), 3000)
         yield from wait_for(lambda: "running" in followed.kinds("t"))
@@ -338,7 +338,7 @@
     def body(world: World) -> Co[Any]:
         host = world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         owner.submit("t", task(), 3000)
         yield from wait_for(lambda: "running" in followed.kinds("t"))
@@ -355,7 +355,7 @@
     def body(world: World) -> Co[Any]:
         host = world.machine("m1", sends_away=False)
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         link = placer.links.get("m1")
         assert link is not None
@@ -379,7 +379,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         world.tap.set("m1", Condition(target="m1", up=False, hold=True))
         for n in range(20):
@@ -403,7 +403,7 @@
 
         host = world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         real = placer.engine.attempts.offer
 
@@ -428,7 +428,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         world.listing._down(True)
         yield from wait_for(lambda: placer.discovery.failures >= 1)
@@ -449,9 +449,9 @@
 
     def body(world: World) -> Co[Any]:
         placer = world.placer()
-        owner, _ = world.owner(placer.listen)
+        owner, _ = world.owner(placer.grpc_address)
         yield from wait_for(lambda: owner.up)
-        client = yield from open_client(world.loop, placer.listen)
+        client = yield from open_client(world.loop, placer.grpc_address)
         call = client.call("/sprucepost.v1.Placer/Submit")
         call.send(first)
         try:
@@ -465,7 +465,7 @@
 def test_stopping_settles_what_is_open_and_takes_nothing_new() -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer(stop_ms=300.0)
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from wait_for(lambda: owner.up)
         stopped: list[int] = []
 
@@ -496,7 +496,7 @@
 
 def half_closed(world: World, placer: Any, asks: list[str], left_ms: float = 3000) -> Co[tuple[list[str], int]]:
     """Ask like a command-line client: all asks, then half-close, then read to the end."""
-    client = yield from open_client(world.loop, placer.listen)
+    client = yield from open_client(world.loop, placer.grpc_address)
     call = client.call("/sprucepost.v1.Placer/Submit")
     call.send(pb.OwnerFrame(hello=pb.OwnerHello(owner="cli")).SerializeToString())
     for seq, name in enumerate(asks, 1):
@@ -528,7 +528,7 @@
 def test_a_half_closed_stream_waits_for_the_answer_that_comes_last() -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer()  # no machine: refused when the time is over
-        yield from wait_for(lambda: placer.listen)
+        yield from wait_for(lambda: placer.grpc_address)
         return (yield from half_closed(world, placer, ["a", "a"], 400))
 
     assert play(body) == (["refused", "refused"], 0)
@@ -538,7 +538,7 @@
     def body(world: World) -> Co[Any]:
         limits = Limits(sessions=20, sessions_per_peer=20)
         placer = world.placer(limits=limits)
-        client = yield from open_client(world.loop, placer.listen)
+        client = yield from open_client(world.loop, placer.grpc_address)
 
         def hello(ask: bool) -> Co[None]:
             call = client.call("/sprucepost.v1.Placer/Submit")
@@ -565,7 +565,7 @@
 def test_what_one_read_asks_and_none_can_have_is_refused_in_one_frame_where_the_owner_takes_it(batches: bool) -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer(limits=Limits(open_tasks=1))
-        front = world.tap.add("placer-0", placer.listen)
+        front = world.tap.add("placer-0", placer.grpc_address)
         owner, followed = world.owner(front)
         owner.batches = batches
         yield from wait_for(lambda: owner.up)
@@ -587,7 +587,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.listen)
+        owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         owner.submit("t", task(), 1)  # no time is left
         owner.submit("t", task(life_ms=50), 2000)
@@ -600,7 +600,7 @@
 def test_a_half_close_of_a_stream_that_lost_its_session_does_not_end_the_one_that_took_it() -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer()  # no machine: the ask stays open
-        first = yield from open_client(world.loop, placer.listen)
+        first = yield from open_client(world.loop, placer.grpc_address)
         old = first.call("/sprucepost.v1.Placer/Submit")
         old.send(pb.OwnerFrame(hello=pb.OwnerHello(owner="o")).SerializeToString())
         token = pb.PlacerFrame.FromString((yield from old.receive()) or b"").welcome.session
--- a/tests/placer/test_storms.py
+++ b/tests/placer/test_storms.py
@@ -23,7 +23,7 @@
         for n in range(MACHINES):
             world.machine(f"m{n}", "room-a" if n % 2 else "room-b")
         placer = world.placer()
-        front = world.tap.add("placer-0", placer.listen)
+        front = world.tap.add("placer-0", placer.grpc_address)
         owners = [world.owner(front, f"owner-{n}") for n in range(OWNERS)]
         yield from world.ready(placer, MACHINES)
         yield from wait_for(lambda: all(owner.up for owner, _ in owners))
@@ -60,9 +60,9 @@
 ) -> None:
     """Sixty first calls at once, four fifths of them not answered within a placer's patience. With the same patience each
     time only those ever got it that came first: the others' calls kept the list busy."""
-    monkeypatch.setattr(discovery, "ANSWER_MS", 400.0)
+    monkeypatch.setattr(discovery, "FIRST_UPDATE_TIMEOUT_MS", 400.0)
 
     found = played(60, 30.0, 300.0, 12_000.0)
     assert found["heard"] == 60 and found["most_calls_open"] <= 60 and found["calls"] <= 130
-    monkeypatch.setattr(discovery, "SLOW_LIST_FACTOR", 1)  # as it was
+    monkeypatch.setattr(discovery, "SLOW_LIST_TIMEOUT_FACTOR", 1)  # as it was
     assert played(60, 30.0, 300.0, 8000.0)["heard"] < 60
--- a/tests/placing/support.py
+++ b/tests/placing/support.py
@@ -84,7 +84,7 @@
 
     def flush(self) -> None:
         while self.queue:
-            offer = self._engine.write(self.queue.pop(0), self.machine_incarnation)
+            offer = self._engine.build_offer(self.queue.pop(0), self.machine_incarnation)
             if offer is not None:
                 self.offers.append(offer)
 
@@ -171,27 +171,31 @@
 
     def tell_list(self, *names: str, state: int = 1, started: float = 0.0, whole: bool = False) -> None:
         entries = tuple(i.MachineEntry(name, i.MachineState(state), 0, 0, 0, started, 32.0, 64.0) for name in names)
-        self.engine.hear_list(self.loop.wall())
+        self.engine.on_list_update(self.loop.wall())
         self.engine.roster.on_list(i.MachineList(i.ListKind.FULL if whole else i.ListKind.DELTA, entries))
 
     def attach(self, name: str, life: int, started_ms: float = 0.0, held: Any = ()) -> None:
         link = self.streams.links[name]
         new, link.machine_incarnation = link.machine_incarnation not in (0, life), life
-        self.engine.attached(name, machine_pb2.Attached(machine=name, life=life, started_ms=started_ms, held=held), new)
+        self.engine.on_machine_attached(
+            name, machine_pb2.Attached(machine=name, life=life, started_ms=started_ms, held=held), new
+        )
         link.flush()
 
     def submit(self, name: str = "t", task_class: str = "web", left_ms: float = 3000.0) -> None:
         task = common_pb2.Task(task_class=task_class, service="s", cores=1.0, memory=1.0)
         frame = pb.OwnerFrame(task=name, submit=pb.Submission(task=task, left_ms=left_ms))
-        self.engine.from_owner(Session(self.streams), frame)
+        self.engine.on_owner_frame(Session(self.streams), frame)
         self.loop.pass_ms(0.0)
 
     def cancel(self, name: str = "t") -> None:
-        self.engine.from_owner(Session(self.streams), pb.OwnerFrame(task=name, cancel=pb.Cancel()))
+        self.engine.on_owner_frame(Session(self.streams), pb.OwnerFrame(task=name, cancel=pb.Cancel()))
         self.loop.pass_ms(0.0)
 
     def answer(self, name: str, offer: machine_pb2.Offer, **body: Any) -> None:
-        self.engine.answer(name, machine_pb2.FromMachine(request=offer.request, attempt=offer.attempt, **body))
+        self.engine.on_machine_frame(
+            name, machine_pb2.FromMachine(request=offer.request, attempt=offer.attempt, **body)
+        )
         self.loop.pass_ms(0.0)
 
     def outcomes(self, name: str = "t") -> list[str]:
--- a/tests/placing/test_attempts.py
+++ b/tests/placing/test_attempts.py
@@ -48,17 +48,17 @@
     harness.submit()
     first, key = link.offers[0], (link.offers[0].request, link.offers[0].attempt)
     harness.loop.pass_ms(30.0)
-    again = harness.engine.write(key, 1)
+    again = harness.engine.build_offer(key, 1)
     assert again is not None and again.wait_ms == pytest.approx(first.wait_ms - 30.0, abs=1.0)
     harness.tell_list("m1", state=2)
-    assert harness.engine.write(key, 1) is None
+    assert harness.engine.build_offer(key, 1) is None
 
 
 def test_an_offer_that_waited_is_not_for_the_machine_s_next_life() -> None:
     harness = PlacerHarness()
     link = waiting(harness, "once")
     first = link.queue[0]
-    assert harness.engine.write(first, 2) is None
+    assert harness.engine.build_offer(first, 2) is None
     harness.attach("m1", 2)
     assert first not in link.queue and not link.offers and harness.engine.attempts.get(first) is None
     entry = harness.engine.ledger.by_request(first[0])
@@ -101,7 +101,7 @@
     harness = PlacerHarness()
     link = waiting(harness, "once")
     other = harness.machine("m2")
-    harness.engine.detached("m1")
+    harness.engine.on_machine_detached("m1")
     harness.loop.pass_ms(0.0)
     assert not link.queue and len(other.offers) == 1
     harness.submit("u")
@@ -174,7 +174,7 @@
 def test_of_a_machine_that_is_gone_nothing_is_kept() -> None:
     harness = PlacerHarness()
     harness.machine(started=harness.loop.wall() - 10.0)
-    harness.engine.detached("m1")
+    harness.engine.on_machine_detached("m1")
     harness.streams.links["m1"].attached = False
     harness.tell_list("m1", state=0)
     assert not harness.engine.attempts.cold_until and not harness.engine.attempts.closed_machines
--- a/tests/placing/test_pause_recovery.py
+++ b/tests/placing/test_pause_recovery.py
@@ -20,7 +20,7 @@
     harness.submit()
     harness.loop.pass_ms(300.0)
     assert not link.offers and harness.logs["paused"] == 1
-    harness.engine.hear_list(harness.loop.wall())  # a beat: nothing that was told before has been missed
+    harness.engine.on_list_update(harness.loop.wall())  # a beat: nothing that was told before has been missed
     harness.loop.pass_ms(150.0)
     assert len(link.offers) == 1
 
@@ -38,7 +38,7 @@
     link, other = harness.machine(), harness.machine("m2")
     harness.loop.pause(4000.0)
     harness.engine.roster.on_list(FAILED)
-    harness.engine.answer("m2", machine_pb2.FromMachine(request=99, running=machine_pb2.TaskRunning()))
+    harness.engine.on_machine_frame("m2", machine_pb2.FromMachine(request=99, running=machine_pb2.TaskRunning()))
     harness.submit()
     assert not link.offers and len(other.offers) == 1
 
--- a/tests/rules/test_broken_placers.py
+++ b/tests/rules/test_broken_placers.py
@@ -38,7 +38,7 @@
     world.machine("m1", **manners)
     world.machine("m2", zone="room-b", **manners)
     placer = world.placer(told=told)
-    front = world.tap.add("placer-0", placer.listen)
+    front = world.tap.add("placer-0", placer.grpc_address)
     owner, _ = world.owner(front)
     yield from world.ready(placer, 2)
     yield from wait_for(lambda: owner.up)
@@ -191,7 +191,7 @@
 def test_a_killed_placer_owes_nothing() -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer()
-        front = world.tap.add("placer-0", placer.listen)
+        front = world.tap.add("placer-0", placer.grpc_address)
         owner, _ = world.owner(front)
         yield from wait_for(lambda: owner.up)
         placer.engine.reporter.report = lambda entry, **body: None  # type: ignore[method-assign]
--- a/tests/standin/test_tap.py
+++ b/tests/standin/test_tap.py
@@ -16,7 +16,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m0")
         placer = world.placer()
-        front = world.tap.add("placer-0", placer.listen)
+        front = world.tap.add("placer-0", placer.grpc_address)
         owner, _ = world.owner(front)
         yield from world.ready(placer, 1)
         yield from wait_for(lambda: owner.up)
