--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -16,12 +16,12 @@
 from sprucepost.placer.discovery import DiscoveryWatch, WatchOptions
 from sprucepost.placer.engine import Engine
 from sprucepost.placer.fleet_membership import FleetMembership, MembershipCallbacks
-from sprucepost.placer.http_pages import pages
 from sprucepost.placer.lifecycle import Facts, State, judge
 from sprucepost.placer.links import Links
 from sprucepost.placer.log import Logs
 from sprucepost.placer.notify import Notifier
 from sprucepost.placer.owners import Owners
+from sprucepost.placer.pages import pages
 from sprucepost.settings import PlacerFile
 from sprucepost.settings.reload import changes, refused
 from sprucepost.settings.running import settings_fingerprint
