--- a/sprucepost/placing/fleet_driver.py
+++ b/sprucepost/placing/fleet_driver.py
@@ -11,7 +11,7 @@
 
 from sprucepost import interface as i
 from sprucepost.loop import Loop, Timer
-from sprucepost.membership import ClockGuard, Generation, Side, Stance, stance
+from sprucepost.membership import ClockSkewMonitor, Generation, Side, SlotAssignment, assign_slot
 from sprucepost.placing.scheduler_driver import SchedulerDriver
 
 
@@ -34,7 +34,7 @@
         self._number = settings.number
         self._generation, self.side = generation, Side.NEW
         self._all_informed, self._disputed = True, False  # until the fleet's view reports otherwise
-        self._clock_guard = ClockGuard(clock_apart_ms)
+        self._clock_guard = ClockSkewMonitor(clock_apart_ms)
         self._slot_timer: Timer | None = None
 
     def now(self) -> float:
@@ -42,9 +42,9 @@
         return self._clock.read(self.loop.now(), self.loop.wall() - self._clock_guard.lead_ms)
 
     @property
-    def stance(self) -> Stance:
+    def slot_assignment(self) -> SlotAssignment:
         """This placer's current position in the change of the fleet's size."""
-        return stance(self._generation, self._number, self.side, self.now(), self._all_informed)
+        return assign_slot(self._generation, self._number, self.side, self.now(), self._all_informed)
 
     def set_generation(self, generation: Generation, side: Side) -> None:
         """Apply the generation of reloaded settings."""
@@ -60,9 +60,9 @@
 
     def check_list_time(self, list_ms: float) -> None:
         """Compare the list's clock, in ms, with this host's."""
-        if self._clock_guard.hear(self.now(), self.loop.wall(), list_ms):
+        if self._clock_guard.record_update(self.now(), self.loop.wall(), list_ms):
             self._log(
-                "clock_off" if self._clock_guard.off else "clock_good", host_leads_ms=round(self._clock_guard.lead_ms)
+                "clock_off" if self._clock_guard.is_skewed else "clock_good", host_leads_ms=round(self._clock_guard.lead_ms)
             )
             self.update_slot()
 
@@ -71,9 +71,9 @@
         if self._slot_timer is not None:
             self._slot_timer.cancel()
             self._slot_timer = None
-        current = self.stance
-        seats = 0 if self._clock_guard.off or self._disputed else current.seats
-        self.push(i.Membership(current.n_instances, current.seat if seats else 0, seats))
-        self._log("seat", phase=current.phase.value, seat=current.seat, seats=seats, why=current.why or None)
+        current = self.slot_assignment
+        seats = 0 if self._clock_guard.is_skewed or self._disputed else current.slots
+        self.push(i.Membership(current.fleet_size, current.slot if seats else 0, seats))
+        self._log("seat", phase=current.phase.value, seat=current.slot, seats=seats, why=current.reason or None)
         if current.until_ms is not None:
             self._slot_timer = self.loop.call_later(current.until_ms - self.now() + 1.0, self.update_slot)
