--- a/sprucepost/placing/fleet_driver.py
+++ b/sprucepost/placing/fleet_driver.py
@@ -62,7 +62,8 @@
         """Compare the list's clock, in ms, with this host's."""
         if self._clock_guard.record_update(self.now(), self.loop.wall(), list_ms):
             self._log(
-                "clock_off" if self._clock_guard.is_skewed else "clock_good", host_leads_ms=round(self._clock_guard.lead_ms)
+                "clock_off" if self._clock_guard.is_skewed else "clock_good",
+                host_leads_ms=round(self._clock_guard.lead_ms),
             )
             self.update_slot()
 
