--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -29,7 +29,7 @@
     ProblemKind,
     Proposal,
 )
-from sprucepost.configuration.document import Settings, Value, canonical, expand, flatten
+from sprucepost.configuration.document import Settings, Value, canonical_json, expand, flatten
 from sprucepost.configuration.messages import Changes, Digest, Message, Send
 from sprucepost.play.agenda import Agenda
 from sprucepost.settings import Cluster
@@ -143,7 +143,7 @@
         self.at(self.now + BEAT_MS, lambda: self._beat(name))
 
     def _carry(self, name: str) -> None:
-        for output in self.replicas[name].drain():
+        for output in self.replicas[name].take_outputs():
             if isinstance(output, Send):
                 self.messages += 1
                 if isinstance(output.message, Changes):
@@ -223,9 +223,9 @@
     for change in changes:
         began = time.process_time()
         replica.received(0.0, 1, Changes((change,)))
-        replica.drain()
+        replica.take_outputs()
         spent.append((time.process_time() - began) * 1000)
-    print(f"{len(settings)} keys, {sum(len(k) + len(canonical(v)) for k, v in settings.items())} bytes, 12 peers:")
+    print(f"{len(settings)} keys, {sum(len(k) + len(canonical_json(v)) for k, v in settings.items())} bytes, 12 peers:")
     a_day_s = sum(spent[1:]) / 1000
     print(f"  a change: {1000 * a_day_s / CHANGES_A_DAY:.2f} ms of CPU; {CHANGES_A_DAY} a day: {a_day_s:.1f} s")
     late = Change(Position(CHANGES_A_DAY - LATE_PLACES, "zz"), "bob", "", 0.0, (Edit("cluster.max_attempts", 4),))
--- a/sprucepost/cli/configuration.py
+++ b/sprucepost/cli/configuration.py
@@ -127,7 +127,7 @@
 
 def _from_file(path: Path | None) -> dict[str, Any]:
     """The keys that a file sets; the order of a list isn't among them: a file may name some of its elements alone."""
-    from sprucepost.configuration.document import ORDER, flatten
+    from sprucepost.configuration.document import ORDER_SUFFIX, flatten
 
     if path is None:
         return {}
@@ -140,7 +140,7 @@
         _fail(f"{path}: not JSON: {error}")
     if keys is None:
         _fail(f"{path}: not an object")
-    return {key: value for key, value in keys.items() if not key.endswith(ORDER)}
+    return {key: value for key, value in keys.items() if not key.endswith(ORDER_SUFFIX)}
 
 
 def _from_pairs(pairs: tuple[str, ...]) -> dict[str, Any]:
--- a/sprucepost/configuration/__init__.py
+++ b/sprucepost/configuration/__init__.py
@@ -22,19 +22,19 @@
 """
 
 from sprucepost.configuration.change import Change, Edit, Position, Version
-from sprucepost.configuration.door import KeyEdit, Proposal, Receipt
 from sprucepost.configuration.limits import Limits
-from sprucepost.configuration.replica import ConfigurationReplica, KeptState, edits_between
-from sprucepost.configuration.timeline import HistoryEntry, State
+from sprucepost.configuration.proposal_checker import KeyEdit, Proposal, Receipt
+from sprucepost.configuration.replica import ConfigurationReplica, SavedState, edits_between
+from sprucepost.configuration.timeline import ChangeState, HistoryEntry
 from sprucepost.configuration.validation import ChangeableKeys, Problem, ProblemKind, Validator
 
 __all__ = [
     "Change",
+    "ChangeState",
     "ChangeableKeys",
     "ConfigurationReplica",
     "Edit",
     "HistoryEntry",
-    "KeptState",
     "KeyEdit",
     "Limits",
     "Position",
@@ -42,7 +42,7 @@
     "ProblemKind",
     "Proposal",
     "Receipt",
-    "State",
+    "SavedState",
     "Validator",
     "Version",
     "edits_between",
--- a/sprucepost/configuration/enforcement.py
+++ b/sprucepost/configuration/active_configuration.py
@@ -15,24 +15,24 @@
 
 from collections.abc import Iterator, Mapping
 
-from sprucepost.configuration.change import BEGINNING, Position, Version
+from sprucepost.configuration.change import BEFORE_FIRST, Position, Version
+from sprucepost.configuration.configuration_checker import ConfigurationChecker
 from sprucepost.configuration.document import Settings, Value, settings_digest
-from sprucepost.configuration.judge import Judge
 from sprucepost.configuration.messages import Event, Held, InForce
 from sprucepost.configuration.timeline import Entry, Timeline
 
 NO_OUTCOME = 0
 
 
-class Enforcement:
+class ActiveConfiguration:
     """Decides what is in force. ``settle`` is to be called after each change of the timeline."""
 
-    def __init__(self, timeline: Timeline, judge: Judge, file: Settings) -> None:
-        self._timeline, self._judge = timeline, judge
+    def __init__(self, timeline: Timeline, checker: ConfigurationChecker, file: Settings) -> None:
+        self._timeline, self._checker = timeline, checker
         self._file = dict(file)
         self._in_force: dict[str, Value] | None = None
         self._digest = settings_digest(self._file)
-        self._confirmed = BEGINNING  # up to there a peer that could judge everything had the same result
+        self._confirmed = BEFORE_FIRST  # up to there a peer that could judge everything had the same result
         self.held: Held | None = None
 
     @property
@@ -40,7 +40,7 @@
         return dict(self._file if self._in_force is None else self._in_force)
 
     @property
-    def kept(self) -> dict[str, Value] | None:
+    def saved(self) -> dict[str, Value] | None:
         """What the next life must begin with; None where that is the file."""
         return None if self._in_force is None else dict(self._in_force)
 
@@ -52,7 +52,7 @@
     @property
     def outcome(self) -> int:
         """The same, or NO_OUTCOME while this replica can't vouch for it."""
-        if not self._timeline.based or self.unconfirmed() is not None:
+        if not self._timeline.has_baseline or self.unconfirmed() is not None:
             return NO_OUTCOME
         return self.agreed_outcome
 
@@ -70,16 +70,16 @@
         """A peer that could judge all changes has come to the same configuration."""
         self._confirmed = self._timeline.entries[-1].position
 
-    def doubt(self, position: Position) -> None:
+    def withdraw_confirmation(self, position: Position) -> None:
         """A change has come in there: what was confirmed with later ones doesn't hold any more."""
         if position < self._confirmed:
-            self._confirmed = BEGINNING
+            self._confirmed = BEFORE_FIRST
 
-    def settle(self, version: Version) -> Iterator[Event]:
+    def refresh(self, version: Version) -> Iterator[Event]:
         """Put the agreed configuration in force, or hold the last one and say why."""
-        if not self._timeline.based:
+        if not self._timeline.has_baseline:
             return
-        obstacle = self._obstacle()
+        obstacle = self._obstacle_to_agreed()
         if obstacle is not None:
             if obstacle != self.held:
                 self.held = obstacle
@@ -91,11 +91,11 @@
             self._in_force, self._digest = dict(state.values), state.digest
             yield InForce(version)
 
-    def _obstacle(self) -> Held | None:
-        problems = self._judge.problems(self._timeline.state)
+    def _obstacle_to_agreed(self) -> Held | None:
+        problems = self._checker.problems(self._timeline.state)
         if problems:
-            return Held(problems[0].key, problems[0].line)
+            return Held(problems[0].key, problems[0].reason)
         unjudged = self.unconfirmed()
         if unjudged is not None:
-            return Held(unjudged.line.partition(":")[0], unjudged.line)
+            return Held(unjudged.reason.partition(":")[0], unjudged.reason)
         return None
--- a/sprucepost/configuration/change.py
+++ b/sprucepost/configuration/change.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-from sprucepost.configuration.document import Value, canonical, fingerprint
+from sprucepost.configuration.document import Value, canonical_json, fingerprint
 
-CLOCK_MOST = 2**53  # no fleet counts so far: a clock beyond it is a fault of whoever sent it
+MAX_CLOCK = 2**53  # no fleet counts so far: a clock beyond it is a fault of whoever sent it
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -24,7 +24,7 @@
         return f"{self.clock}@{self.origin}"
 
 
-BEGINNING = Position(0, "")  # before every change
+BEFORE_FIRST = Position(0, "")  # before every change
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     @cached_property
     def text(self) -> str:
         """Canonical JSON of the whole change."""
-        return canonical(
+        return canonical_json(
             [
                 [self.position.clock, self.position.origin],
                 self.author,
--- a/sprucepost/configuration/ledger.py
+++ b/sprucepost/configuration/change_store.py
@@ -6,28 +6,28 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import replace
 
-from sprucepost.configuration.change import BEGINNING, CLOCK_MOST, Change, Position, Version
+from sprucepost.configuration.change import BEFORE_FIRST, MAX_CLOCK, Change, Position, Version
+from sprucepost.configuration.configuration_checker import ConfigurationChecker
 from sprucepost.configuration.document import Value
 from sprucepost.configuration.history import BoundedHistory, VersionLog
-from sprucepost.configuration.judge import Judge
 from sprucepost.configuration.limits import Limits
 from sprucepost.configuration.messages import SettingRecord, Snapshot, Summary
 from sprucepost.configuration.state import SettingsState
-from sprucepost.configuration.timeline import Entry, HistoryEntry, State, Timeline, Verdict
+from sprucepost.configuration.timeline import ChangeState, Entry, HistoryEntry, Timeline, Verdict
 
-CLOCK_STEP_MOST = 2**32  # a clock that leads ours by more is a fault, not a busy fleet
-COMPACT_SHARE = 16  # ripe changes are compacted together once they are one in so many of all that may live,
-RIPE_MOST = 1.25  # or the oldest is so many horizons old
-LIVE_OVER = 2  # times the bound, where nothing can be compacted: what comes then is not taken
-SURPLUS_KEPT = 0.75  # where the bound is passed, so much of it is left
+MAX_CLOCK_STEP = 2**32  # a clock that leads ours by more is a fault, not a busy fleet
+COMPACT_BATCH_DIVISOR = 16  # ripe changes are compacted together once they are one in so many of all that may live,
+MAX_RIPE_HORIZONS = 1.25  # or the oldest is so many horizons old
+LIVE_CHANGES_LIMIT_FACTOR = 2  # times the bound, where nothing can be compacted: what comes then is not taken
+KEPT_SHARE = 0.75  # where the bound is passed, so much of it is left
 
 
-class Ledger:
+class ChangeStore:
     """The base and the live changes. Of two bases the one with the greater ``rank`` counts."""
 
-    def __init__(self, judge: Judge, limits: Limits) -> None:
+    def __init__(self, checker: ConfigurationChecker, limits: Limits) -> None:
         self._limits = limits
-        self.timeline = Timeline(judge)
+        self.timeline = Timeline(checker)
         self.archive = BoundedHistory(limits.archived_changes, limits.archived_bytes)
         self.set_aside = BoundedHistory(limits.set_aside_changes, limits.set_aside_bytes)
         self.clock = 0
@@ -36,7 +36,9 @@
         self.fingerprints: deque[int] = deque(maxlen=limits.remembered_fingerprints)  # of changes in the base
         self._base_digest = 0
         self._forgotten = False  # whether the base holds more changes than fingerprints
-        self.unbroken_from = BEGINNING  # the archive holds every applied change from there on, or had to drop it
+        self.archive_complete_from = (
+            BEFORE_FIRST  # the archive holds every applied change from there on, or had to drop it
+        )
         self._live: dict[int, Position] = {}  # by fingerprint
 
     # What may be asked
@@ -49,19 +51,19 @@
     def history(self) -> list[HistoryEntry]:
         """All changes that are still shown, oldest first."""
         live = [entry.shown() for entry in self.timeline.entries]
-        archived = [entry.brought_up_to_date(self.timeline.state.setters) for entry in self.archive]
+        archived = [entry.with_setters(self.timeline.state.setters) for entry in self.archive]
         return sorted([*archived, *self.set_aside, *live], key=lambda entry: entry.change.position)
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether no more changes are taken, since none can be compacted."""
-        return len(self.timeline.entries) >= self._limits.live_changes * LIVE_OVER
+        return len(self.timeline.entries) >= self._limits.live_changes * LIVE_CHANGES_LIMIT_FACTOR
 
     def settings_at(self, position: Position) -> dict[str, Value] | None:
         """The agreed values right after the change at ``position``; None where that is no longer known."""
         if position == self.timeline.cut or position in self.timeline:
             return self.timeline.settings_at(position)
-        if position not in self.archive or position < self.unbroken_from:
+        if position not in self.archive or position < self.archive_complete_from:
             return None
         state = self.timeline.base.copy()
         for entry in sorted(self.archive, key=lambda each: each.change.position, reverse=True):
@@ -71,11 +73,11 @@
                 state.restore(undo)
         return state.values
 
-    def plausible(self, change: Change) -> bool:
+    def is_plausible(self, change: Change) -> bool:
         """Whether an honest replica could have sent that."""
         clock, origin = change.position.clock, change.position.origin
         return (
-            0 < clock <= min(CLOCK_MOST, self.clock + CLOCK_STEP_MOST)
+            0 < clock <= min(MAX_CLOCK, self.clock + MAX_CLOCK_STEP)
             and 0 < len(origin) <= self._limits.text_length
             and 0 < len(change.edits) <= self._limits.configuration_keys
             and len({edit.key for edit in change.edits}) == len(change.edits)
@@ -143,13 +145,13 @@
             self.version = Version(self.clock, digest)
             self.versions.add(self.version, [change])
 
-    def put_aside(self, change: Change) -> None:
+    def set_change_aside(self, change: Change) -> None:
         """Keep a change that is behind the cut and not in the base; it is never applied."""
         line = f"{change.edits[0].key}: not in the base, which holds all changes up to {self.timeline.cut}"
         if self._forgotten:
             line += "; if it is older than the changes that are remembered it may have been"
         self.archive.remove(change.position)
-        self.set_aside.add(HistoryEntry(change, State.SET_ASIDE, line, {}))
+        self.set_aside.add(HistoryEntry(change, ChangeState.SET_ASIDE, line, {}))
 
     # The base
 
@@ -158,12 +160,16 @@
         can't be judged here, so that only another replica's base can help."""
         entries, limits = self.timeline.entries, self._limits
         ripe = 0
-        while ripe < len(entries) and _is_settled(entries[ripe]) and self._age(now, entries[ripe]) >= 1.0:
+        while ripe < len(entries) and _is_decided(entries[ripe]) and self._age_in_horizons(now, entries[ripe]) >= 1.0:
             ripe += 1
-        if ripe and ripe < limits.live_changes // COMPACT_SHARE and self._age(now, entries[0]) < RIPE_MOST:
+        if (
+            ripe
+            and ripe < limits.live_changes // COMPACT_BATCH_DIVISOR
+            and self._age_in_horizons(now, entries[0]) < MAX_RIPE_HORIZONS
+        ):
             ripe = 0
         surplus = self._surplus()
-        settled = next((n for n, entry in enumerate(entries[:surplus]) if not _is_settled(entry)), surplus)
+        settled = next((n for n, entry in enumerate(entries[:surplus]) if not _is_decided(entry)), surplus)
         self._fold_into_base(max(ripe, settled))
         return settled == surplus
 
@@ -179,8 +185,8 @@
 
     def accepts(self, snapshot: Snapshot) -> bool:
         """Whether that base counts, and could be an honest replica's."""
-        plausible = snapshot.cut.clock <= CLOCK_MOST and len(snapshot.settings) <= self._limits.configuration_keys
-        return plausible and (snapshot.cut, snapshot.digest) > self.rank
+        is_plausible = snapshot.cut.clock <= MAX_CLOCK and len(snapshot.settings) <= self._limits.configuration_keys
+        return is_plausible and (snapshot.cut, snapshot.digest) > self.rank
 
     def adopt(self, snapshot: Snapshot) -> list[Change]:
         """Take that base in place of the own one, and set aside what isn't in it: these changes are the result."""
@@ -199,18 +205,18 @@
             else:
                 not_held.append(entry.change)
         for change in not_held:
-            self.put_aside(change)
+            self.set_change_aside(change)
         for aside in self.set_aside:
             if (
                 aside.change.fingerprint in held
             ):  # set aside for another base; what became of its keys, their setters tell
                 self.set_aside.remove(aside.change.position)
-                self.archive.add(HistoryEntry(aside.change, State.IN_FORCE, "", {}))
-        self.unbroken_from = snapshot.cut
-        self._count_again(snapshot.cut)
+                self.archive.add(HistoryEntry(aside.change, ChangeState.IN_FORCE, "", {}))
+        self.archive_complete_from = snapshot.cut
+        self._recompute_version(snapshot.cut)
         return not_held
 
-    def _count_again(self, cut: Position) -> None:
+    def _recompute_version(self, cut: Position) -> None:
         self._live = {entry.change.fingerprint: entry.position for entry in self.timeline.entries}
         self.clock = max(self.clock, cut.clock)
         digest = self._base_digest
@@ -219,7 +225,7 @@
         self.version = Version(self.clock, digest)
         self.versions = VersionLog(self._limits.known_versions, self.version)
 
-    def _age(self, now: float, entry: Entry) -> float:
+    def _age_in_horizons(self, now: float, entry: Entry) -> float:
         """In horizons."""
         return (now - entry.since_ms) / self._limits.horizon_ms
 
@@ -230,7 +236,7 @@
             return 0
         surplus, size = 0, self.timeline.size
         while surplus < len(entries) - 1 and (
-            len(entries) - surplus > limits.live_changes * SURPLUS_KEPT or size > limits.live_bytes * SURPLUS_KEPT
+            len(entries) - surplus > limits.live_changes * KEPT_SHARE or size > limits.live_bytes * KEPT_SHARE
         ):
             size -= entries[surplus].change.size
             surplus += 1
@@ -246,5 +252,5 @@
             self.archive.add(replace(entry.shown(), previous=tuple(entry.undo)))
 
 
-def _is_settled(entry: Entry) -> bool:
+def _is_decided(entry: Entry) -> bool:
     return entry.verdict not in (Verdict.UNJUDGED, Verdict.WAITING)
--- a/sprucepost/configuration/judge.py
+++ b/sprucepost/configuration/configuration_checker.py
@@ -10,11 +10,11 @@
 from sprucepost.configuration.state import SettingsState
 from sprucepost.configuration.validation import ChangeableKeys, Problem, ProblemKind, Validator
 
-REMEMBERED = 256  # configurations whose problems are kept,
-KEYS_REMEMBERED = 4096  # and keys that are known to be deployment-wide
+MAX_CACHED_RESULTS = 256  # configurations whose problems are kept,
+MAX_CACHED_KEYS = 4096  # and keys that are known to be deployment-wide
 
 
-class Judge:
+class ConfigurationChecker:
     """Judges whole configurations. All but LOCAL problems follow from the configuration and this program alone."""
 
     def __init__(self, validator: Validator, changeable: ChangeableKeys, limits: Limits) -> None:
@@ -25,20 +25,20 @@
     def problems(self, state: SettingsState) -> Sequence[Problem]:
         """All that is wrong with these values."""
         if state.digest not in self._known:
-            if len(self._known) >= REMEMBERED:
+            if len(self._known) >= MAX_CACHED_RESULTS:
                 del self._known[next(iter(self._known))]
-            self._known[state.digest] = self._judged(state)
+            self._known[state.digest] = self._find_problems(state)
         return self._known[state.digest]
 
     def forget(self) -> None:
         """This placer's own settings have changed, and with them what LOCAL problems there are."""
         self._known.clear()
 
-    def foreign_key(self, change: Change) -> str | None:
+    def unknown_key(self, change: Change) -> str | None:
         """A key of the change that isn't deployment-wide, as far as this program knows."""
         return next((edit.key for edit in change.edits if edit.key not in self._changeable), None)
 
-    def _judged(self, state: SettingsState) -> Sequence[Problem]:
+    def _find_problems(self, state: SettingsState) -> Sequence[Problem]:
         found = self._size_problems(state)
         found += [
             Problem(ProblemKind.UNKNOWN_KEY, key, f"{key}: not a deployment-wide key of this program")
@@ -54,7 +54,7 @@
     def _is_deployment_wide(self, key: str) -> bool:
         if key not in self._changeable:
             return False
-        if len(self._deployment_wide) < KEYS_REMEMBERED:
+        if len(self._deployment_wide) < MAX_CACHED_KEYS:
             self._deployment_wide.add(key)
         return True
 
--- a/sprucepost/configuration/document.py
+++ b/sprucepost/configuration/document.py
@@ -17,7 +17,7 @@
 Value = Any  # what JSON can hold: None, bool, int, float, str, and lists and dicts of these
 Settings = Mapping[str, Value]
 
-ORDER = "[]"  # ends the key that holds the order of a list of named objects
+ORDER_SUFFIX = "[]"  # ends the key that holds the order of a list of named objects
 
 
 class DocumentError(Exception):
@@ -28,7 +28,7 @@
     """The values of a document by key path."""
     found: dict[str, Value] = {}
     for name, value in document.items():
-        found.update(_flattened(f"{prefix}.{name}" if prefix else name, value))
+        found.update(_flatten_value(f"{prefix}.{name}" if prefix else name, value))
     return found
 
 
@@ -36,12 +36,12 @@
     """The document that these values make; DocumentError where one key is inside another or a path is malformed."""
     root = _Node()
     for key in sorted(settings):
-        _place(root, key, settings[key])
-    document = _built(root)
+        _insert(root, key, settings[key])
+    document = _build(root)
     return document if isinstance(document, dict) else {}
 
 
-def canonical(value: Value) -> str:
+def canonical_json(value: Value) -> str:
     """JSON text that is equal for equal values, whatever the order of their keys."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False)
 
@@ -53,7 +53,7 @@
 
 def key_fingerprint(key: str, value: Value) -> int:
     """The part of one key in the digest of a whole configuration."""
-    return fingerprint(f"{key}={canonical(value)}")
+    return fingerprint(f"{key}={canonical_json(value)}")
 
 
 def settings_digest(settings: Settings) -> int:
@@ -75,13 +75,13 @@
         self.order: list[str] | None = None
 
 
-def _flattened(path: str, value: Value) -> dict[str, Value]:
+def _flatten_value(path: str, value: Value) -> dict[str, Value]:
     if isinstance(value, dict):
         return flatten(value, path)
     if isinstance(value, list) and (not value or all(_is_named(element) for element in value)):
         names = [element["name"] for element in value]
         if len(set(names)) == len(names):
-            found: dict[str, Value] = {f"{path}{ORDER}": names}
+            found: dict[str, Value] = {f"{path}{ORDER_SUFFIX}": names}
             for element in value:
                 rest = {key: each for key, each in element.items() if key != "name"}
                 found.update(flatten(rest, f"{path}[{element['name']}]") or {f"{path}[{element['name']}]": {}})
@@ -97,12 +97,12 @@
 
 
 @lru_cache(maxsize=8192)
-def _steps(key: str) -> tuple[tuple[str, str | None], ...]:
+def _path_steps(key: str) -> tuple[tuple[str, str | None], ...]:
     """The steps of a path: a member's name and, for an element of a list, the element's name."""
-    return tuple(_parsed(key))
+    return tuple(_parse_path(key))
 
 
-def _parsed(key: str) -> Iterator[tuple[str, str | None]]:
+def _parse_path(key: str) -> Iterator[tuple[str, str | None]]:
     rest = key
     while rest:
         name_length = min((rest.find(mark) for mark in ".[" if mark in rest), default=len(rest))
@@ -121,8 +121,8 @@
             rest = rest[1:]
 
 
-def _place(root: _Node, key: str, value: Value) -> None:
-    steps = _steps(key)
+def _insert(root: _Node, key: str, value: Value) -> None:
+    steps = _path_steps(key)
     if not steps:
         raise DocumentError("key: empty")
     node = root
@@ -153,11 +153,11 @@
         raise DocumentError(f"{key}: an element of a list is set by its keys")
 
 
-def _built(node: _Node) -> Value:
+def _build(node: _Node) -> Value:
     if node.named or node.order is not None:
         if node.members:
             raise DocumentError(f"{next(iter(node.members))}: stands in a list of named objects")
         ordered = [name for name in node.order or [] if name in node.named]
         ordered += sorted(node.named.keys() - set(ordered))
-        return [{"name": name, **_built(node.named[name])} for name in ordered]
-    return {name: _built(value) if isinstance(value, _Node) else value for name, value in node.members.items()}
+        return [{"name": name, **_build(node.named[name])} for name in ordered]
+    return {name: _build(value) if isinstance(value, _Node) else value for name, value in node.members.items()}
--- a/sprucepost/configuration/history.py
+++ b/sprucepost/configuration/history.py
@@ -13,7 +13,7 @@
     """Entries by position, at most so many and of so many bytes. The one that was added first goes first."""
 
     def __init__(self, changes: int, size: int) -> None:
-        self._changes_most, self._size_most = changes, size
+        self._max_changes, self._max_bytes = changes, size
         self._entries: dict[Position, HistoryEntry] = {}
         self.size = 0
         self.dropped = 0
@@ -28,7 +28,7 @@
         return len(self._entries)
 
     @property
-    def overflows(self) -> bool:
+    def has_dropped(self) -> bool:
         """Whether anything had to go for something newer."""
         return self.dropped > 0
 
@@ -36,7 +36,7 @@
         self.remove(entry.change.position)
         self._entries[entry.change.position] = entry
         self.size += entry.change.size
-        while len(self._entries) > self._changes_most or self.size > self._size_most:
+        while len(self._entries) > self._max_changes or self.size > self._max_bytes:
             self.remove(next(iter(self._entries)))
             self.dropped += 1
 
--- a/sprucepost/configuration/outcomes.py
+++ b/sprucepost/configuration/merge_events.py
@@ -9,7 +9,7 @@
 from sprucepost.configuration.timeline import APPLIED, Timeline, Verdict
 
 
-class Outcomes:
+class MergeEvents:
     """Remembers how things stand in a timeline; ``events`` compares that with how they stand later."""
 
     def __init__(self, timeline: Timeline) -> None:
@@ -27,7 +27,7 @@
             earlier = self._verdicts.get(entry.position)
             redundant = entry.verdict is Verdict.REDUNDANT and earlier in APPLIED
             if (entry.verdict is Verdict.REFUSED and earlier is not Verdict.REFUSED) or redundant:
-                yield Refused(entry.position, entry.line)
+                yield Refused(entry.position, entry.reason)
 
     def _overwrites(self) -> Iterator[Event]:
         for key, before in self._setters.items():
--- a/sprucepost/configuration/messages.py
+++ b/sprucepost/configuration/messages.py
@@ -111,7 +111,7 @@
     """A known change isn't applied: ``line`` names the key."""
 
     position: Position
-    line: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +126,7 @@
     """The agreed configuration can't come into force here; the last one stays. ``line`` names the key."""
 
     key: str
-    line: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
--- a/sprucepost/configuration/peer.py
+++ b/sprucepost/configuration/peer.py
@@ -10,7 +10,7 @@
 from sprucepost.configuration.messages import Changes
 from sprucepost.configuration.timeline import Timeline
 
-DIFFERS = 2  # digests in a row that differ before a summary is sent: one may have crossed a change under way
+DIFFERING_DIGESTS = 2  # digests in a row that differ before a summary is sent: one may have crossed a change under way
 
 
 @dataclass(slots=True)
@@ -18,9 +18,9 @@
     """One connected stream."""
 
     ident: int
-    greeted: bool = False  # its first digest has come
+    digest_received: bool = False  # its first digest has come
     caught_up: bool = False  # it had the same changes once
-    differs: int = 0  # digests in a row that weren't ours
+    differing_digests: int = 0  # digests in a row that weren't ours
     summarized_ms: float = float("-inf")  # when a summary went to it last
     requested_ms: float = float("-inf")  # when a snapshot was asked of it last,
     verdicts_ms: float = float("-inf")  # and its verdicts
--- a/sprucepost/configuration/door.py
+++ b/sprucepost/configuration/proposal_checker.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 
 from sprucepost.configuration.change import Change, Edit, Position, Version
+from sprucepost.configuration.configuration_checker import ConfigurationChecker
 from sprucepost.configuration.document import Value
 from sprucepost.configuration.history import VersionLog
-from sprucepost.configuration.judge import Judge
 from sprucepost.configuration.limits import Limits
 from sprucepost.configuration.state import SettingsState
 from sprucepost.configuration.validation import ChangeableKeys
 
-COMMENT_TEXTS = 4  # a comment may be so many times as long as a key
+COMMENT_LENGTH_FACTOR = 4  # a comment may be so many times as long as a key
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,45 +46,47 @@
     refusal: str = ""
 
 
-class Refusal(Exception):
+class ProposalRefusedError(Exception):
     """A proposal can't become a change. The text is one line, with the key where one is at fault."""
 
 
-class Door:
+class ProposalChecker:
     """Checks proposals. ``check_*`` raise Refusal."""
 
-    def __init__(self, judge: Judge, changeable: ChangeableKeys, limits: Limits, now: float) -> None:
-        self._judge, self._changeable, self._limits = judge, changeable, limits
-        self._tokens, self._filled = limits.proposals_burst, now
+    def __init__(self, checker: ConfigurationChecker, changeable: ChangeableKeys, limits: Limits, now: float) -> None:
+        self._checker, self._changeable, self._limits = checker, changeable, limits
+        self._tokens, self._refilled_ms = limits.proposals_burst, now
 
     def check_rate(self, now: float) -> None:
         """One change more from this replica. To be called last: it counts."""
         limits = self._limits
-        passed_s = max(0.0, now - self._filled) / 1000.0
+        passed_s = max(0.0, now - self._refilled_ms) / 1000.0
         self._tokens = min(limits.proposals_burst, self._tokens + passed_s * limits.proposals_per_s)
-        self._filled = max(self._filled, now)
+        self._refilled_ms = max(self._refilled_ms, now)
         if self._tokens < 1.0:
-            raise Refusal(f"too many changes at this placer: {limits.proposals_per_s:g} a second for long")
+            raise ProposalRefusedError(f"too many changes at this placer: {limits.proposals_per_s:g} a second for long")
         self._tokens -= 1.0
 
-    def check_form(self, proposal: Proposal, edits_most: int) -> None:
+    def check_form(self, proposal: Proposal, max_edits: int) -> None:
         """Sizes and keys, whatever the configuration is."""
         keys = [edit.key for edit in proposal.edits]
         if not keys:
-            raise Refusal("no key is changed")
-        if len(keys) > edits_most:
-            raise Refusal(f"{len(keys)} keys in one change, {edits_most} at most")
+            raise ProposalRefusedError("no key is changed")
+        if len(keys) > max_edits:
+            raise ProposalRefusedError(f"{len(keys)} keys in one change, {max_edits} at most")
         if len(set(keys)) < len(keys):
-            raise Refusal(f"{next(key for key in keys if keys.count(key) > 1)}: appears twice")
+            raise ProposalRefusedError(f"{next(key for key in keys if keys.count(key) > 1)}: appears twice")
         for key in keys:
             if len(key) > self._limits.text_length:
-                raise Refusal(f"{key[:40]}...: longer than {self._limits.text_length} characters")
+                raise ProposalRefusedError(f"{key[:40]}...: longer than {self._limits.text_length} characters")
             if key not in self._changeable:
-                raise Refusal(f"{key}: not a deployment-wide key; it belongs to each placer's own file")
+                raise ProposalRefusedError(f"{key}: not a deployment-wide key; it belongs to each placer's own file")
         if len(proposal.author) > self._limits.text_length:
-            raise Refusal(f"author: longer than {self._limits.text_length} characters")
-        if len(proposal.comment) > COMMENT_TEXTS * self._limits.text_length:
-            raise Refusal(f"comment: longer than {COMMENT_TEXTS * self._limits.text_length} characters")
+            raise ProposalRefusedError(f"author: longer than {self._limits.text_length} characters")
+        if len(proposal.comment) > COMMENT_LENGTH_FACTOR * self._limits.text_length:
+            raise ProposalRefusedError(
+                f"comment: longer than {COMMENT_LENGTH_FACTOR * self._limits.text_length} characters"
+            )
 
     def check_against(self, proposal: Proposal, versions: VersionLog) -> None:
         """None of the keys has changed since the version that the proposal names."""
@@ -92,26 +94,28 @@
             return
         touched = versions.keys_since(proposal.against)
         if touched is None:
-            raise Refusal(f"version {proposal.against} isn't known at this placer: read the status again")
+            raise ProposalRefusedError(f"version {proposal.against} isn't known at this placer: read the status again")
         for edit in proposal.edits:
             if edit.key in touched:
-                raise Refusal(f"{edit.key}: has changed since version {proposal.against}")
+                raise ProposalRefusedError(f"{edit.key}: has changed since version {proposal.against}")
 
-    def check_size(self, change: Change, edits_most: int) -> None:
+    def check_size(self, change: Change, max_edits: int) -> None:
         """The change isn't too large; where more edits than usual may be in it, more bytes may be too."""
         limits = self._limits
-        most = limits.change_bytes if edits_most == limits.edits else limits.large_change_bytes
+        most = limits.change_bytes if max_edits == limits.edits else limits.large_change_bytes
         if change.size > most:
-            raise Refusal(f"{change.edits[0].key}: a change of {change.size} bytes, {most} at most")
+            raise ProposalRefusedError(f"{change.edits[0].key}: a change of {change.size} bytes, {most} at most")
 
-    def checked_baseline(self, baseline: Change) -> SettingsState:
+    def check_baseline(self, baseline: Change) -> SettingsState:
         """The configuration that the placer's own file makes; it must be valid before anything is changed in it."""
         state = SettingsState()
         for edit in baseline.edits:
             state.edit(edit, baseline.position)
-        problems = self._judge.problems(state)
+        problems = self._checker.problems(state)
         if problems:
-            raise Refusal(f"{problems[0].line} (in this placer's own file, from which the fleet would begin)")
+            raise ProposalRefusedError(
+                f"{problems[0].reason} (in this placer's own file, from which the fleet would begin)"
+            )
         return state
 
     def check_result(self, edits: Sequence[Edit], state: SettingsState) -> None:
@@ -119,10 +123,10 @@
         trial = state.copy()
         for edit in edits:
             if edit.removed and edit.key not in trial.values:
-                raise Refusal(f"{edit.key}: has no value that could be removed")
+                raise ProposalRefusedError(f"{edit.key}: has no value that could be removed")
             trial.edit(edit, Position(0, ""))
         if trial.digest == state.digest:
-            raise Refusal(f"{edits[0].key}: has that value already")
-        problems = self._judge.problems(trial)
+            raise ProposalRefusedError(f"{edits[0].key}: has that value already")
+        problems = self._checker.problems(trial)
         if problems:
-            raise Refusal(problems[0].line)
+            raise ProposalRefusedError(problems[0].reason)
--- a/sprucepost/configuration/state.py
+++ b/sprucepost/configuration/state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from sprucepost.configuration.change import Edit, Position
-from sprucepost.configuration.document import Value, canonical, key_fingerprint
+from sprucepost.configuration.document import Value, canonical_json, key_fingerprint
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,10 +69,10 @@
     def _put(self, key: str, value: Value) -> None:
         self.values[key] = value
         self.digest ^= key_fingerprint(key, value)
-        self.size += len(key.encode()) + len(canonical(value).encode())
+        self.size += len(key.encode()) + len(canonical_json(value).encode())
 
     def _remove(self, key: str) -> None:
         if key in self.values:
             value = self.values.pop(key)
             self.digest ^= key_fingerprint(key, value)
-            self.size -= len(key.encode()) + len(canonical(value).encode())
+            self.size -= len(key.encode()) + len(canonical_json(value).encode())
--- a/sprucepost/configuration/timeline.py
+++ b/sprucepost/configuration/timeline.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from sprucepost.configuration.change import BEGINNING, Change, Position
+from sprucepost.configuration.change import BEFORE_FIRST, Change, Position
+from sprucepost.configuration.configuration_checker import ConfigurationChecker
 from sprucepost.configuration.document import Value
-from sprucepost.configuration.judge import Judge
 from sprucepost.configuration.state import SettingsState, Undo
-from sprucepost.configuration.validation import ProblemKind, first_of
+from sprucepost.configuration.validation import ProblemKind, first_problem
 
 
-class State(Enum):
+class ChangeState(Enum):
     """What has become of a change, for the history."""
 
     IN_FORCE = "in force"  # at least one of its keys has its value from it
@@ -48,14 +48,14 @@
     ``previous``: of a compacted change, what its keys had before it."""
 
     change: Change
-    state: State
-    line: str
+    state: ChangeState
+    reason: str
     superseded_by: Mapping[str, Position]
     previous: tuple[Undo, ...] = ()
 
-    def brought_up_to_date(self, setters: Mapping[str, Position]) -> HistoryEntry:
+    def with_setters(self, setters: Mapping[str, Position]) -> HistoryEntry:
         """The entry of a compacted change, which later changes may have superseded since."""
-        if self.state is not State.IN_FORCE:
+        if self.state is not ChangeState.IN_FORCE:
             return self
         position = self.change.position
         replaced = {
@@ -65,7 +65,9 @@
         }
         superseded_by = {**self.superseded_by, **replaced}
         holds = any(edit.key not in superseded_by for edit in self.change.edits)
-        return replace(self, state=State.IN_FORCE if holds else State.SUPERSEDED, superseded_by=superseded_by)
+        return replace(
+            self, state=ChangeState.IN_FORCE if holds else ChangeState.SUPERSEDED, superseded_by=superseded_by
+        )
 
 
 @dataclass
@@ -75,7 +77,7 @@
     change: Change
     since_ms: float  # when this replica first had it
     verdict: Verdict = Verdict.WAITING
-    line: str = ""
+    reason: str = ""
     superseded_by: dict[str, Position] = field(default_factory=dict)
     undo: list[Undo] = field(default_factory=list)
 
@@ -84,33 +86,33 @@
         return self.change.position
 
     def shown(self) -> HistoryEntry:
-        return HistoryEntry(self.change, self._state(), self.line, dict(self.superseded_by))
+        return HistoryEntry(self.change, self._state(), self.reason, dict(self.superseded_by))
 
-    def _state(self) -> State:
+    def _state(self) -> ChangeState:
         if self.verdict is Verdict.REFUSED:
-            return State.REFUSED
+            return ChangeState.REFUSED
         if self.verdict is Verdict.UNJUDGED:
-            return State.UNJUDGED
+            return ChangeState.UNJUDGED
         if self.verdict is Verdict.WAITING:
-            return State.WAITING
+            return ChangeState.WAITING
         holds = any(edit.key not in self.superseded_by for edit in self.change.edits)
-        return State.IN_FORCE if holds and self.verdict is Verdict.ACCEPTED else State.SUPERSEDED
+        return ChangeState.IN_FORCE if holds and self.verdict is Verdict.ACCEPTED else ChangeState.SUPERSEDED
 
 
 class Timeline:
     """The fold. ``cut`` and ``base`` are what was compacted; ``entries`` are the live changes, oldest first."""
 
-    def __init__(self, judge: Judge) -> None:
-        self._judge = judge
-        self.cut = BEGINNING
+    def __init__(self, checker: ConfigurationChecker) -> None:
+        self._checker = checker
+        self.cut = BEFORE_FIRST
         self.base = SettingsState()
         self.state = SettingsState()
         self.entries: list[Entry] = []
         self.size = 0  # bytes of the live changes
         self._by_position: dict[Position, Entry] = {}
-        self._refused_elsewhere: frozenset[Position] = frozenset()
+        self._refused_by_peers: frozenset[Position] = frozenset()
         self._unjudged_entries: list[Entry] = []
-        self._based = False  # whether a baseline is behind the present point of the fold
+        self._has_baseline = False  # whether a baseline is behind the present point of the fold
 
     def __contains__(self, position: Position) -> bool:
         return position in self._by_position
@@ -120,9 +122,9 @@
         return self._by_position.get(position)
 
     @property
-    def based(self) -> bool:
+    def has_baseline(self) -> bool:
         """Whether there is any agreed configuration."""
-        return self._based
+        return self._has_baseline
 
     def unjudged_after(self, position: Position) -> Entry | None:
         """The first change later than that which this program couldn't judge."""
@@ -134,14 +136,14 @@
         if not new:
             return
         first = new[0].position
-        self._refused_elsewhere = frozenset(each for each in self._refused_elsewhere if each < first)
+        self._refused_by_peers = frozenset(each for each in self._refused_by_peers if each < first)
         place = bisect_left(self.entries, first, key=lambda entry: entry.position)
-        self._step_back(place)
+        self._undo_from(place)
         for entry in new:
             self._by_position[entry.position] = entry
             self.size += entry.change.size
         self.entries[place:] = sorted(self.entries[place:] + new, key=lambda entry: entry.position)
-        self._step_forward(place)
+        self._apply_from(place)
 
     def applies(self, position: Position, key: str) -> bool:
         """Whether the change at that position, which has set ``key``, is applied, here or in the base."""
@@ -150,12 +152,12 @@
             return entry.verdict in APPLIED
         return self.base.setters.get(key) == position
 
-    def judge_again(self, refused_elsewhere: Iterable[Position] = ()) -> None:
+    def reevaluate(self, refused_by_peers: Iterable[Position] = ()) -> None:
         """Fold all live changes once more: what the validator rests on has changed, or a replica that knows more keys has
         refused these. Only changes that can't be judged here are refused for that."""
-        self._refused_elsewhere = frozenset(refused_elsewhere)
-        self._step_back(0)
-        self._step_forward(0)
+        self._refused_by_peers = frozenset(refused_by_peers)
+        self._undo_from(0)
+        self._apply_from(0)
 
     def compact(self, count: int) -> list[Entry]:
         """Fold the first ``count`` entries into the base for good, and return them."""
@@ -169,7 +171,7 @@
             self.cut = entry.position
         self.base.forget_removed()
         self.state.forget_removed(up_to=self.cut)
-        self._note_unjudged()
+        self._update_unjudged()
         return compacted
 
     def rebase(self, cut: Position, base: SettingsState) -> list[Entry]:
@@ -178,9 +180,9 @@
         dropped = [entry for entry in everything if entry.position <= cut]
         self.cut, self.base, self.state = cut, base, base.copy()
         self.entries, self._by_position, self.size = [], {}, 0
-        self._note_unjudged()
-        self._based = True
-        self.insert([_unfolded(entry) for entry in everything if entry.position > cut])
+        self._update_unjudged()
+        self._has_baseline = True
+        self.insert([_unapplied(entry) for entry in everything if entry.position > cut])
         return dropped
 
     def settings_at(self, position: Position) -> dict[str, Value]:
@@ -196,30 +198,30 @@
 
     # The fold
 
-    def _step_back(self, place: int) -> None:
+    def _undo_from(self, place: int) -> None:
         for entry in reversed(self.entries[place:]):
             for undo in reversed(entry.undo):
                 self.state.restore(undo)
-                self._mark(undo, None)
+                self._mark_superseded(undo, None)
             entry.undo = []
             entry.superseded_by = {}
-        self._based = self.cut != BEGINNING or any(
+        self._has_baseline = self.cut != BEFORE_FIRST or any(
             entry.change.baseline and entry.verdict in APPLIED for entry in self.entries[:place]
         )
 
-    def _step_forward(self, place: int) -> None:
+    def _apply_from(self, place: int) -> None:
         for entry in self.entries[place:]:
-            entry.verdict, entry.line = self._apply(entry)
-        self._note_unjudged()
+            entry.verdict, entry.reason = self._apply(entry)
+        self._update_unjudged()
 
-    def _note_unjudged(self) -> None:
+    def _update_unjudged(self) -> None:
         self._unjudged_entries = [entry for entry in self.entries if entry.verdict is Verdict.UNJUDGED]
 
     def _apply(self, entry: Entry) -> tuple[Verdict, str]:
         change = entry.change
-        if change.baseline and self._based:
+        if change.baseline and self._has_baseline:
             return Verdict.REDUNDANT, "another baseline came first"
-        if not change.baseline and not self._based:
+        if not change.baseline and not self._has_baseline:
             return Verdict.WAITING, "no baseline yet"
         undo = [self.state.edit(edit, change.position) for edit in change.edits]
         verdict, line = self._verdict(change)
@@ -229,29 +231,29 @@
             return verdict, line
         entry.undo = undo
         for step in undo:
-            self._mark(step, change.position)
-        self._based = True
+            self._mark_superseded(step, change.position)
+        self._has_baseline = True
         return verdict, line
 
     def _verdict(self, change: Change) -> tuple[Verdict, str]:
-        foreign = self._judge.foreign_key(change)
+        foreign = self._checker.unknown_key(change)
         if foreign is not None:
             return self._unjudged(change, f"{foreign}: not a deployment-wide key of this program")
-        problems = self._judge.problems(self.state)
-        unknown = first_of(problems, ProblemKind.UNKNOWN_KEY)
+        problems = self._checker.problems(self.state)
+        unknown = first_problem(problems, ProblemKind.UNKNOWN_KEY)
         if unknown is not None:
-            return self._unjudged(change, unknown.line)
-        invalid = first_of(problems, ProblemKind.INVALID)
+            return self._unjudged(change, unknown.reason)
+        invalid = first_problem(problems, ProblemKind.INVALID)
         if invalid is not None:
-            return Verdict.REFUSED, invalid.line
+            return Verdict.REFUSED, invalid.reason
         return Verdict.ACCEPTED, ""
 
     def _unjudged(self, change: Change, line: str) -> tuple[Verdict, str]:
-        if change.position in self._refused_elsewhere:
+        if change.position in self._refused_by_peers:
             return Verdict.REFUSED, f"{line}; refused by a placer that knows it"
         return Verdict.UNJUDGED, line
 
-    def _mark(self, step: Undo, by: Position | None) -> None:
+    def _mark_superseded(self, step: Undo, by: Position | None) -> None:
         """The change that had set this key was superseded there, or is no more."""
         earlier = None if step.setter is None else self._by_position.get(step.setter)
         if earlier is None:
@@ -262,5 +264,5 @@
             earlier.superseded_by[step.key] = by
 
 
-def _unfolded(entry: Entry) -> Entry:
+def _unapplied(entry: Entry) -> Entry:
     return Entry(entry.change, entry.since_ms)
--- a/sprucepost/configuration/validation.py
+++ b/sprucepost/configuration/validation.py
@@ -24,7 +24,7 @@
 
     kind: ProblemKind
     key: str
-    line: str
+    reason: str
 
 
 Validator = Callable[[Settings], Sequence[Problem]]
@@ -33,7 +33,7 @@
 problems, which may depend on this placer's own settings."""
 
 
-def first_of(problems: Sequence[Problem], kind: ProblemKind) -> Problem | None:
+def first_problem(problems: Sequence[Problem], kind: ProblemKind) -> Problem | None:
     """The first problem of that kind."""
     return next((problem for problem in problems if problem.kind is kind), None)
 
--- a/sprucepost/peers/codec.py
+++ b/sprucepost/peers/codec.py
@@ -13,11 +13,11 @@
 from sprucepost.view.view import MEMBERS_MOST
 from sprucepost.view.words import Beat, Hello, News, Summary, Word
 
-TEXT_MOST = 256  # characters of a name, a life, an address
-SEES_MOST = 256  # streams that one member may claim
+MAX_TEXT_CHARS = 256  # characters of a name, a life, an address
+MAX_SEEN_MEMBERS = 256  # streams that one member may claim
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """What a peer sent is no word."""
 
 
@@ -47,15 +47,15 @@
     try:
         return pb.PeerFrame.FromString(data)
     except DecodeError as error:
-        raise Malformed("no frame") from error
+        raise MalformedMessageError("no frame") from error
 
 
 def decode(data: bytes) -> Word | None:
     """The word of a frame, as ``word_of`` reads it."""
-    return word_of(parse(data))
+    return view_message_of(parse(data))
 
 
-def word_of(frame: pb.PeerFrame) -> Word | None:
+def view_message_of(frame: pb.PeerFrame) -> Word | None:
     """The word of a frame; None for one of a kind that is no word of the view, or that a later version may have. Malformed
     where it can't be."""
     kind = frame.WhichOneof("word")
@@ -67,7 +67,7 @@
         return News(tuple(_read(record) for record in frame.news.records))
     if kind == "summary":
         if len(frame.summary.ages) > MEMBERS_MOST:
-            raise Malformed(f"a summary of {len(frame.summary.ages)} members")
+            raise MalformedMessageError(f"a summary of {len(frame.summary.ages)} members")
         return Summary(
             tuple((age.name, age.incarnation, age.version) for age in frame.summary.ages), frame.summary.answer
         )
@@ -92,9 +92,13 @@
     record = pb.PeerRecord.FromString(data)
     texts = (record.name, record.life, record.host, record.room, record.address, record.status, *record.roles)
     if not record.name or not record.life:
-        raise Malformed("a record without a name or a life")
-    if max(map(len, texts)) > TEXT_MOST or len(record.sees) > SEES_MOST or len(record.roles) > SEES_MOST:
-        raise Malformed("a record that is too long")
+        raise MalformedMessageError("a record without a name or a life")
+    if (
+        max(map(len, texts)) > MAX_TEXT_CHARS
+        or len(record.sees) > MAX_SEEN_MEMBERS
+        or len(record.roles) > MAX_SEEN_MEMBERS
+    ):
+        raise MalformedMessageError("a record that is too long")
     return Record(
         name=record.name, incarnation=record.incarnation, life=record.life, version=record.version,
         number=record.number, host=record.host, room=record.room, address=record.address,
@@ -117,5 +121,7 @@
     )  # fmt: skip
     times = (found.begins_ms, found.overlap_ms, found.over_ms or 0.0)
     if found.problems() or not all(isfinite(time) for time in times):
-        raise Malformed(f"a generation that cannot be: {'; '.join(found.problems()) or 'times without end'}")
+        raise MalformedMessageError(
+            f"a generation that cannot be: {'; '.join(found.problems()) or 'times without end'}"
+        )
     return found
--- a/sprucepost/peers/configuration_codec.py
+++ b/sprucepost/peers/configuration_codec.py
@@ -7,8 +7,8 @@
 from math import isfinite
 from typing import Any, Never
 
-from sprucepost.configuration.change import CLOCK_MOST, Change, Edit, Position
-from sprucepost.configuration.document import Value, canonical
+from sprucepost.configuration.change import MAX_CLOCK, Change, Edit, Position
+from sprucepost.configuration.document import Value, canonical_json
 from sprucepost.configuration.messages import (
     Changes,
     Digest,
@@ -20,10 +20,10 @@
     Verdicts,
     VerdictsRequest,
 )
-from sprucepost.peers.codec import TEXT_MOST, Malformed
+from sprucepost.peers.codec import MAX_TEXT_CHARS, MalformedMessageError
 from sprucepost.v1 import peer_pb2 as pb
 
-COMMENT_MOST = 4 * TEXT_MOST  # characters
+MAX_COMMENT_CHARS = 4 * MAX_TEXT_CHARS  # characters
 
 
 def encode_digest(digest: Digest) -> pb.ConfigurationDigest:
@@ -36,7 +36,7 @@
     return pb.PeerFrame(configuration=_written(message)).SerializeToString()
 
 
-def message_of(frame: pb.PeerFrame) -> Message | None:
+def configuration_message_of(frame: pb.PeerFrame) -> Message | None:
     """The message in a frame, or in a heartbeat; None where there is none, or one of a kind of a later version."""
     kind = frame.WhichOneof("word")
     if kind == "beat" and frame.beat.HasField("configuration"):
@@ -79,7 +79,7 @@
 
 def _edit(edit: Edit) -> pb.ConfigurationEdit:
     replaces = None if edit.replaces is None else _position(edit.replaces)
-    return pb.ConfigurationEdit(key=edit.key, value=canonical(edit.value), removed=edit.removed, replaces=replaces)
+    return pb.ConfigurationEdit(key=edit.key, value=canonical_json(edit.value), removed=edit.removed, replaces=replaces)
 
 
 def _change(change: Change) -> pb.ConfigurationChange:
@@ -95,7 +95,7 @@
 
 def _snapshot(snapshot: Snapshot) -> pb.ConfigurationSnapshot:
     settings = [
-        pb.ConfigurationSetting(key=record.key, value=canonical(record.value), setter=_position(record.setter))
+        pb.ConfigurationSetting(key=record.key, value=canonical_json(record.value), setter=_position(record.setter))
         for record in snapshot.settings
     ]
     return pb.ConfigurationSnapshot(
@@ -114,9 +114,9 @@
     """A key's value from its JSON; Malformed where it is none, or holds a number that isn't finite."""
     try:
         value = json.loads(text, parse_constant=_not_finite)
-        canonical(value).encode()
+        canonical_json(value).encode()
     except (ValueError, RecursionError) as error:  # lone surrogates and overflowing floats included
-        raise Malformed("a value that isn't JSON") from error
+        raise MalformedMessageError("a value that isn't JSON") from error
     return value
 
 
@@ -124,15 +124,15 @@
     raise ValueError(f"{text} isn't a number of JSON")
 
 
-def _text(text: str, most: int = TEXT_MOST) -> str:
+def _text(text: str, most: int = MAX_TEXT_CHARS) -> str:
     if len(text) > most:
-        raise Malformed(f"a text of more than {most} characters")
+        raise MalformedMessageError(f"a text of more than {most} characters")
     return text
 
 
 def _read_position(position: pb.ConfigurationPosition) -> Position:
-    if position.clock > CLOCK_MOST:
-        raise Malformed("a clock that can't be")
+    if position.clock > MAX_CLOCK:
+        raise MalformedMessageError("a clock that can't be")
     return Position(position.clock, _text(position.origin))
 
 
@@ -143,11 +143,11 @@
 
 def _read_change(change: pb.ConfigurationChange) -> Change:
     if not isfinite(change.made_ms):
-        raise Malformed("a time that isn't finite")
+        raise MalformedMessageError("a time that isn't finite")
     return Change(
         _read_position(change.position),
         _text(change.author),
-        _text(change.comment, COMMENT_MOST),
+        _text(change.comment, MAX_COMMENT_CHARS),
         change.made_ms,
         tuple(_read_edit(edit) for edit in change.edits),
         change.baseline,
--- a/sprucepost/peers/configuration.py
+++ b/sprucepost/peers/configuration_transport.py
@@ -17,75 +17,77 @@
 from sprucepost.v1 import peer_pb2 as pb
 
 
-class ConfigurationCarrier:
+class ConfigurationTransport:
     """``transmit`` sends a frame on a stream, under the streams' own back-pressure; ``told`` gets the replica's events."""
 
-    def __init__(self, replica: ConfigurationReplica, now: Callable[[], float], told: Callable[[Event], None]) -> None:
-        self.replica, self._now, self._told = replica, now, told
+    def __init__(
+        self, replica: ConfigurationReplica, now: Callable[[], float], on_event: Callable[[Event], None]
+    ) -> None:
+        self.replica, self._now, self._on_event = replica, now, on_event
         self.transmit: Callable[[int, bytes], None] = lambda stream, data: None
         self.counters: Counter[str] = Counter()
-        self._connected: set[int] = set()
-        self._carrying = False  # outputs that a send gives rise to wait their turn
+        self._connected_streams: set[int] = set()
+        self._dispatching = False  # outputs that a send gives rise to wait their turn
 
     @property
-    def connected(self) -> int:
+    def connected_streams(self) -> int:
         """Streams to peers that carry a configuration."""
-        return len(self._connected)
+        return len(self._connected_streams)
 
     def digest(self) -> pb.ConfigurationDigest:
         """For the next heartbeat."""
         return encode_digest(self.replica.digest)
 
-    def heard(self, stream: int, message: Message) -> None:
+    def handle_message(self, stream: int, message: Message) -> None:
         """A message on a stream that is past its greeting."""
-        if stream not in self._connected:
+        if stream not in self._connected_streams:
             if not isinstance(message, Digest):
                 return
-            self._connected.add(stream)
+            self._connected_streams.add(stream)
             self.replica.connected(self._now(), stream)
         self.replica.received(self._now(), stream, message)
-        self._carry()
+        self._dispatch_outputs()
 
-    def ended(self, stream: int) -> None:
+    def stream_closed(self, stream: int) -> None:
         """The stream is over."""
-        if stream in self._connected:
-            self._connected.remove(stream)
+        if stream in self._connected_streams:
+            self._connected_streams.remove(stream)
             self.replica.disconnected(self._now(), stream)
-            self._carry()
+            self._dispatch_outputs()
 
     def tick(self) -> None:
         """To be called with the view's ticks."""
         self.replica.tick(self._now())
-        self._carry()
+        self._dispatch_outputs()
 
     def propose(self, proposal: Proposal) -> Receipt:
         """An operator's change at this placer."""
         receipt = self.replica.propose(self._now(), proposal)
-        self._carry()
+        self._dispatch_outputs()
         return receipt
 
     def rollback(self, position: Position, author: str, comment: str, made_ms: float) -> Receipt:
         """An operator's rollback at this placer."""
         receipt = self.replica.rollback(self._now(), position, author, comment, made_ms)
-        self._carry()
+        self._dispatch_outputs()
         return receipt
 
-    def _carry(self) -> None:
-        if self._carrying:
+    def _dispatch_outputs(self) -> None:
+        if self._dispatching:
             return
-        self._carrying = True
+        self._dispatching = True
         try:
-            while outputs := self.replica.drain():
+            while outputs := self.replica.take_outputs():
                 for output in outputs:
-                    self._take(output)
+                    self._dispatch(output)
         finally:
-            self._carrying = False
+            self._dispatching = False
 
-    def _take(self, output: Output) -> None:
+    def _dispatch(self, output: Output) -> None:
         if isinstance(output, Send):
             data = encode_message(output.message)
             self.counters["messages_out"] += 1
             self.counters["bytes_out"] += len(data)
             self.transmit(output.peer, data)
         else:
-            self._told(output)
+            self._on_event(output)
--- a/sprucepost/peers/peers.py
+++ b/sprucepost/peers/peers.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from sprucepost.loop import Address, Co, Loop, Scope, TimedOut, Timer
-from sprucepost.peers.codec import Malformed, encode, parse, word_of
-from sprucepost.peers.configuration import ConfigurationCarrier
-from sprucepost.peers.configuration_codec import message_of
+from sprucepost.peers.codec import MalformedMessageError, encode, parse, view_message_of
+from sprucepost.peers.configuration_codec import configuration_message_of
+from sprucepost.peers.configuration_transport import ConfigurationTransport
 from sprucepost.v1 import peer_pb2 as pb
 from sprucepost.view import Record, View
 from sprucepost.view.view import IDLE_TICK_MS, TICK_MS
@@ -19,14 +19,14 @@
 from sprucepost.wire.server import Method, ServerCall
 from sprucepost.wire.status import Code, RpcError
 
-PATH = "/sprucepost.v1.Peer/Watch"
-CONNECT_MS = 1000.0
-MESSAGE_MOST = 262_144  # bytes of one frame: 64 records of a member with twenty streams are a tenth of it
-BEHIND_MOST = 1_048_576  # bytes that a peer may leave unread
-STREAMS_MOST = 512  # streams at a time, those of others included: 350 that join by one seed at once fit
+WATCH_PATH = "/sprucepost.v1.Peer/Watch"
+CONNECT_TIMEOUT_MS = 1000.0
+MAX_FRAME_BYTES = 262_144  # bytes of one frame: 64 records of a member with twenty streams are a tenth of it
+MAX_UNSENT_BYTES = 1_048_576  # bytes that a peer may leave unread
+MAX_STREAMS = 512  # streams at a time, those of others included: 350 that join by one seed at once fit
 
 
-class _Link:
+class _Stream:
     """One stream: a call, and the connection where it was dialled."""
 
     def __init__(self, call: Call, connection: ClientConnection | None) -> None:
@@ -52,28 +52,28 @@
         settings: str,
         seeds: tuple[str, ...],
         source: str | None,
-        changed: Callable[[Changed], None],
-        looked: Callable[[], None],
+        on_change: Callable[[Changed], None],
+        on_tick: Callable[[], None],
         log: Callable[..., None],
-        configuration: ConfigurationCarrier | None = None,
+        configuration: ConfigurationTransport | None = None,
         fixed_settings: str = "",
     ) -> None:
         self._loop, self._scope, self._source = loop, scope, source
-        self._changed, self._looked, self._log = changed, looked, log
+        self._on_change, self._on_tick, self._log = on_change, on_tick, log
         self.view = View(record, cluster, settings, seeds, loop.rng(), loop.now(), fixed_settings)
         self._configuration = configuration
         if configuration is not None:
             configuration.transmit = self._transmit
         self.counters: Counter[str] = Counter()
-        self._links: dict[int, _Link] = {}
-        self._number = 0
+        self._streams: dict[int, _Stream] = {}
+        self._last_stream_id = 0
         self._stopped = False
-        self._next: Timer | None = None  # the next tick
-        self._soon = False  # whether that is as early as can be
+        self._next_tick: Timer | None = None  # the next tick
+        self._next_tick_is_soon = False  # whether that is as early as can be
 
     def methods(self) -> dict[str, Method]:
         """What the gRPC port serves."""
-        return {PATH: Method(attach=self._taken)}
+        return {WATCH_PATH: Method(attach=self._accept)}
 
     def start(self) -> None:
         """Tick from now on."""
@@ -82,102 +82,104 @@
     def stop(self) -> None:
         """Tell the others, and end the streams once that is out."""
         if not self._stopped:
-            self._carry(self.view.leave())
+            self._perform(self.view.leave())
             self._stopped = True
-            self._loop.call_later(TICK_MS, self._end)
+            self._loop.call_later(TICK_MS, self._close_all)
 
-    def _end(self) -> None:
-        for link in list(self._links.values()):
-            link.close()
+    def _close_all(self) -> None:
+        for stream in list(self._streams.values()):
+            stream.close()
 
     def _tick(self) -> None:
         if not self._stopped:
-            self._soon = True
-            self._carry(self.view.tick(self._loop.now()))
-            self._looked()
+            self._next_tick_is_soon = True
+            self._perform(self.view.tick(self._loop.now()))
+            self._on_tick()
             if self._configuration is not None:
                 self._configuration.tick()
-            self._soon = self.view.restless
-            self._next = self._loop.call_later(TICK_MS if self._soon else IDLE_TICK_MS, self._tick)
+            self._next_tick_is_soon = self.view.restless
+            self._next_tick = self._loop.call_later(TICK_MS if self._next_tick_is_soon else IDLE_TICK_MS, self._tick)
 
     # Streams
 
-    def _taken(self, call: ServerCall) -> None:
-        if len(self._links) >= STREAMS_MOST or self._stopped:
+    def _accept(self, call: ServerCall) -> None:
+        if len(self._streams) >= MAX_STREAMS or self._stopped:
             self.counters["turned_away"] += 1
             call.finish(RpcError(Code.RESOURCE_EXHAUSTED, "too many peers"))
             return
         call.send_initial()
-        self._add(_Link(call, None), None)
+        self._add(_Stream(call, None), None)
 
     def _dial(self, dial: Dial) -> Co[None]:
         dialled = dial.name or dial.address
         try:
             host, _, port = dial.address.rpartition(":")
             address: Address = (host, int(port))
-            options = Options(message_most=MESSAGE_MOST)
-            connection = yield from open_client(self._loop, address, CONNECT_MS, options, self._source)
+            options = Options(message_most=MAX_FRAME_BYTES)
+            connection = yield from open_client(self._loop, address, CONNECT_TIMEOUT_MS, options, self._source)
             try:
-                call = connection.call(PATH)
+                call = connection.call(WATCH_PATH)
             except RpcError:
                 connection.abort("takes no call")
                 raise
         except (OSError, TimedOut, RpcError, ValueError) as error:
             self.counters["dial_failed"] += 1
             self._log("peer_not_connected", peer=dialled, why=str(error) or type(error).__name__)
-            self._carry(self.view.not_opened(self._loop.now(), dialled))
+            self._perform(self.view.not_opened(self._loop.now(), dialled))
             return
-        self._add(_Link(call, connection), dialled)
-
-    def _add(self, link: _Link, dialled: str | None) -> None:
-        self._number += 1
-        number = self._number
-        self._links[number] = link
-        link.call.on_message = lambda data: self._heard(number, data)
-        link.call.on_end = lambda: self._over(number)
-        link.call.on_over = lambda status: self._over(number)
-        self._carry(self.view.opened(self._loop.now(), number, dialled))
-
-    def _heard(self, number: int, data: bytes) -> None:
+        self._add(_Stream(call, connection), dialled)
+
+    def _add(self, stream: _Stream, dialled: str | None) -> None:
+        self._last_stream_id += 1
+        stream_id = self._last_stream_id
+        self._streams[stream_id] = stream
+        stream.call.on_message = lambda data: self._on_frame(stream_id, data)
+        stream.call.on_end = lambda: self._stream_ended(stream_id)
+        stream.call.on_over = lambda status: self._stream_ended(stream_id)
+        self._perform(self.view.opened(self._loop.now(), stream_id, dialled))
+
+    def _on_frame(self, stream_id: int, data: bytes) -> None:
         self.counters["messages_in"] += 1
         self.counters["bytes_in"] += len(data)
         try:
             frame = parse(data)
-            word = word_of(frame)
+            word = view_message_of(frame)
             if word is not None:
-                self._carry(self.view.heard(self._loop.now(), number, word))
+                self._perform(self.view.heard(self._loop.now(), stream_id, word))
             if self._configuration is not None:
-                self._heard_configuration(self._configuration, number, frame)
-        except Malformed as error:
+                self._on_configuration_frame(self._configuration, stream_id, frame)
+        except MalformedMessageError as error:
             self.counters["malformed"] += 1
             self._log("peer_malformed", why=str(error))
-            self._over(number)
+            self._stream_ended(stream_id)
 
-    def _heard_configuration(self, configuration: ConfigurationCarrier, number: int, frame: pb.PeerFrame) -> None:
-        stream = self.view.streams.get(number)
-        if number not in self._links or stream is None or not stream.name:
+    def _on_configuration_frame(
+        self, configuration: ConfigurationTransport, stream_id: int, frame: pb.PeerFrame
+    ) -> None:
+        stream = self.view.streams.get(stream_id)
+        if stream_id not in self._streams or stream is None or not stream.name:
             return  # ended, or not past its greeting
-        message = message_of(frame)
+        message = configuration_message_of(frame)
         if message is not None:
-            configuration.heard(number, message)
+            configuration.handle_message(stream_id, message)
 
-    def _over(self, number: int) -> None:
-        if number in self._links:
-            self._drop(number)
-            self._carry(self.view.ended(self._loop.now(), number))
+    def _stream_ended(self, stream_id: int) -> None:
+        if stream_id in self._streams:
+            self._remove_stream(stream_id)
+            self._perform(self.view.ended(self._loop.now(), stream_id))
 
-    def _drop(self, number: int) -> None:
-        link = self._links.pop(number, None)
+    def _remove_stream(self, stream_id: int) -> None:
+        stream = self._streams.pop(stream_id, None)
         if self._configuration is not None:
-            self._configuration.ended(number)
-        if link is not None:
-            link.close()
-
-    def _carry(self, actions: list[Action]) -> None:
-        if self.view.restless and not self._soon and self._next is not None:
-            self._next.cancel()
-            self._soon = True
-            self._next = self._loop.call_later(TICK_MS, self._tick)
+            self._configuration.stream_closed(stream_id)
+        if stream is not None:
+            stream.close()
+
+    def _perform(self, actions: list[Action]) -> None:
+        if self.view.restless and not self._next_tick_is_soon and self._next_tick is not None:
+            self._next_tick.cancel()
+            self._next_tick_is_soon = True
+            self._next_tick = self._loop.call_later(TICK_MS, self._tick)
         for action in actions:
             if isinstance(action, Send):
                 digest = None
@@ -188,19 +190,19 @@
                 self._scope.spawn(self._dial(action), f"peer {action.name or action.address}")
             elif isinstance(action, Close):
                 self._log("peer_closed", why=action.why)
-                self._drop(action.stream)
+                self._remove_stream(action.stream)
             else:
-                self._changed(action)
+                self._on_change(action)
 
-    def _transmit(self, number: int, data: bytes) -> None:
+    def _transmit(self, stream_id: int, data: bytes) -> None:
         """Send a frame; a peer that leaves too much unread loses the stream."""
-        link = self._links.get(number)
-        if link is None or link.call.over is not None:
+        stream = self._streams.get(stream_id)
+        if stream is None or stream.call.over is not None:
             return
-        if link.call.out_bytes > BEHIND_MOST:
+        if stream.call.out_bytes > MAX_UNSENT_BYTES:
             self.counters["behind"] += 1
-            self._loop.call_soon(lambda: self._over(number))
+            self._loop.call_soon(lambda: self._stream_ended(stream_id))
             return
         self.counters["messages_out"] += 1
         self.counters["bytes_out"] += len(data)
-        link.call.send(data)
+        stream.call.send(data)
--- a/sprucepost/placer/configuration.py
+++ b/sprucepost/placer/configuration.py
@@ -11,7 +11,7 @@
 from sprucepost.configuration.document import Value, settings_digest
 from sprucepost.configuration.messages import Diverged, Event, Held, InForce, Overwritten, Refused, SetAside
 from sprucepost.loop import Loop
-from sprucepost.peers.configuration import ConfigurationCarrier
+from sprucepost.peers.configuration_transport import ConfigurationTransport
 from sprucepost.settings import Cluster, ConfigurationOptions
 from sprucepost.settings.running import ClusterValidator, changeable_keys, flat_cluster, key_refusal
 
@@ -44,7 +44,7 @@
             loop.now(),
             Limits(horizon_ms=options.horizon_ms),
         )
-        self.carrier = ConfigurationCarrier(self.replica, loop.now, self._told)
+        self.transport = ConfigurationTransport(self.replica, loop.now, self._told)
         self._in_force: Mapping[str, Value] = dict(self.replica.configuration)
 
     @property
@@ -58,11 +58,11 @@
             refusal = key_refusal(edit.key, self._file_cluster)
             if refusal:
                 return Receipt(self.replica.version, refusal=refusal)
-        return self.carrier.propose(proposal)
+        return self.transport.propose(proposal)
 
     def rollback(self, position: Position, author: str, comment: str) -> Receipt:
         """A new change that restores the values as they were right after that one."""
-        return self.carrier.rollback(position, author, comment, self._loop.wall())
+        return self.transport.rollback(position, author, comment, self._loop.wall())
 
     def ineffective_keys(self, new: Cluster) -> list[str] | None:
         """Keys by which that file's deployment differs from this placer's, where the fleet's configuration stands above all
@@ -78,11 +78,11 @@
         if isinstance(event, InForce):
             self._take()
         elif isinstance(event, Held):
-            self._host.warn("configuration_held", key=event.key, line=event.line)
+            self._host.warn("configuration_held", key=event.key, line=event.reason)
         elif isinstance(event, Overwritten):
             self._host.warn("configuration_overwritten", change=str(event.position), key=event.key, by=str(event.by))
         elif isinstance(event, Refused):
-            self._host.warn("configuration_refused", change=str(event.position), line=event.line)
+            self._host.warn("configuration_refused", change=str(event.position), line=event.reason)
         elif isinstance(event, SetAside):
             self._host.warn("configuration_set_aside", change=str(event.position))
         elif isinstance(event, Diverged):
@@ -113,8 +113,8 @@
             "cut": str(replica.cut),
             "digest": f"{settings_digest(replica.configuration):016x}",
             "in_force": dict(replica.configuration),
-            "held": None if held is None else {"key": held.key, "line": held.line},
-            "peers": self.carrier.connected,
+            "held": None if held is None else {"key": held.key, "line": held.reason},
+            "peers": self.transport.connected_streams,
             "history": [_shown_entry(entry) for entry in replica.history[-HISTORY_SHOWN:]],
         }
 
@@ -128,7 +128,7 @@
         "made_ms": change.made_ms,
         "baseline": change.baseline,
         "state": entry.state.value,
-        "line": entry.line,
+        "line": entry.reason,
         "edits": {edit.key: None if edit.removed else edit.value for edit in change.edits[:KEYS_SHOWN]},
         "removed": [edit.key for edit in change.edits[:KEYS_SHOWN] if edit.removed],
         "superseded_by": {key: str(by) for key, by in sorted(entry.superseded_by.items())[:KEYS_SHOWN]},
--- a/sprucepost/placer/configuration_service.py
+++ b/sprucepost/placer/configuration_service.py
@@ -7,7 +7,7 @@
 from sprucepost.configuration import KeyEdit, Proposal, Receipt, Version
 from sprucepost.configuration.change import Position
 from sprucepost.loop import Co, Loop
-from sprucepost.peers.codec import Malformed
+from sprucepost.peers.codec import MalformedMessageError
 from sprucepost.peers.configuration_codec import read_value
 from sprucepost.placer.configuration import PlacerConfiguration
 from sprucepost.v1 import configuration_pb2 as pb
@@ -50,7 +50,7 @@
                 position = read_position(request.rollback_to)
                 return configuration.rollback(position, request.author, request.comment)
             return configuration.propose(self._proposal(request))
-        except (Malformed, ValueError) as error:
+        except (MalformedMessageError, ValueError) as error:
             return self._refused(str(error))
 
     def _refused(self, line: str) -> Receipt:
@@ -71,8 +71,8 @@
         return KeyEdit(edit.key, removed=True)
     try:
         return KeyEdit(edit.key, read_value(edit.value))
-    except Malformed as error:
-        raise Malformed(f"{edit.key}: {error}") from error
+    except MalformedMessageError as error:
+        raise MalformedMessageError(f"{edit.key}: {error}") from error
 
 
 def read_position(text: str) -> Position:
--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -168,7 +168,7 @@
             self._seen,
             self._check_membership,
             lambda event, **more: self.log.debug(event, **more),
-            self.configuration.carrier if self.configuration is not None else None,
+            self.configuration.transport if self.configuration is not None else None,
             self.configuration.validator.fixed_fingerprint if self.configuration is not None else "",
         )
 
--- a/sprucepost/placer/pages.py
+++ b/sprucepost/placer/pages.py
@@ -208,14 +208,14 @@
 def _configuration_gauges(configuration: PlacerConfiguration) -> Iterator[Any]:
     from prometheus_client.core import GaugeMetricFamily
 
-    replica, carrier = configuration.replica, configuration.carrier
+    replica, transport = configuration.replica, configuration.transport
     for name, text, value in (
         ("number", "The highest number of a change known here", replica.version.number),
         ("held", "1 while the agreed configuration isn't in force here", replica.held is not None),
         ("refused_changes", "Known changes that aren't applied", len(replica.refused)),
-        ("peers", "Streams to placers that carry a configuration", carrier.connected),
-        ("messages_sent", "Messages about it to other placers", carrier.counters["messages_out"]),
-        ("bytes_sent", "Their bytes, without the digests in heartbeats", carrier.counters["bytes_out"]),
+        ("peers", "Streams to placers that carry a configuration", transport.connected_streams),
+        ("messages_sent", "Messages about it to other placers", transport.counters["messages_out"]),
+        ("bytes_sent", "Their bytes, without the digests in heartbeats", transport.counters["bytes_out"]),
     ):
         gauge = GaugeMetricFamily(f"sprucepost_configuration_{name}", text)
         gauge.add_metric([], value)
--- a/sprucepost/scale/hollow/members.py
+++ b/sprucepost/scale/hollow/members.py
@@ -54,7 +54,7 @@
 
     def connect(self, others: Sequence[Record]) -> None:
         """Open streams to those."""
-        self._carry([Dial(other.name, other.address) for other in others])
+        self._perform([Dial(other.name, other.address) for other in others])
 
 
 class Member:
@@ -70,8 +70,8 @@
             settings_fingerprint(file.cluster),
             (),
             None,
-            changed=lambda step: None,
-            looked=lambda: None,
+            on_change=lambda step: None,
+            on_tick=lambda: None,
             log=lambda event, **more: None,
         )
         address = format_address(Server(loop, scope, self.peers.methods()).listen(("127.0.0.1", 0)))
--- a/tests/configuration/defects.py
+++ b/tests/configuration/defects.py
@@ -9,13 +9,13 @@
 from unittest import mock
 
 from sprucepost.configuration import replica as module
+from sprucepost.configuration.active_configuration import ActiveConfiguration
 from sprucepost.configuration.change import Position
-from sprucepost.configuration.door import Door
-from sprucepost.configuration.enforcement import Enforcement
+from sprucepost.configuration.change_store import ChangeStore
 from sprucepost.configuration.history import VersionLog
-from sprucepost.configuration.ledger import Ledger
 from sprucepost.configuration.messages import Changes, Held, Overwritten, Refused, SetAside, Summary
 from sprucepost.configuration.peer import Peer
+from sprucepost.configuration.proposal_checker import ProposalChecker
 from sprucepost.configuration.replica import ConfigurationReplica
 from sprucepost.configuration.state import SettingsState
 from sprucepost.configuration.timeline import Timeline, Verdict
@@ -26,12 +26,12 @@
 
 def _drop(kind: type) -> Any:
     """Events of that kind are never told."""
-    real = ConfigurationReplica._tell
+    real = ConfigurationReplica._emit
 
     def tell(self: ConfigurationReplica, *events: Any) -> None:
         real(self, *(event for event in events if not isinstance(event, kind)))
 
-    return mock.patch.object(ConfigurationReplica, "_tell", tell)
+    return mock.patch.object(ConfigurationReplica, "_emit", tell)
 
 
 def _changes_are_folded_as_they_come() -> Any:
@@ -40,7 +40,7 @@
             self._by_position[entry.position] = entry
             self.size += entry.change.size
             self.entries.append(entry)
-            self._step_forward(len(self.entries) - 1)
+            self._apply_from(len(self.entries) - 1)
 
     return mock.patch.object(Timeline, "insert", insert)
 
@@ -68,23 +68,23 @@
 
 
 def _own_limits_are_not_looked_at() -> Any:
-    def obstacle(self: Enforcement) -> Any:
-        problems = [each for each in self._judge.problems(self._timeline.state) if each.kind is not ProblemKind.LOCAL]
-        return Held(problems[0].key, problems[0].line) if problems else None
+    def obstacle(self: ActiveConfiguration) -> Any:
+        problems = [each for each in self._checker.problems(self._timeline.state) if each.kind is not ProblemKind.LOCAL]
+        return Held(problems[0].key, problems[0].reason) if problems else None
 
-    return mock.patch.object(Enforcement, "_obstacle", obstacle)
+    return mock.patch.object(ActiveConfiguration, "_obstacle_to_agreed", obstacle)
 
 
 def _unknown_keys_come_into_force() -> Any:
-    return mock.patch.object(Enforcement, "_obstacle", lambda self: None)
+    return mock.patch.object(ActiveConfiguration, "_obstacle_to_agreed", lambda self: None)
 
 
 def _a_limited_program_trusts_its_guess() -> Any:
-    return mock.patch.object(Enforcement, "unconfirmed", lambda self: None)
+    return mock.patch.object(ActiveConfiguration, "unconfirmed", lambda self: None)
 
 
 def _what_was_confirmed_is_never_doubted() -> Any:
-    return mock.patch.object(Enforcement, "doubt", lambda self, position: None)
+    return mock.patch.object(ActiveConfiguration, "withdraw_confirmation", lambda self, position: None)
 
 
 def _a_limited_program_never_asks_for_verdicts() -> Any:
@@ -106,7 +106,7 @@
 
 
 def _changes_of_others_are_not_passed_on() -> Any:
-    real = ConfigurationReplica._take_in
+    real = ConfigurationReplica._insert_changes
 
     def take_in(self: ConfigurationReplica, now: float, changes: Any, source: Any) -> None:
         before = {ident: dict(peer.pending) for ident, peer in self._peers.items()}
@@ -116,7 +116,7 @@
                 peer.pending = before[ident]
 
     summary = mock.patch.object(ConfigurationReplica, "_summarize", lambda self, now, peer: None)
-    passed = mock.patch.object(ConfigurationReplica, "_take_in", take_in)
+    passed = mock.patch.object(ConfigurationReplica, "_insert_changes", take_in)
     return _both(passed, summary)
 
 
@@ -134,35 +134,35 @@
 
 
 def _the_earlier_base_counts() -> Any:
-    def accepts(self: Ledger, snapshot: Any) -> bool:
+    def accepts(self: ChangeStore, snapshot: Any) -> bool:
         return bool((snapshot.cut, snapshot.digest) < self.rank)
 
-    return mock.patch.object(Ledger, "accepts", accepts)
+    return mock.patch.object(ChangeStore, "accepts", accepts)
 
 
 def _what_is_older_than_the_base_is_dropped() -> Any:
     def aside(self: ConfigurationReplica, changes: Any, source: Any) -> None:
         return None
 
-    dropped = mock.patch.object(Ledger, "put_aside", lambda self, change: None)
-    return _both(dropped, mock.patch.object(ConfigurationReplica, "_announce_aside", aside))
+    dropped = mock.patch.object(ChangeStore, "set_change_aside", lambda self, change: None)
+    return _both(dropped, mock.patch.object(ConfigurationReplica, "_announce_set_aside", aside))
 
 
 def _what_is_older_than_the_base_is_applied() -> Any:
-    return mock.patch.object(Ledger, "is_behind", lambda self, change: False)
+    return mock.patch.object(ChangeStore, "is_behind", lambda self, change: False)
 
 
 def _what_a_later_base_holds_again_is_shown_no_more() -> Any:
-    real = Ledger.adopt
+    real = ChangeStore.adopt
 
-    def adopt(self: Ledger, snapshot: Any) -> Any:
+    def adopt(self: ChangeStore, snapshot: Any) -> Any:
         aside = [entry.change.position for entry in self.set_aside]
         result = real(self, snapshot)
         for position in aside:
             self.archive.remove(position)
         return result
 
-    return mock.patch.object(Ledger, "adopt", adopt)
+    return mock.patch.object(ChangeStore, "adopt", adopt)
 
 
 def _an_unseen_overwrite_is_not_told() -> Any:
@@ -178,21 +178,21 @@
 
 
 def _the_clock_counts_own_changes_only() -> Any:
-    real = ConfigurationReplica._admitted
+    real = ConfigurationReplica._changes_for
 
     def admitted(self: ConfigurationReplica, now: float, proposal: Any, most: int) -> Any:
         own = [entry.position.clock for entry in self._timeline.entries if entry.position.origin == self.origin]
-        clock, self._ledger.clock = self._ledger.clock, max(own, default=0)
+        clock, self._store.clock = self._store.clock, max(own, default=0)
         try:
             return real(self, now, proposal, most)
         finally:
-            self._ledger.clock = clock
+            self._store.clock = clock
 
-    return mock.patch.object(ConfigurationReplica, "_admitted", admitted)
+    return mock.patch.object(ConfigurationReplica, "_changes_for", admitted)
 
 
 def _a_named_version_is_not_compared() -> Any:
-    return mock.patch.object(Door, "check_against", lambda self, proposal, versions: None)
+    return mock.patch.object(ProposalChecker, "check_against", lambda self, proposal, versions: None)
 
 
 def _only_the_last_step_counts_as_since() -> Any:
@@ -206,26 +206,26 @@
 
 
 def _proposals_are_not_validated() -> Any:
-    return mock.patch.object(Door, "check_result", lambda self, edits, state: None)
+    return mock.patch.object(ProposalChecker, "check_result", lambda self, edits, state: None)
 
 
 def _a_file_that_cannot_be_is_a_baseline() -> Any:
-    def baseline(self: Door, change: Any) -> Any:
+    def baseline(self: ProposalChecker, change: Any) -> Any:
         state = SettingsState()
         for edit in change.edits:
             state.edit(edit, change.position)
         return state
 
-    return mock.patch.object(Door, "checked_baseline", baseline)
+    return mock.patch.object(ProposalChecker, "check_baseline", baseline)
 
 
 def _every_baseline_counts() -> Any:
     real = Timeline._apply
 
     def apply(self: Timeline, entry: Any) -> Any:
-        based, self._based = self._based, self._based and not entry.change.baseline
+        has_baseline, self._has_baseline = self._has_baseline, self._has_baseline and not entry.change.baseline
         result = real(self, entry)
-        self._based = self._based or based
+        self._has_baseline = self._has_baseline or has_baseline
         return result
 
     return mock.patch.object(Timeline, "_apply", apply)
@@ -262,26 +262,26 @@
         self.pending.clear()
         return iter(sent)
 
-    summary = mock.patch.object(module, "DIFFERS", 10**9)
+    summary = mock.patch.object(module, "DIFFERING_DIGESTS", 10**9)
     return _both(mock.patch.object(Peer, "next_changes", changes), summary)
 
 
 def _the_next_life_forgets_what_was_kept() -> Any:
-    return mock.patch.object(ConfigurationReplica, "_resume", lambda self, now, kept: None)
+    return mock.patch.object(ConfigurationReplica, "_restore", lambda self, now, saved: None)
 
 
 def _a_merge_is_not_put_in_force() -> Any:
-    real = ConfigurationReplica._take_in
+    real = ConfigurationReplica._insert_changes
 
     def take_in(self: ConfigurationReplica, now: float, changes: Any, source: Any) -> None:
         first = self._timeline.entries[-1].position if self._timeline.entries else Position(0, "")
         if changes and changes[0].position < first:
-            with mock.patch.object(Enforcement, "settle", lambda self, version: ()):
+            with mock.patch.object(ActiveConfiguration, "refresh", lambda self, version: ()):
                 real(self, now, changes, source)
         else:
             real(self, now, changes, source)
 
-    return mock.patch.object(ConfigurationReplica, "_take_in", take_in)
+    return mock.patch.object(ConfigurationReplica, "_insert_changes", take_in)
 
 
 @contextmanager
--- a/tests/configuration/member.py
+++ b/tests/configuration/member.py
@@ -10,12 +10,12 @@
 from sprucepost.configuration import (
     Change,
     ConfigurationReplica,
-    KeptState,
     Limits,
     Position,
     ProblemKind,
     Proposal,
     Receipt,
+    SavedState,
     Version,
 )
 from sprucepost.configuration.document import Settings
@@ -102,7 +102,7 @@
         neighbours: Callable[[], list[str]],
         observed: Observed,
         now: float,
-        kept: KeptState | None = None,
+        saved: SavedState | None = None,
         earlier: Version | None = None,
     ) -> None:
         self.address, self.program, self._neighbours, self._observed = address, program, neighbours, observed
@@ -113,7 +113,7 @@
             CHANGEABLE,
             self._clock(now),
             program.limits,
-            kept,
+            saved,
         )
         self.events: list[Event] = []
         self._streams: dict[int, _Stream] = {}
@@ -190,7 +190,7 @@
     def _out(self) -> list[Any]:
         actions: list[Any] = []
         told: list[Event] = []
-        for output in self.replica.drain():
+        for output in self.replica.take_outputs():
             if isinstance(output, Send):
                 self._measure(output.message)
                 actions.append(carry(output.peer, output.message))
@@ -209,8 +209,8 @@
 
     def _shape(self) -> tuple[object, ...]:
         replica = self.replica
-        ledger, in_force = replica._ledger, replica._enforcement._in_force
-        return replica.version, replica.digest, replica.held, replica.cut, len(ledger.set_aside), id(in_force)
+        store, in_force = replica._store, replica._active._in_force
+        return replica.version, replica.digest, replica.held, replica.cut, len(store.set_aside), id(in_force)
 
     def _measure(self, message: Message) -> None:
         if isinstance(message, Digest):
@@ -250,16 +250,16 @@
         ruled_out = set(ProblemKind) if self.replica.version.number else {ProblemKind.INVALID}
         for problem in rules(KNOWN, self.program.number)(values):
             if problem.kind in ruled_out and values != {k: v for k, v in self.program.file.items() if k in CHANGEABLE}:
-                self._observed.wrong(f"{self.address}: in force, and {problem.line}")
+                self._observed.wrong(f"{self.address}: in force, and {problem.reason}")
 
     def _check_bounds(self) -> None:
         replica, limits = self.replica, self.program.limits
         bounds = {
             "live changes": (len(replica._timeline.entries), 2 * limits.live_changes),
-            "archive": (len(replica._ledger.archive), limits.archived_changes),
-            "archived bytes": (replica._ledger.archive.size, limits.archived_bytes),
-            "set aside": (len(replica._ledger.set_aside), limits.set_aside_changes),
-            "fingerprints": (len(replica._ledger.fingerprints), limits.remembered_fingerprints),
+            "archive": (len(replica._store.archive), limits.archived_changes),
+            "archived bytes": (replica._store.archive.size, limits.archived_bytes),
+            "set aside": (len(replica._store.set_aside), limits.set_aside_changes),
+            "fingerprints": (len(replica._store.fingerprints), limits.remembered_fingerprints),
             "keys": (len(replica._timeline.state.setters), limits.configuration_keys),
             "pending": (
                 max((len(peer.pending) for peer in replica._peers.values()), default=0),
@@ -286,13 +286,13 @@
     def _look(self) -> None:
         self._setters = {key: self.replica.setter(key) for key in KEYS}
         self._aside = self._shown_aside()
-        ledger = self.replica._ledger
+        store = self.replica._store
         # Of these the replica never saw the changes: that they were set aside is told when the changes themselves come.
         self._only_in_base = {
             setter
             for setter in self._setters.values()
-            if setter is not None and setter <= self.replica.cut and setter not in ledger.archive
+            if setter is not None and setter <= self.replica.cut and setter not in store.archive
         }
 
     def _shown_aside(self) -> set[Position]:
-        return {entry.change.position for entry in self.replica._ledger.set_aside}
+        return {entry.change.position for entry in self.replica._store.set_aside}
--- a/tests/configuration/oracle.py
+++ b/tests/configuration/oracle.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from sprucepost.configuration import Change, Position, ProblemKind, State
+from sprucepost.configuration import Change, ChangeState, Position, ProblemKind
 from sprucepost.configuration.document import Value
 from tests.configuration.support import rules
 
@@ -15,7 +15,7 @@
     """The agreed values, and each change's state."""
 
     values: dict[str, Value] = field(default_factory=dict)
-    states: dict[Position, State] = field(default_factory=dict)
+    states: dict[Position, ChangeState] = field(default_factory=dict)
     superseded_by: dict[Position, dict[str, Position]] = field(default_factory=dict)
 
 
@@ -30,10 +30,10 @@
     accepted: list[Change] = []
     for change in sorted(changes, key=lambda each: each.position):
         if change.baseline and accepted:
-            result.states[change.position] = State.SUPERSEDED
+            result.states[change.position] = ChangeState.SUPERSEDED
             continue
         if not change.baseline and not accepted:
-            result.states[change.position] = State.WAITING
+            result.states[change.position] = ChangeState.WAITING
             continue
         trial = dict(result.values)
         for edit in change.edits:
@@ -42,7 +42,7 @@
             else:
                 trial[edit.key] = edit.value
         if not valid(trial):
-            result.states[change.position] = State.REFUSED
+            result.states[change.position] = ChangeState.REFUSED
             continue
         result.values = trial
         accepted.append(change)
@@ -53,7 +53,7 @@
             setters[edit.key] = change.position
     for change in accepted:
         replaced = len(result.superseded_by[change.position]) == len(change.edits)
-        result.states[change.position] = State.SUPERSEDED if replaced else State.IN_FORCE
+        result.states[change.position] = ChangeState.SUPERSEDED if replaced else ChangeState.IN_FORCE
     return result
 
 
--- a/tests/configuration/schedules.py
+++ b/tests/configuration/schedules.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from sprucepost.configuration import KeptState, KeyEdit, Limits, Position, Proposal, Receipt, State, Version
+from sprucepost.configuration import ChangeState, KeyEdit, Limits, Position, Proposal, Receipt, SavedState, Version
 from sprucepost.configuration.document import Value
 from sprucepost.configuration.messages import Held
 from sprucepost.play import Process, World
@@ -64,12 +64,12 @@
             clock_rate=self.rng.uniform(0.95, 1.05),
         )
 
-    def start(self, address: str, kept: KeptState | None = None, earlier: Version | None = None) -> None:
+    def start(self, address: str, saved: SavedState | None = None, earlier: Version | None = None) -> None:
         self._life += 1
         self._lives.setdefault(address, []).append(self._life)
         member = Member(
             address, self._life, self.programs[address], lambda: self.neighbours(address), self.observed,
-            self.world.now, kept, earlier,
+            self.world.now, saved, earlier,
         )  # fmt: skip
         region = f"r{int(address[1:]) % self.regions}"
         self.processes[address] = self.world.start(address, member, region)
@@ -104,7 +104,7 @@
         """What was accepted is in force at that member at once."""
         replica = member_of(self.processes[address]).replica
         shown = {entry.change.position: entry for entry in replica.history}[receipt.position]  # type: ignore[index]
-        if shown.state is not State.IN_FORCE or shown.superseded_by or replica.held is not None:
+        if shown.state is not ChangeState.IN_FORCE or shown.superseded_by or replica.held is not None:
             self.observed.wrong(f"{address}: {receipt.position} was accepted and is {shown.state}")
         for edit in shown.change.edits:
             if replica.configuration.get(edit.key) != (None if edit.removed else edit.value):
@@ -261,14 +261,14 @@
         if process is None or not process.alive:
             return
         replica = member_of(process).replica
-        kept, earlier = replica.keep(), replica.version
+        saved, earlier = replica.saved_state(), replica.version
         if state != "kept":
             self.fleet.stateless.update(self.fleet.lives_of(address))
         self.world.kill(process, silently)
         if state == "kept":
-            self.world.at(again, lambda: self.fleet.start(address, kept, earlier))
+            self.world.at(again, lambda: self.fleet.start(address, saved, earlier))
         elif state == "lagging":  # what was written down lacks the latest changes
-            lagging = KeptState(kept.snapshot, kept.changes[: len(kept.changes) // 2])
+            lagging = SavedState(saved.snapshot, saved.changes[: len(saved.changes) // 2])
             self.world.at(again, lambda: self.fleet.start(address, lagging))
         else:
             self.world.at(again, lambda: self.fleet.start(address))
@@ -343,7 +343,7 @@
     if replica.held is None:
         return [] if replica.configuration == agreed else [f"{member.address}: not held, and another configuration"]
     if not (too_small or unknown):
-        return [f"{member.address}: held without need: {replica.held.line}"]
+        return [f"{member.address}: held without need: {replica.held.reason}"]
     wanted = {"c.size"} if not unknown else {"c.new", "c.size"}
     if replica.held.key not in wanted:
         return [f"{member.address}: held for {replica.held.key}, not {sorted(wanted)}"]
@@ -366,12 +366,12 @@
             expected = folded.states[entry.change.position]
             if entry.state is not expected:
                 found.append(f"{member.address}: {entry.change.position} is {entry.state}, not {expected}")
-            if entry.state in (State.IN_FORCE, State.SUPERSEDED) and not entry.line:
+            if entry.state in (ChangeState.IN_FORCE, ChangeState.SUPERSEDED) and not entry.reason:
                 by = folded.superseded_by.get(entry.change.position, {})
                 if dict(entry.superseded_by) != by:
                     found.append(f"{member.address}: {entry.change.position} superseded by another")
-            if entry.state is State.REFUSED and not entry.line.startswith("c."):
-                found.append(f"{member.address}: a refusal without a key: {entry.line!r}")
+            if entry.state is ChangeState.REFUSED and not entry.reason.startswith("c."):
+                found.append(f"{member.address}: a refusal without a key: {entry.reason!r}")
     return found
 
 
--- a/tests/configuration/support.py
+++ b/tests/configuration/support.py
@@ -8,12 +8,12 @@
 from sprucepost.configuration import (
     ChangeableKeys,
     ConfigurationReplica,
-    KeptState,
     KeyEdit,
     Limits,
     Problem,
     ProblemKind,
     Proposal,
+    SavedState,
 )
 from sprucepost.configuration.document import Settings, Value, expand
 from sprucepost.configuration.messages import Event, Send
@@ -57,10 +57,10 @@
     number: int = 0,
     file: Settings = FILE,
     limits: Limits = Limits(),  # noqa: B008  (frozen)
-    kept: KeptState | None = None,
+    saved: SavedState | None = None,
     now: float = 0.0,
 ) -> ConfigurationReplica:
-    return ConfigurationReplica(name, file, rules(known, number), CHANGEABLE, now, limits, kept)
+    return ConfigurationReplica(name, file, rules(known, number), CHANGEABLE, now, limits, saved)
 
 
 def proposal(author: str = "ann", comment: str = "", **values: Value) -> Proposal:
@@ -103,7 +103,7 @@
         todo = deque(range(len(self.replicas)))
         while todo:
             at = todo.popleft()
-            for output in self.replicas[at].drain():
+            for output in self.replicas[at].take_outputs():
                 if not isinstance(output, Send):
                     self.events[self.replicas[at].origin].append(output)
                 elif frozenset((at, output.peer)) in self.links:
--- a/tests/configuration/test_replica.py
+++ b/tests/configuration/test_replica.py
@@ -10,6 +10,7 @@
 
 from sprucepost.configuration import (
     Change,
+    ChangeState,
     ConfigurationReplica,
     Edit,
     KeyEdit,
@@ -18,7 +19,6 @@
     Problem,
     ProblemKind,
     Proposal,
-    State,
     Version,
 )
 from sprucepost.configuration.messages import (
@@ -47,7 +47,7 @@
     assert fleet.alike()
     assert fleet.replicas[2].configuration == {**{k: v for k, v in FILE.items() if k != "own.number"}, "c.b": 4}
     assert all(InForce(receipt.version) in events for events in fleet.events.values())
-    assert [entry.state for entry in fleet.replicas[2].history] == [State.IN_FORCE, State.IN_FORCE]
+    assert [entry.state for entry in fleet.replicas[2].history] == [ChangeState.IN_FORCE, ChangeState.IN_FORCE]
 
 
 def test_of_two_operators_the_later_in_the_order_holds_and_the_other_is_told() -> None:
@@ -65,7 +65,7 @@
     assert (configuration["c.a"], configuration["c.low"], configuration["c.high"]) == (3, 11, 30)
     assert Overwritten(first, "c.a", second) in fleet.events["p0"]
     shown = {entry.change.position: entry for entry in fleet.replicas[1].history}
-    assert shown[first].superseded_by == {"c.a": second} and shown[first].state is State.IN_FORCE
+    assert shown[first].superseded_by == {"c.a": second} and shown[first].state is ChangeState.IN_FORCE
 
 
 def test_what_is_valid_on_each_side_and_invalid_together_is_refused_whole_and_told() -> None:
@@ -147,7 +147,7 @@
     assert one.propose(0.0, Proposal((), "ann")).refusal == "no key is changed"
     assert "longer than" in one.propose(0.0, proposal(author="a" * 300, a=2)).refusal
     assert "65 keys" in one.propose(0.0, Proposal(tuple(KeyEdit(f"c.{n}", 1) for n in range(65)), "ann")).refusal
-    assert one.version == before and not [each for each in one.drain() if isinstance(each, Refused)]
+    assert one.version == before and not [each for each in one.take_outputs() if isinstance(each, Refused)]
 
 
 def test_changes_a_second_are_bounded_at_the_door() -> None:
@@ -298,7 +298,7 @@
     assert SetAside(lost) in fleet.events["p0"] and SetAside(lost) in fleet.events["p1"]
     for each in fleet.replicas:
         shown = {entry.change.position: entry for entry in each.history}
-        assert shown[lost].state is State.SET_ASIDE and shown[lost].line.startswith("c.a: ")
+        assert shown[lost].state is ChangeState.SET_ASIDE and shown[lost].reason.startswith("c.a: ")
     assert fleet.replicas[1].refused[0].startswith(f"{lost}: c.a: ")
 
 
@@ -308,7 +308,7 @@
         one.propose(0.0, proposal(a=number))
     one.tick(20_000.0)
     one.propose(20_000.0, proposal(b=2))
-    two = replica("p0/2", limits=SHORT, kept=one.keep(), now=30_000.0)
+    two = replica("p0/2", limits=SHORT, saved=one.saved_state(), now=30_000.0)
     assert (two.version, two.configuration, two.history) == (one.version, one.configuration, one.history)
     receipt = two.propose(30_000.0, proposal(b=3))
     assert receipt.position == Position(one.version.number + 1, "p0/2")
@@ -324,7 +324,7 @@
 def test_what_a_stream_lost_is_found_by_digests() -> None:
     fleet = joined(replica("p0"), replica("p1"))
     fleet.replicas[0].propose(0.0, proposal(a=2))
-    fleet.replicas[0].drain()  # lost with its stream, which nobody saw break
+    fleet.replicas[0].take_outputs()  # lost with its stream, which nobody saw break
     fleet.pass_time(5000.0)
     assert fleet.alike()
 
@@ -349,13 +349,15 @@
     one = replica(limits=limits)
     for number in range(60):
         one.propose(0.0, proposal(e=number, comment="x" * 100))
-    one.drain()
+    one.take_outputs()
     one.connected(0.0, 1)
     one.received(0.0, 1, Digest(0, 0))
     one.received(0.0, 1, Summary(Position(0, ""), 0, ()))
     arrived: list[Position] = []
     for tick in range(40):
-        sent = [each.message for each in one.drain() if isinstance(each, Send) and isinstance(each.message, Changes)]
+        sent = [
+            each.message for each in one.take_outputs() if isinstance(each, Send) and isinstance(each.message, Changes)
+        ]
         sizes = [sum(change.size for change in message.changes) for message in sent]
         assert sum(sizes) <= 3000 and max(sizes, default=0) <= 1000
         arrived += [change.position for message in sent for change in message.changes]
@@ -394,11 +396,11 @@
     for number in range(2, 40):
         one.propose(0.0, removal("e") if "c.e" in one.configuration else proposal(e=number, high=20 + number))
     positions = [entry.change.position for entry in one.history]
-    before = [one._ledger.settings_at(position) for position in positions]
+    before = [one._store.settings_at(position) for position in positions]
     one.tick(1e9)
     assert one.cut == positions[-1] and one.agreed == before[-1]
     one.propose(1e9, proposal(e=99))
-    assert [one._ledger.settings_at(position) for position in positions] == before
-    two = replica("p0/2", kept=one.keep())
+    assert [one._store.settings_at(position) for position in positions] == before
+    two = replica("p0/2", saved=one.saved_state())
     receipt = two.rollback(0.0, positions[4], "ann")
     assert receipt.refusal == "" and two.configuration == before[4]
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from sprucepost.membership import Generation
-from sprucepost.peers.codec import Malformed, decode, encode
+from sprucepost.peers.codec import MalformedMessageError, decode, encode
 from sprucepost.v1 import peer_pb2 as pb
 from sprucepost.view.view import MEMBERS_MOST
 from sprucepost.view.words import Beat, Hello, News, Summary, Word
@@ -42,7 +42,7 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_a_word_or_one_error(data: bytes) -> None:
-    with contextlib.suppress(Malformed):
+    with contextlib.suppress(MalformedMessageError):
         decode(data)
 
 
@@ -62,5 +62,5 @@
     ],
 )
 def test_what_is_too_much_or_nobody_is_refused(frame: pb.PeerFrame) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         decode(frame.SerializeToString())
--- a/tests/peers/test_configuration_codec.py
+++ b/tests/peers/test_configuration_codec.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sprucepost.configuration.change import CLOCK_MOST, Change, Edit, Position
+from sprucepost.configuration.change import MAX_CLOCK, Change, Edit, Position
 from sprucepost.configuration.messages import (
     Changes,
     Digest,
@@ -22,15 +22,15 @@
     Verdicts,
     VerdictsRequest,
 )
-from sprucepost.peers.codec import Malformed, encode, parse, word_of
-from sprucepost.peers.configuration_codec import encode_digest, encode_message, message_of
+from sprucepost.peers.codec import MalformedMessageError, encode, parse, view_message_of
+from sprucepost.peers.configuration_codec import configuration_message_of, encode_digest, encode_message
 from sprucepost.v1 import peer_pb2 as pb
 from sprucepost.view.words import Beat
 
 TEXT = st.text(max_size=20)
 HASH = st.integers(0, 2**64 - 1)
 HASHES = st.lists(HASH, max_size=4).map(tuple)
-POSITIONS = st.builds(Position, st.integers(0, CLOCK_MOST), TEXT)
+POSITIONS = st.builds(Position, st.integers(0, MAX_CLOCK), TEXT)
 LEAVES = (
     st.none() | st.booleans() | st.integers(-(2**53), 2**53) | st.floats(allow_nan=False, allow_infinity=False) | TEXT
 )
@@ -74,21 +74,23 @@
 @given(MESSAGES)
 def test_messages_come_back_as_they_were_and_are_no_words(message: Message) -> None:
     frame = parse(encode_message(message))
-    assert message_of(frame) == message
-    assert word_of(frame) is None
+    assert configuration_message_of(frame) == message
+    assert view_message_of(frame) is None
 
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_a_message_or_one_error(data: bytes) -> None:
-    with contextlib.suppress(Malformed):
-        message_of(pb.PeerFrame(configuration=pb.ConfigurationMessage.FromString(parse(data).SerializeToString())))
+    with contextlib.suppress(MalformedMessageError):
+        configuration_message_of(
+            pb.PeerFrame(configuration=pb.ConfigurationMessage.FromString(parse(data).SerializeToString()))
+        )
 
 
 def test_a_heartbeat_carries_the_digest_only_where_it_is_given() -> None:
-    assert message_of(parse(encode(Beat(7)))) is None
+    assert configuration_message_of(parse(encode(Beat(7)))) is None
     frame = parse(encode(Beat(7), encode_digest(Digest(1, 2))))
-    assert message_of(frame) == Digest(1, 2)
-    assert word_of(frame) == Beat(7)
+    assert configuration_message_of(frame) == Digest(1, 2)
+    assert view_message_of(frame) == Beat(7)
 
 
 def test_an_earlier_version_passes_over_messages_and_reads_heartbeats() -> None:
@@ -99,15 +101,15 @@
 
 
 def test_a_message_of_a_later_version_is_passed_over() -> None:
-    assert message_of(pb.PeerFrame(configuration=pb.ConfigurationMessage())) is None
+    assert configuration_message_of(pb.PeerFrame(configuration=pb.ConfigurationMessage())) is None
 
 
 @pytest.mark.parametrize("value", ["", "{", "NaN", "1e999", "-Infinity", '"\\ud800"', "[" * 100_000])
 def test_a_value_that_is_no_json_is_refused(value: str) -> None:
     edits = [pb.ConfigurationEdit(key="cluster.max_attempts", value=value)]
     changes = pb.ConfigurationChanges(changes=[pb.ConfigurationChange(edits=edits)])
-    with pytest.raises(Malformed):
-        message_of(pb.PeerFrame(configuration=pb.ConfigurationMessage(changes=changes)))
+    with pytest.raises(MalformedMessageError):
+        configuration_message_of(pb.PeerFrame(configuration=pb.ConfigurationMessage(changes=changes)))
 
 
 @pytest.mark.parametrize(
@@ -116,11 +118,11 @@
         pb.ConfigurationChange(author="a" * 300),
         pb.ConfigurationChange(comment="c" * 3000),
         pb.ConfigurationChange(made_ms=float("nan")),
-        pb.ConfigurationChange(position=pb.ConfigurationPosition(clock=CLOCK_MOST + 1)),
+        pb.ConfigurationChange(position=pb.ConfigurationPosition(clock=MAX_CLOCK + 1)),
         pb.ConfigurationChange(position=pb.ConfigurationPosition(origin="o" * 300)),
     ],
 )
 def test_what_is_too_much_or_cannot_be_is_refused(change: pb.ConfigurationChange) -> None:
     changes = pb.ConfigurationChanges(changes=[change])
-    with pytest.raises(Malformed):
-        message_of(pb.PeerFrame(configuration=pb.ConfigurationMessage(changes=changes)))
+    with pytest.raises(MalformedMessageError):
+        configuration_message_of(pb.PeerFrame(configuration=pb.ConfigurationMessage(changes=changes)))
--- a/tests/peers/test_configuration_carrier.py
+++ b/tests/peers/test_configuration_transport.py
@@ -5,8 +5,8 @@
 from sprucepost.configuration import ChangeableKeys, ConfigurationReplica, KeyEdit, Proposal
 from sprucepost.configuration.messages import Changes, Digest, Event, Snapshot, SnapshotRequest
 from sprucepost.peers.codec import parse
-from sprucepost.peers.configuration import ConfigurationCarrier
-from sprucepost.peers.configuration_codec import message_of
+from sprucepost.peers.configuration_codec import configuration_message_of
+from sprucepost.peers.configuration_transport import ConfigurationTransport
 
 STREAM = 1
 CHANGE = Proposal((KeyEdit("cluster.max_attempts", 4),), "ann")
@@ -19,64 +19,64 @@
         settings = {"cluster.max_attempts": 3}
         replica = ConfigurationReplica(name, settings, lambda _: [], ChangeableKeys(("cluster",)), 0.0)
         self.events: list[Event] = []
-        self.carrier = ConfigurationCarrier(replica, lambda: 0.0, self.events.append)
+        self.transport = ConfigurationTransport(replica, lambda: 0.0, self.events.append)
         self.frames: list[bytes] = []
-        self.carrier.transmit = lambda stream, data: self.frames.append(data)
+        self.transport.transmit = lambda stream, data: self.frames.append(data)
 
     def take(self, other: Member) -> None:
         """Hear all that the other has sent so far."""
         frames, other.frames = other.frames, []
         for data in frames:
-            message = message_of(parse(data))
+            message = configuration_message_of(parse(data))
             assert message is not None
-            self.carrier.heard(STREAM, message)
+            self.transport.handle_message(STREAM, message)
 
 
 def test_nothing_is_sent_to_a_peer_that_has_shown_no_digest() -> None:
     member = Member("a")
-    member.carrier.heard(STREAM, SnapshotRequest())
-    assert member.carrier.propose(CHANGE).refusal == ""
-    member.carrier.tick()
-    assert member.frames == [] and member.carrier.connected == 0
+    member.transport.handle_message(STREAM, SnapshotRequest())
+    assert member.transport.propose(CHANGE).refusal == ""
+    member.transport.tick()
+    assert member.frames == [] and member.transport.connected_streams == 0
 
 
 def test_a_change_goes_to_a_peer_that_has_shown_its_digest() -> None:
     one, other = Member("a"), Member("b")
-    one.carrier.heard(STREAM, other.carrier.replica.digest)
-    other.carrier.heard(STREAM, one.carrier.replica.digest)
+    one.transport.handle_message(STREAM, other.transport.replica.digest)
+    other.transport.handle_message(STREAM, one.transport.replica.digest)
     one.take(other)
     other.take(one)
-    assert one.carrier.propose(CHANGE).refusal == ""
+    assert one.transport.propose(CHANGE).refusal == ""
     other.take(one)
-    assert other.carrier.replica.configuration == {"cluster.max_attempts": 4}
-    assert other.carrier.replica.version == one.carrier.replica.version
+    assert other.transport.replica.configuration == {"cluster.max_attempts": 4}
+    assert other.transport.replica.version == one.transport.replica.version
 
 
 def test_nothing_is_sent_on_a_stream_that_is_over() -> None:
     member = Member("a")
-    member.carrier.heard(STREAM, Digest(0, 0))
-    assert member.carrier.connected == 1
-    member.carrier.ended(STREAM)
+    member.transport.handle_message(STREAM, Digest(0, 0))
+    assert member.transport.connected_streams == 1
+    member.transport.stream_closed(STREAM)
     member.frames.clear()
-    assert member.carrier.propose(CHANGE).refusal == ""
-    assert member.frames == [] and member.carrier.connected == 0
+    assert member.transport.propose(CHANGE).refusal == ""
+    assert member.frames == [] and member.transport.connected_streams == 0
 
 
 def test_what_a_send_gives_rise_to_waits_its_turn() -> None:
     """A stream may end while something is sent on another one."""
     member = Member("a")
     for stream in (1, 2, 3):
-        member.carrier.heard(stream, Digest(0, 0))
+        member.transport.handle_message(stream, Digest(0, 0))
     sent: list[tuple[int, type]] = []
 
     def transmit(stream: int, data: bytes) -> None:
-        message = message_of(parse(data))
+        message = configuration_message_of(parse(data))
         sent.append((stream, type(message)))
         if sent == [(1, Changes)]:
-            member.carrier.ended(2)
-            member.carrier.heard(3, SnapshotRequest())
+            member.transport.stream_closed(2)
+            member.transport.handle_message(3, SnapshotRequest())
 
-    member.carrier.transmit = transmit
-    assert member.carrier.propose(CHANGE).refusal == ""
+    member.transport.transmit = transmit
+    assert member.transport.propose(CHANGE).refusal == ""
     assert [kind for stream, kind in sent if stream == 3] == [Changes, Snapshot]
-    assert member.carrier.connected == 2
+    assert member.transport.connected_streams == 2
--- a/tests/test_running_settings.py
+++ b/tests/test_running_settings.py
@@ -52,13 +52,13 @@
 def test_a_fault_is_one_line_that_names_the_key(key: str, value: Any) -> None:
     (problem,) = ClusterValidator(deployment())({**values(deployment()), key: value})
     assert problem.key == key
-    assert problem.line.startswith(f"{key}: ") and "\n" not in problem.line
+    assert problem.reason.startswith(f"{key}: ") and "\n" not in problem.reason
 
 
 def test_a_tenant_cannot_be_removed_by_its_keys() -> None:
     kept = {key: value for key, value in values(deployment()).items() if "[red]" not in key}
     (problem,) = ClusterValidator(deployment())(kept)
-    assert problem.line == "cluster.tenants[red]: can't be removed while placers run"
+    assert problem.reason == "cluster.tenants[red]: can't be removed while placers run"
 
 
 def test_a_required_key_cannot_be_removed_and_one_with_a_default_can() -> None:
