--- a/tests/node/planted_defects.py
+++ b/tests/node/planted_defects.py
@@ -54,17 +54,17 @@
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
-    "a release forgotten": lambda: _now_and_then(Owners, "release", _nothing),
-    "an answer twice": lambda: _now_and_then(OwnerLink, "answer", _twice),
-    "an answer forgotten": lambda: _now_and_then(OwnerLink, "answer", _nothing),
-    "a refusal forgotten": lambda: _now_and_then(OwnerLink, "refuse", _nothing),
-    "a cancelled task goes on": lambda: _always(Tasks, "owner_cancelled", _nothing),
-    "an owner that left is not seen": lambda: _always(Tasks, "owner_disconnected", _nothing),
-    "a drain is not kept": lambda: STATES.update(DRAINING=MachineState.READY),
-    "a host's new life ends nothing": lambda: _always(Tasks, "host_lost", _none),
-    "a host's word is not heard": lambda: _now_and_then(Tasks, "handle_message", _nothing),
-    "the end does not wait": lambda: _always(Service, "begin_shutdown", _end_at_once),
-    "the end does not come": lambda: _always(Service, "begin_shutdown", _nothing),
-    "a connection closed in use": lambda: _always(Owners, "tick", _close_idle_or_not),
+    "a release is not sent": lambda: _now_and_then(Owners, "release", _nothing),
+    "an answer is sent twice": lambda: _now_and_then(OwnerLink, "answer", _twice),
+    "an answer is not sent": lambda: _now_and_then(OwnerLink, "answer", _nothing),
+    "a refusal is not sent": lambda: _now_and_then(OwnerLink, "refuse", _nothing),
+    "a cancelled task runs on": lambda: _always(Tasks, "owner_cancelled", _nothing),
+    "an owner's disconnect is ignored": lambda: _always(Tasks, "owner_disconnected", _nothing),
+    "a draining host gets new tasks": lambda: STATES.update(DRAINING=MachineState.READY),
+    "a host's restart ends no task": lambda: _always(Tasks, "host_lost", _none),
+    "a host's message is ignored": lambda: _now_and_then(Tasks, "handle_message", _nothing),
+    "shutdown does not wait": lambda: _always(Service, "begin_shutdown", _end_at_once),
+    "shutdown does not happen": lambda: _always(Service, "begin_shutdown", _nothing),
+    "a connection in use is closed": lambda: _always(Owners, "tick", _close_idle_or_not),
 }
 """By name; each is to be called once, before the placer starts."""
--- a/tests/node/test_soak.py
+++ b/tests/node/test_soak.py
@@ -12,12 +12,12 @@
 AT_ONCE = 4  # soaks side by side: each uses a fifth of a core and waits for most of its time
 SEEDS_EACH = 2  # for a defect: load and answers depend on timing, so that one seed may pass it by
 FOUND_BY = {  # the first of them
-    "a release forgotten": 1,
-    "an answer twice": 2,
-    "a cancelled task goes on": 3,
-    "a host's new life ends nothing": 1,
-    "a host's word is not heard": 3,
-    "the end does not come": 2,
+    "a release is not sent": 1,
+    "an answer is sent twice": 2,
+    "a cancelled task runs on": 3,
+    "a host's restart ends no task": 1,
+    "a host's message is ignored": 3,
+    "shutdown does not happen": 2,
 }
 
 
