--- a/tests/node/test_tasks.py
+++ b/tests/node/test_tasks.py
@@ -145,7 +145,7 @@
     assert out.entry.ask.setup.description == "", "a standing task keeps no description"
     harness.tasks.handle_message(out.machine, Line(Word.EVENT, SID, {"note": "cores", "value": "0.5"}))
     harness.loop.pass_ms(1)
-    assert harness.last(i.Note) == i.Note(out.entry.request, 0, i.NoteKind.CORES_USED, 0.5)
+    assert harness.last(i.StatusNote) == i.StatusNote(out.entry.request, 0, i.StatusKind.CORES_USED, 0.5)
     harness.tasks.handle_message(out.machine, Line(Word.CLOSE, SID, {"load": "x0:3;x1:4;other:x"}, 16))
     harness.loop.pass_ms(1)
     assert harness.events[-1] == ("release", SID, 16) and harness.last(i.Outcome).report == i.LoadReport(3.0, 4.0)
@@ -251,7 +251,7 @@
     out.tasks.owner_disconnected([SID])
     for harness in (held, out):
         harness.loop.pass_ms(4000)
-        assert harness.last(i.Gone) and "refuse" not in harness.kinds() and harness.tasks.ledger.open == 0
+        assert harness.last(i.RequestAbandoned) and "refuse" not in harness.kinds() and harness.tasks.ledger.open == 0
     assert out.kinds() == ["open", "give up"] and out.last(i.Outcome).ending is i.Ending.CANCELLED
     placed = standing()
     placed.tasks.owner_cancelled(SID)
@@ -323,9 +323,9 @@
     harness.loop.pass_ms(13_000)
     harness.tasks.expire_records()
     assert len(harness.tasks.ledger) == 0 and not harness.tasks.placed
-    assert not scheduler.tasks and not scheduler.attempts and not scheduler.due
-    assert len(scheduler.services) == 0 and len(scheduler.orders) == 0
-    assert all(not m.attempts and len(m.answered) <= 600 for m in scheduler.machines.values())
+    assert not scheduler.tasks and not scheduler.attempts and not scheduler.to_place
+    assert len(scheduler.services) == 0 and len(scheduler.machine_orders) == 0
+    assert all(not m.attempts and len(m.answer_times) <= 600 for m in scheduler.machines.values())
 
 
 @pytest.mark.parametrize(
