--- a/sprucepost/__main__.py
+++ b/sprucepost/__main__.py
@@ -1,10 +1,10 @@
-"""``python -m sprucepost``."""
+"""Entry point of ``python -m sprucepost``."""
 
 import sys
 
 
 def run() -> None:
-    """The command; ``node`` is led past the libraries that it has no memory for."""
+    """Run the command line; ``node`` skips the imports of libraries that its memory limit does not allow."""
     if sys.argv[1:] == ["node"]:
         from sprucepost.node.service import main as node
 
--- a/sprucepost/node/__init__.py
+++ b/sprucepost/node/__init__.py
@@ -1,27 +1,28 @@
-"""The placer on the platform's protocol: owners send binary messages, hosts speak JSON lines, a bulletin names the hosts.
+"""The placer on the platform's protocol: owners send binary messages, hosts speak JSON lines, a bulletin lists the hosts.
 
-=============== =======================================================================================================
-``bounds``      what no message may exceed, and the one error of both codecs
-``binary``      owners' messages: bytes to messages and back
-``jsonl``       hosts' messages: bytes to lines and back
-``bulletin``    the events that tell of hosts, as the module's list
-``config``      the environment and the file that start a placer
-``words``       a set-up checked, and in the module's terms
-``queue``       new tasks in turn by connection
-``early``       words that came ahead of their set-up
-``attempt``     what is kept of a task and of its attempts
-``tasks``       the states of a task from set-up to release, without sockets
-``dispatch``    attempts go out at a turn's end, right after a look at all sockets
-``host``        what is known of one host and of one connection to it
-``health``      health checks, and when a host counts as silent
-``owners``      owners' connections
-``hosts``       hosts' connections
-``feed``        the long poll of the bulletin
-``descriptors`` how many connections there may be
-``log``         one line for each thing that operators may want to know
-``service``     puts these together: start, signals, stop
-=============== =======================================================================================================
+================== ====================================================================================================
+``framing``        message size limit, and what both codecs share: error and incremental decoder
+``binary``         codec of owners' messages
+``jsonl``          codec of hosts' messages
+``bulletin``       events about hosts, as the scheduler's machine list
+``config``         the environment and the file that configure a placer
+``parsing``        set-ups validated and converted to the scheduler's types
+``fair_queue``     new tasks, round robin over connections
+``early_messages`` messages about a task that arrived before its set-up
+``attempt``        state kept for a task and for its attempts
+``tasks``          states of a task from set-up to release, without sockets
+``dispatch``       sends offers at the end of a turn of the loop, right after all sockets were polled
+``host``           state of one host and of one connection to it
+``health``         health checks, and when a host is considered silent
+``owners``         connections of owners
+``hosts``          connections to hosts
+``feed``           long poll of the bulletin
+``descriptors``    limits on the number of connections
+``start_times``    start times of hosts, corrected for steps of the wall clock
+``log``            one line for each event that operators may want to know of
+``service``        puts these together: start, signals, shutdown
+================== ====================================================================================================
 
-Where a task goes, how long an attempt may take and which host is healthy is decided in ``sprucepost.scheduler`` alone.
-What is decided here is which bytes count. Nothing heavier than h11 is imported: a placer lives in a few dozen MB.
+Where a task goes, how long an attempt may take and which host is healthy is decided in ``sprucepost.scheduler`` alone. This
+package decides which messages count. It imports nothing heavier than h11: a placer has a few dozen MB of memory.
 """
--- a/sprucepost/node/attempt.py
+++ b/sprucepost/node/attempt.py
@@ -1,4 +1,4 @@
-"""What is kept of a task and of its attempts, and what its surroundings must be able to do. No I/O."""
+"""State kept for a task and for each attempt to place it, and the interfaces that the task states need. No I/O."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 class SetUpResult(Enum):
-    """What became of a set-up."""
+    """Result of admitting a set-up."""
 
     ADMITTED = "taken"
-    HOST_UNKNOWN = "unlisted"  # taken, though its ``at`` names a host that no list has told of
-    CANCELLED = "unwanted"  # its owner gave it up before it was read
-    DUPLICATE_ID = "repeated"  # its id is that of another task
+    HOST_UNKNOWN = "unlisted"  # admitted, but its ``at`` names a host that has not been in any list
+    CANCELLED = "unwanted"  # its owner cancelled it before it was read
+    DUPLICATE_ID = "repeated"  # its id belongs to another task
 
 
 class OwnerPort(Protocol):
-    """One owner's connection."""
+    """Connection of one owner."""
 
     @property
     def closed(self) -> bool: ...
     def add_placed_task(self) -> None:
-        """A task that came on it stands: it, or another of its owner's, is needed until the release."""
+        """Count a task placed for this connection: it, or another one of its owner, is kept open for the release."""
         ...
 
     def remove_placed_task(self) -> None:
-        """Such a task is over."""
+        """Stop counting such a task, which has ended."""
         ...
 
     def input_read(self) -> bool:
-        """Whether all that had come from that owner by the latest look has been read, on each of its connections."""
+        """Return whether all input from that owner up to the latest poll has been read, on each of its connections."""
         ...
 
     def discard_set_up(self, sid: str) -> None:
-        """No answer is owed to that set-up any more."""
+        """Drop an open set-up that needs no answer any more."""
         ...
 
     def answer(self, sid: str, text: str) -> None: ...
@@ -46,72 +46,70 @@
 
 
 class OwnersPort(Protocol):
-    """All owners' connections."""
+    """Connections of all owners."""
 
     def release(self, link: OwnerPort, sid: str, cause: int) -> None:
-        """Tell the owner that its task is over: on that connection, else on another."""
+        """Tell the owner that its task has ended: on that connection, or else on another one."""
         ...
 
 
 class HostsPort(Protocol):
-    """All hosts' connections."""
+    """Connections to all hosts."""
 
     def send_offer(self, attempt: Attempt) -> None:
-        """Write the offer when :meth:`Tasks.write` gives it; end the attempt where it cannot be written."""
+        """Write the offer once :meth:`Tasks.encode_offer` returns it; end the attempt if it cannot be written."""
         ...
 
     def was_sent(self, attempt: Attempt) -> bool:
-        """Whether the offer was written and has left whole: else the host cannot have read it."""
+        """Return whether the offer was sent completely; if not, the host cannot have read it."""
         ...
 
     def connection_failed_locally(self, attempt: Attempt) -> bool:
-        """Whether it was not written since our own system had no descriptor, port or route for a connection."""
+        """Return whether the offer was not written because this machine had no descriptor, port or route to connect."""
         ...
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Take the set-up back where it was written; forget it where it was not."""
+        """Withdraw the offer at its host if it was written, else drop it."""
         ...
 
     def withdraw_unsent(self, services: set[str]) -> None:
-        """Offers of those services that still wait to be written are moot."""
+        """End attempts for those services whose offers are still unwritten, as void."""
         ...
 
     def end_task(self, machine: str, sid: str) -> None:
-        """Have the host end a standing task."""
+        """Tell the host to end a placed task."""
         ...
 
     def adopt(self, machine: str, sid: str) -> bool:
-        """The task is ours to look after there, and not to be let go any more; False where the host is not listed."""
+        """Take over a task that runs there, and cancel a pending :meth:`end_task`; False if the host is not listed."""
         ...
 
 
 @dataclass(frozen=True)
 class Withdrawal:
-    """An attempt that was taken back when its time was up: when, in ms of the loop's clock, and whether it stood by its
-    notes."""
+    """An attempt that was withdrawn when it timed out."""
 
-    at: float
-    noted: bool
+    at: float  # in ms of the loop's clock
+    noted: bool  # whether the host had sent a note on the task, so it had accepted it
 
 
 class TaskState:
-    """What the node keeps with a task's entry in the ledger (``Entry.ask``)."""
+    """State that the node keeps with a task's ledger entry."""
 
     __slots__ = ("attempt", "keeps_connection", "may_run_since", "owner", "placed_at", "queued", "setup", "withdrawals")
 
     def __init__(self, setup: SetUp, owner: OwnerPort) -> None:
         self.setup, self.owner = setup, owner
         self.attempt: Attempt | None = None
-        self.placed_at = 0.0  # from when it stands, in ms of the loop's clock
-        self.keeps_connection = False  # whether its owner's connection is kept for its release
-        self.queued = False  # whether the module has not been told of it yet
-        # What was taken back when its time was up, by host: the latest one there.
-        self.withdrawals: dict[str, Withdrawal] = {}
-        self.may_run_since: float | None = None  # when the first attempt began that may have run
+        self.placed_at = 0.0  # in ms of the loop's clock
+        self.keeps_connection = False  # whether the owner's connection is kept open for the release
+        self.queued = False  # whether the scheduler has not been told of the task yet
+        self.withdrawals: dict[str, Withdrawal] = {}  # the latest attempt withdrawn on timeout, by host
+        self.may_run_since: float | None = None  # offer time of the first attempt that a host may have run
 
 
 class Attempt:
-    """One attempt, from the module's decision until its end."""
+    """One attempt to place a task, from the scheduler's offer until its end. Times are ms of the loop's clock."""
 
     __slots__ = ("deadline", "end_offset", "entry", "link", "machine", "noted", "number", "offered_at", "timer")
 
@@ -124,11 +122,11 @@
             deadline,
         )
         self.timer: Timer | None = None
-        self.link: Any = None  # the host's connection that carries it, or is to
-        self.end_offset = 0  # so many bytes of that connection have been sent once it is out whole
+        self.link: Any = None  # the connection to the host on which the offer was written
+        self.end_offset = 0  # bytes sent on that connection once the offer has been sent completely
         self.noted = False  # whether the host has sent a note on the task, which it does only after its answer
 
     @property
     def sid(self) -> str:
-        """The id of its task."""
+        """Id of the task."""
         return self.entry.name
--- a/sprucepost/node/early_messages.py
+++ b/sprucepost/node/early_messages.py
@@ -1,17 +1,17 @@
-"""Words about tasks that are not known here, kept for a while: they came ahead of their set-up. No I/O.
+"""Cache of messages about tasks that are not known here because they arrived before the task's set-up. No I/O.
 
-An owner's messages come on any of its connections, and a host speaks of a task before its owner has told us of it again:
-after a restart, or where one connection is read before another. And a task that is over may be named once more by an
-owner who has not heard of its end yet.
+An owner may use any of its connections, and a host may report on a task before its owner has reported the task again:
+after a restart of the placer, or if one connection is read before another. An owner that has not yet heard of the end of
+its task may also report that task once more.
 
 ====================== =================================== ========================================================
-what                   recorded when                       effect on a later set-up of that id
+message                recorded when                       effect on a later set-up of that id
 ====================== =================================== ========================================================
-``TASK_ENDED``         a placed task has ended             with ``at``: none, its owner has been released
+``TASK_ENDED``         a placed task has ended             with ``at``: none, its owner has been sent the release
 ``CANCELLED_BY_OWNER`` an owner cancels or ends a task     not placed and not answered; with ``at``: the host is
                        that is not known                   told to end the task
-``RELEASED_BY_HOST``   a host ends a task that is not      with ``at`` and of that host: the task is placed, and
-                       known                               ends at once
+``RELEASED_BY_HOST``   a host releases a task that is not  with ``at`` and of that host: recorded as placed, and
+                       known                               ended at once
 ====================== =================================== ========================================================
 """
 
@@ -20,11 +20,11 @@
 from enum import Enum
 from typing import Any
 
-MAX_EARLY_MESSAGES = 2048  # words kept: whoever speaks of ids that nobody knows pushes out the oldest only
+MAX_EARLY_MESSAGES = 2048  # bounds the memory: a peer that sends unknown ids only displaces the oldest entries
 
 
 class EarlyMessage(Enum):
-    """What was said of the id."""
+    """What is recorded about a task id."""
 
     TASK_ENDED = "over"
     CANCELLED_BY_OWNER = "unwanted"
@@ -32,30 +32,30 @@
 
 
 class EarlyMessageCache:
-    """Words by id, for ``keep_ms`` and at most ``most`` of them."""
+    """Messages by task id; each is kept for ``retention_ms``, and at most ``max_messages`` of them."""
 
-    def __init__(self, keep_ms: float, most: int = MAX_EARLY_MESSAGES) -> None:
-        self._keep, self._most = keep_ms, most
-        self._words: dict[str, tuple[float, EarlyMessage, Any]] = {}  # the oldest first
+    def __init__(self, retention_ms: float, max_messages: int = MAX_EARLY_MESSAGES) -> None:
+        self._retention_ms, self._max_messages = retention_ms, max_messages
+        self._messages: dict[str, tuple[float, EarlyMessage, Any]] = {}  # expiry, message, details; oldest first
 
     def __len__(self) -> int:
-        return len(self._words)
+        return len(self._messages)
 
-    def note(self, sid: str, word: EarlyMessage, now: float, what: Any = None) -> None:
-        """Keep it; that a task is over outlasts whatever is said of it afterwards."""
-        known = self._words.pop(sid, None)
-        if known is not None and known[1] is EarlyMessage.TASK_ENDED and word is not EarlyMessage.TASK_ENDED:
-            word, what = known[1], known[2]
-        elif len(self._words) >= self._most:
-            del self._words[next(iter(self._words))]
-        self._words[sid] = now + self._keep, word, what
+    def record(self, sid: str, message: EarlyMessage, now: float, details: Any = None) -> None:
+        """Record a message; ``TASK_ENDED`` is not overwritten by a later message of another kind."""
+        known = self._messages.pop(sid, None)
+        if known is not None and known[1] is EarlyMessage.TASK_ENDED and message is not EarlyMessage.TASK_ENDED:
+            message, details = known[1], known[2]
+        elif len(self._messages) >= self._max_messages:
+            del self._messages[next(iter(self._messages))]
+        self._messages[sid] = now + self._retention_ms, message, details
 
     def get(self, sid: str, now: float) -> tuple[EarlyMessage | None, Any]:
-        """What was said of it within the time, if anything was."""
-        until, word, what = self._words.get(sid, (0.0, None, None))
-        return (word, what) if until > now else (None, None)
-
-    def forget(self, now: float) -> None:
-        """Drop what is too old."""
-        for sid in [sid for sid, word in self._words.items() if word[0] <= now]:
-            del self._words[sid]
+        """Return the message about that id and its details, or a pair of None if there is none or it has expired."""
+        expires_at, message, details = self._messages.get(sid, (0.0, None, None))
+        return (message, details) if expires_at > now else (None, None)
+
+    def expire(self, now: float) -> None:
+        """Drop expired messages."""
+        for sid in [sid for sid, message in self._messages.items() if message[0] <= now]:
+            del self._messages[sid]
--- a/sprucepost/node/fair_queue.py
+++ b/sprucepost/node/fair_queue.py
@@ -1,7 +1,8 @@
-"""The queue of tasks of which the module has not been told yet: round robin between connections. No I/O.
+"""Queue of new tasks that have not been submitted to the scheduler yet: round robin over connections. No I/O.
 
-The connections take turns, so that a loud one takes no other's place; what came on one stays in its order. Worth plays no
-part: the module places the dearest of a batch first, and only a few turns lie between coming and being told.
+Connections take turns, so a busy connection does not delay the others; items of one connection stay in order. A task's
+worth is not considered here: the scheduler places the tasks of a batch by worth, and a task waits in this queue for
+a few turns of the loop only.
 """
 
 from __future__ import annotations
@@ -13,28 +14,28 @@
 
 
 class FairQueue(Generic[T]):
-    """What waits, by the connection on which it came, each with the time at which it did."""
+    """Queued items by the connection on which they arrived, each with its arrival time in ms."""
 
     def __init__(self) -> None:
-        self._waiting: dict[object, deque[tuple[float, T]]] = {}  # the connection whose turn it is first
+        self._queues: dict[object, deque[tuple[float, T]]] = {}  # the connection whose turn is next comes first
 
     def __bool__(self) -> bool:
-        return bool(self._waiting)
+        return bool(self._queues)
 
     @property
-    def since(self) -> float:
-        """When the one came that has waited for longest; there must be one."""
-        return min(line[0][0] for line in self._waiting.values())
+    def oldest_arrival(self) -> float:
+        """Arrival time of the item that has waited longest; the queue must not be empty."""
+        return min(queue[0][0] for queue in self._queues.values())
 
-    def put(self, link: object, item: T, now: float) -> None:
-        """To the end of what came on that connection."""
-        self._waiting.setdefault(link, deque()).append((now, item))
+    def put(self, connection: object, item: T, now: float) -> None:
+        """Append an item to the queue of that connection."""
+        self._queues.setdefault(connection, deque()).append((now, item))
 
     def pop(self) -> T:
-        """The next one in turn; there must be one."""
-        link = next(iter(self._waiting))
-        line = self._waiting.pop(link)
-        _, item = line.popleft()
-        if line:
-            self._waiting[link] = line
+        """Remove and return the next item in turn; the queue must not be empty."""
+        connection = next(iter(self._queues))
+        queue = self._queues.pop(connection)
+        _, item = queue.popleft()
+        if queue:
+            self._queues[connection] = queue
         return item
--- a/sprucepost/node/framing.py
+++ b/sprucepost/node/framing.py
@@ -1,21 +1,26 @@
-"""What both sides share: bounds of a message and a close, the one error, and how bytes become messages. No I/O."""
+"""Splitting of byte streams into messages, shared by both codecs: size limit, error and incremental decoder. No I/O."""
 
 from __future__ import annotations
 
 from typing import Generic, TypeVar
 
-LINGER_MS = 250.0  # a close waits so long for the peer's end: what crosses it does so within 50 ms, and resets nothing
-MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, its length or line feed included
+# How long a closed connection waits for the peer's end of stream. What crosses the close arrives within 50 ms, and it must
+# not meet a socket that is closed already, which would reset the connection.
+LINGER_MS = 250.0
+MAX_MESSAGE_BYTES = 16 * 1024  # one message, including its length field or line feed
 
 M = TypeVar("M")
 
 
 class Malformed(Exception):
-    """What came is no message; nothing that follows on that connection can be read."""
+    """The bytes are not a valid message, so nothing that follows on the connection can be decoded."""
 
 
 class Framing(Generic[M]):
-    """Bytes in, in any pieces; messages out, until one cannot be read: then ``error`` is set, and nothing more is taken."""
+    """Incremental decoder: takes bytes in pieces of any size and returns complete messages.
+
+    After a message that cannot be decoded ``error`` is set, and no more input is accepted.
+    """
 
     def __init__(self) -> None:
         self._data = bytearray()
@@ -23,31 +28,34 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes of a message that has not come whole."""
+        """Bytes received of a message that is still incomplete."""
         return len(self._data)
 
     def feed(self, data: bytes) -> list[M]:
-        """The messages that are whole now, in order."""
+        """Add received bytes and return the messages that are complete now, in order."""
         if self.error is not None:
             return []
         self._data += data
-        found: list[M] = []
-        at = 0
+        messages: list[M] = []
+        start = 0
         try:
-            while (end := self._message_end(self._data, at)) is not None:
-                found.append(self._parse(bytes(self._data[at:end])))
-                at = end
+            while (end := self._message_end(self._data, start)) is not None:
+                messages.append(self._parse(bytes(self._data[start:end])))
+                start = end
         except Malformed as error:
             self.error = error
             self._data.clear()
-            return found
-        del self._data[:at]
-        return found
+            return messages
+        del self._data[:start]
+        return messages
 
     def _message_end(self, data: bytearray, at: int) -> int | None:
-        """Where the message that begins there ends; None while it is not whole, Malformed where it is too long."""
+        """Return where the message that starts at that offset ends, or None if it is incomplete.
+
+        Raises Malformed if the message is too long.
+        """
         raise NotImplementedError
 
     def _parse(self, data: bytes) -> M:
-        """One whole message."""
+        """Decode one complete message."""
         raise NotImplementedError
--- a/sprucepost/node/owners.py
+++ b/sprucepost/node/owners.py
@@ -1,25 +1,28 @@
-"""Owners' connections: set-ups come in, answers and releases go out.
+"""Connections of owners: set-ups arrive on them, answers and releases are sent on them.
 
-A connection is *proven* once it has brought a set-up that could be taken. One that is not, and carries no open set-up, is
-closed soon: whoever opens hundreds and says nothing, or sends half a message, holds descriptors that the usual owners
-need.
+A connection is *proven* once it has brought a set-up that could be admitted. An unproven connection without an open set-up
+is closed early: a peer that opens hundreds of connections and sends nothing, or half a message, holds descriptors that
+other owners need.
 
-A standing task belongs to no connection, but its release must find one, and an owner opens none to be told. So a connection
-is *needed* while a task that it brought stands, or while it is the only one of an owner for whom one stands; it is closed
-neither for being idle nor to make room. What such a connection costs is bounded: owners hold a third of the descriptors.
+A placed task belongs to no connection, but its release needs one, and an owner does not open a connection to receive it.
+So a connection is *needed* while a task that it brought is placed, or while it is the only connection of an owner that
+has a placed task; it is closed neither for being idle nor to free a descriptor. The cost of such connections is bounded:
+the owners' share is a third of the descriptors.
 
 ============================= ================================== ==============================================
-a connection                  idle                               when a newcomer finds no room
+a connection                  when idle                          when a new connection needs a descriptor
 ============================= ================================== ==============================================
-with an open set-up           stays                              stays
-needed                        stays                              stays; the newcomer is turned away
-proven                        closed after the idle time         goes after the unproven ones, longest idle first
-unproven                      closed after ``UNPROVEN_TIMEOUT_MS``       goes first
+with an open set-up           stays open                         stays open
+needed                        stays open                         stays open; the new connection is rejected
+proven                        closed after the idle timeout      closed after the unproven ones, longest idle
+                                                                 first
+unproven                      closed after                       closed first
+                              ``UNPROVEN_TIMEOUT_MS``
 ============================= ================================== ==============================================
 
-None is closed before it has been looked at once more: what lies there unread has been taken, by the platform's word. What
-crosses the close on its way is sent again by its owner, who must see the end and not a reset, which may overtake
-what we sent before: so a close lingers.
+Each connection is polled once more before it is closed: the platform counts bytes that have arrived unread as received.
+What crosses the close is sent again by its owner. For that the owner must see an end of stream and not a reset, which may
+overtake data sent earlier, so a close lingers.
 """
 
 from __future__ import annotations
@@ -36,59 +39,59 @@
 from sprucepost.node.parsing import InvalidSetUp, SetUpParser
 from sprucepost.node.tasks import CAUSE_REFUSED, RELEASE_RETENTION_MS, Tasks
 
-UNPROVEN_TIMEOUT_MS = 1500.0  # for a connection that says nothing useful: half of the 3 s in which it is owed a close
-ARRIVAL_GRACE_MS = 50.0  # what was on its way when a connection was taken, or crosses its close, comes within that
-MAX_UNREAD_BYTES = 16 * MAX_MESSAGE_BYTES  # bytes that an owner may leave unread
-FINISH_LOOK_MS = 5.0  # between looks whether all connections have ended
+UNPROVEN_TIMEOUT_MS = 1500.0  # half of the 3 s within which such a connection must be closed
+ARRIVAL_GRACE_MS = 50.0  # data in flight when a connection is accepted, or crossing its close, arrives within that time
+MAX_UNREAD_BYTES = 16 * MAX_MESSAGE_BYTES  # unsent output after which an owner that does not read is disconnected
+CLOSE_POLL_MS = 5.0  # interval of the checks whether all connections have ended
 
 
 class OwnerLink:
-    """One owner's connection."""
+    """Connection of one owner."""
 
     def __init__(self, owners: Owners, transport: Transport, now: float) -> None:
         self._owners, self.transport = owners, transport
         self.decoder = Decoder()
-        self.owner_address = transport.peer.rpartition(":")[0]  # an owner is known by the host that it calls from
-        self.open: set[str] = set()  # set-ups without an answer
-        self.placed_tasks = 0  # tasks that it brought and that still stand
-        self.has_sent_message = False  # whether a whole message has come
+        self.owner_address = transport.peer.rpartition(":")[0]  # owners are told apart by the address they connect from
+        self.open: set[str] = set()  # ids of set-ups without an answer
+        self.placed_tasks = 0  # tasks that it brought and that are still placed
+        self.has_sent_message = False  # whether a complete message has arrived
         self.proven = False
-        self.used = now  # when something useful last passed
-        self.partial_since: float | None = None
-        # Releases that may not have gone out whole: with how many bytes sent they have, id, cause.
-        self._releases: deque[tuple[int, str, int]] = deque()
+        self.used = now  # time of the last admitted set-up or of the last write, in ms of the loop's clock
+        self.partial_since: float | None = None  # since when an incomplete message has been buffered
+        # Releases that may not have been sent completely: number of bytes sent once they have been, task id, cause.
+        self._unconfirmed_releases: deque[tuple[int, str, int]] = deque()
 
     @property
     def closed(self) -> bool:
         return self.transport.closed
 
     def add_placed_task(self) -> None:
-        """A task that it brought stands from now on."""
+        """Count a task placed for this connection."""
         self.placed_tasks += 1
         self._owners.placed_by_owner[self.owner_address] += 1
 
     def remove_placed_task(self) -> None:
-        """Such a task is over."""
+        """Stop counting such a task, which has ended."""
         self.placed_tasks -= 1
         self._owners.placed_by_owner[self.owner_address] -= 1
         if not self._owners.placed_by_owner[self.owner_address]:
             del self._owners.placed_by_owner[self.owner_address]
 
     def input_read(self) -> bool:
-        """Whether nothing of its owner was left unread by the latest look: a give-up may come on any connection."""
+        """Return whether the latest poll left no input of this owner unread: it may cancel on any of its connections."""
         return self._owners.input_read(self.owner_address)
 
     def discard_set_up(self, sid: str) -> None:
-        """That set-up is owed no answer any more."""
+        """Drop an open set-up that needs no answer any more."""
         self.open.discard(sid)
 
     def answer(self, sid: str, text: str) -> None:
-        """The task stands."""
+        """Send the answer: the task is placed."""
         self.open.discard(sid)
         self._send(encode(Kind.ANSWER, sid, [(Code.DESCRIPTION, text.encode("utf-8"))]))
 
     def refuse(self, sid: str, cause: int, stay_away_ms: float) -> None:
-        """The task is refused or failed, by its cause."""
+        """Tell the owner that the task was refused or has failed; ``stay_away_ms`` asks it to back off."""
         self.open.discard(sid)
         parameters = [(Code.CAUSE, bytes([cause]))]
         if stay_away_ms > 0:
@@ -96,18 +99,21 @@
         self._send(encode(Kind.RELEASE, sid, parameters))
 
     def release(self, sid: str, cause: int) -> None:
-        """The task is over."""
+        """Tell the owner that its placed task has ended."""
         if not self.transport.buffered:
-            self._releases.clear()
+            self._unconfirmed_releases.clear()
         self.refuse(sid, cause, 0.0)
-        self._releases.append((self.transport.written, sid, cause))
+        self._unconfirmed_releases.append((self.transport.written, sid, cause))
         self._owners.log.task(sid, "released", owner=self.transport.peer)
 
     def unsent_releases(self) -> list[tuple[str, int]]:
-        """Those that its owner cannot have read, since not all of their bytes went out."""
-        return [(sid, cause) for mark, sid, cause in self._releases if mark > self.transport.sent]
+        """Return task id and cause of releases that the owner cannot have read, since they were not sent completely."""
+        return [
+            (sid, cause) for end_offset, sid, cause in self._unconfirmed_releases if end_offset > self.transport.sent
+        ]
 
     def answer_health_check(self, sid: str, passed: bool) -> None:
+        """Reply to a health check of the owner."""
         self._send(encode(Kind.TESTED, sid, [(Code.CAUSE, bytes([passed]))]))
 
     def _send(self, data: bytes) -> None:
@@ -115,54 +121,57 @@
             return
         self.used = self._owners.loop.now()
         self.transport.write(data)
-        if (
-            self.transport.buffered > MAX_UNREAD_BYTES
-        ):  # not now: the module's other answers of this batch are still to come
+        if self.transport.buffered > MAX_UNREAD_BYTES:  # deferred: other answers of this batch follow
             self._owners.loop.call_soon(lambda: self._owners.disconnect(self, "unread"))
 
 
-def _least_useful(link: OwnerLink) -> tuple[bool, float]:
-    """The order in which idle connections make room: those that brought nothing useful first, the longest idle first."""
+def _closing_order(link: OwnerLink) -> tuple[bool, float]:
+    """Sort key of idle connections to close: unproven ones first, then the longest idle first."""
     return link.proven, link.used
 
 
 class Owners:
-    """All owners' connections."""
+    """Connections of all owners."""
 
     def __init__(
         self,
         loop: Loop,
         listener: Listener,
         tasks: Tasks,
-        words: SetUpParser,
+        parser: SetUpParser,
         descriptors: Descriptors,
-        most: int,
-        most_open: int,
+        max_connections: int,
+        max_open_tasks: int,
         idle_ms: float,
         log: Log,
         counters: Counter[str],
     ) -> None:
-        self.loop, self._tasks, self._words, self.log, self.counters = loop, tasks, words, log, counters
-        self._descriptors, self._most, self._most_open, self._idle = descriptors, most, most_open, idle_ms
-        self.free_other_connection: Callable[[], bool] = lambda: False  # have somebody else give up one that is idle
+        self.loop, self._tasks, self._parser, self.log, self.counters = loop, tasks, parser, log, counters
+        self._descriptors, self._max_connections, self._max_open_tasks, self._idle_ms = (
+            descriptors,
+            max_connections,
+            max_open_tasks,
+            idle_ms,
+        )
+        self.free_other_connection: Callable[[], bool] = lambda: False  # closes an idle connection to a host
         self.links: dict[OwnerLink, None] = {}
-        self.placed_by_owner: Counter[str] = Counter()  # tasks that stand, by whose they are
-        self._behind: dict[OwnerLink, None] = {}  # of which a read may have left something behind
-        self.fails_health_checks = False  # tests fail, so that nothing more is sent
-        self.refuses_set_ups = False  # what comes now is refused
-        # Releases that found no connection: until, whose, id, cause.
-        self._unsent: list[tuple[float, str, str, int]] = []
-        self._acceptor = Acceptor(loop, listener, self._take)
+        self.placed_by_owner: Counter[str] = Counter()  # number of placed tasks by owner address
+        self._unread_links: dict[OwnerLink, None] = {}  # a read may have left input behind on these
+        self.fails_health_checks = False  # owners then stop sending set-ups
+        self.refuses_set_ups = False  # set-ups that arrive now are refused
+        # Releases without a connection to send them on: expiry, owner address, task id, cause.
+        self._pending_releases: list[tuple[float, str, str, int]] = []
+        self._acceptor = Acceptor(loop, listener, self._accept_connection)
 
     # Connections
 
     @property
     def accepts_failed(self) -> int:
-        """How often the system had no descriptor for a connection that waited to be taken."""
+        """How often the system had no descriptor to accept a waiting connection."""
         return self._acceptor.short
 
-    def _take(self, sock: Sock) -> None:
-        if not self._find_room():
+    def _accept_connection(self, sock: Sock) -> None:
+        if not self._free_slot():
             self.counters["owners_turned_away"] += 1
             sock.close(reset=True)
             return
@@ -170,89 +179,97 @@
         link = OwnerLink(self, Transport(self.loop, sock), self.loop.now())
         link.transport.linger_ms = LINGER_MS
         self.links[link] = None
-        link.transport.on_data = lambda data: self._data(link, data)
+        link.transport.on_data = lambda data: self._on_data(link, data)
         link.transport.on_end = lambda: self.disconnect(link, "ended")
-        link.transport.on_lost = lambda error: self._forget(link)
-        link.transport.on_late = lambda data: self._late(link, data)
+        link.transport.on_lost = lambda error: self._remove(link)
+        link.transport.on_late = lambda data: self._on_late_data(link, data)
         link.transport.start()
-        if self.loop.looking:  # what the newcomer has said already belongs to the look
+        if self.loop.looking:  # input that has arrived on the new connection belongs to this poll
             link.transport.look()
-        self._await_room()
+        self._delay_accepting()
+
+    def _free_slot(self) -> bool:
+        """Return whether a new connection may be accepted, after closing an idle one if descriptors are short.
 
-    def _find_room(self) -> bool:
-        """A place for a newcomer: where descriptors are short, that of a client that has brought nothing useful in its time,
-        else of an idle connection to a host, else of any idle client."""
-        if len(self.links) >= self._most:
-            return self._make_room()
+        Unproven connections past their grace time are closed first, then idle connections to hosts, then any idle
+        connection of an owner.
+        """
+        if len(self.links) >= self._max_connections:
+            return self._close_idle()
         return (
             self._descriptors.spare() > 0
-            or self._make_room(lambda link: not (link.proven or self._arriving(link)))
+            or self._close_idle(lambda link: not (link.proven or self._in_arrival_grace(link)))
             or self.free_other_connection()
-            or self._make_room()
+            or self._close_idle()
         )
 
-    def _arriving(self, link: OwnerLink) -> bool:
-        """Whether what it was opened for may still be on its way."""
+    def _in_arrival_grace(self, link: OwnerLink) -> bool:
+        """Return whether the input for which the connection was opened may still be in flight."""
         return self.loop.now() - link.used < ARRIVAL_GRACE_MS
 
-    def _await_room(self) -> None:
-        """Where the next newcomer could only have the place of one that has just come, it waits in the backlog: who comes
-        back the moment it is closed would else push out usual clients before their set-up has arrived. Clients that hold
-        less than their share need not wait: connections to hosts make room for them."""
+    def _delay_accepting(self) -> None:
+        """Stop accepting for a while if the next connection could only replace one that has just been accepted.
+
+        The next connection waits in the listen backlog. Otherwise peers that reconnect as soon as they are closed
+        would displace other owners before their set-ups have arrived. While owners hold less than their share of the
+        descriptors there is no wait, because idle connections to hosts are closed for them.
+        """
         within_share = len(self.links) < self._descriptors.share
-        if len(self.links) < self._most and (within_share or self._descriptors.spare() > 0):
+        if len(self.links) < self._max_connections and (within_share or self._descriptors.spare() > 0):
             return
         idle = [link for link in self.links if not (link.open or link.placed_tasks)]
         if not idle:
             return
-        wait = min(idle, key=_least_useful).used + ARRIVAL_GRACE_MS - self.loop.now()
+        wait = min(idle, key=_closing_order).used + ARRIVAL_GRACE_MS - self.loop.now()
         if wait > 0:
             self.counters["owners_awaited"] += 1
             self._acceptor.rest(wait)
 
-    def _make_room(self, may_go: Callable[[OwnerLink], bool] = lambda link: True) -> bool:
-        """Close an idle connection, one of those that may go; False where there is none."""
-        for _ in range(2):  # what is found unread the first time may be answered by the second
-            needed = self._needed()
-            idle = [link for link in self.links if not (link.open or link in needed) and may_go(link)]
-            for link in sorted(idle, key=_least_useful):
+    def _close_idle(self, may_close: Callable[[OwnerLink], bool] = lambda link: True) -> bool:
+        """Close an idle connection for which ``may_close`` is true; return False if there is none."""
+        for _ in range(2):  # input that the first round finds may have been answered by the second
+            needed = self._needed_links()
+            idle = [link for link in self.links if not (link.open or link in needed) and may_close(link)]
+            for link in sorted(idle, key=_closing_order):
                 if not link.transport.look():
                     self.disconnect(link, "room")
                 if link not in self.links:
                     return True
         return False
 
-    def _needed(self) -> set[OwnerLink]:
-        """The connections on which releases are to go that are still to come."""
-        spoken = Counter(link.owner_address for link in self.links if link.has_sent_message)
+    def _needed_links(self) -> set[OwnerLink]:
+        """Return the connections that are kept open for releases still to be sent."""
+        per_owner = Counter(link.owner_address for link in self.links if link.has_sent_message)
         return {
             link
             for link in self.links
             if link.placed_tasks
             or (
-                link.has_sent_message and spoken[link.owner_address] == 1 and link.owner_address in self.placed_by_owner
+                link.has_sent_message
+                and per_owner[link.owner_address] == 1
+                and link.owner_address in self.placed_by_owner
             )
         }
 
     def disconnect(self, link: OwnerLink, why: str) -> None:
-        """End the connection; what was open on it is given up."""
+        """Close the connection and cancel its open set-ups."""
         if link not in self.links:
             return
         self.counters[f"owner_{why}"] += 1
         if why in ("ended", "idle", "stopped"):
             self._descriptors.end(link.transport)
         elif why in ("room", "silent"):
-            if not link.transport.buffered:  # its descriptor is wanted, or it has said nothing: no lingering
+            if not link.transport.buffered:  # its descriptor is needed, or it sent nothing useful: no lingering
                 link.transport.linger_ms = 0.0
             self._descriptors.end(link.transport)
         else:
             link.transport.abort()
-        self._forget(link)
+        self._remove(link)
 
-    def _forget(self, link: OwnerLink) -> None:
+    def _remove(self, link: OwnerLink) -> None:
         if self.links.pop(link, self) is not None:
             return
-        self._behind.pop(link, None)
+        self._unread_links.pop(link, None)
         if link.open:
             sids, link.open = sorted(link.open), set()
             self._tasks.owner_disconnected(sids)
@@ -261,58 +278,64 @@
                 self.release(link, sid, cause)
 
     def tick(self) -> None:
-        """Close what is of no use."""
-        now, needed = self.loop.now(), self._needed()
+        """Close connections that are idle, unproven or stuck in a message; drop expired releases."""
+        now, needed = self.loop.now(), self._needed_links()
         for link in list(self.links):
             if link.partial_since is not None and now - link.partial_since > UNPROVEN_TIMEOUT_MS:
                 self.disconnect(link, "cut")
-            elif link.open or link in needed or now - link.used <= (self._idle if link.proven else UNPROVEN_TIMEOUT_MS):
+            elif (
+                link.open
+                or link in needed
+                or now - link.used <= (self._idle_ms if link.proven else UNPROVEN_TIMEOUT_MS)
+            ):
                 continue
             elif not link.transport.look():
                 self.disconnect(link, "idle" if link.proven else "silent")
-        self._unsent = [item for item in self._unsent if item[0] > now]
+        self._pending_releases = [item for item in self._pending_releases if item[0] > now]
 
     def stop_listening(self) -> None:
-        """Take no more connections; those that wait to be taken are."""
+        """Accept the connections that wait in the backlog, then no more."""
         self._acceptor.drain(self._acceptor.close)
 
     def close_connections(self) -> Co[None]:
-        """End all connections: what lies there is refused, what was written goes out, within ``LINGER_MS``."""
+        """Close all connections: unread set-ups are refused and buffered output is sent, within ``LINGER_MS``."""
         links = list(self.links)
         for link in links:
             link.transport.look()
             self.disconnect(link, "stopped")
         while any(not link.transport.gone for link in links):
-            yield from sleep(FINISH_LOOK_MS)
+            yield from sleep(CLOSE_POLL_MS)
 
     # Messages
 
-    def input_read(self, whose: str) -> bool:
-        """Whether the latest look has left nothing unread on that owner's connections."""
-        for link in [link for link in self._behind if not link.transport.behind]:
-            del self._behind[link]
-        return all(link.owner_address != whose for link in self._behind)
+    def input_read(self, owner_address: str) -> bool:
+        """Return whether the latest poll left nothing unread on the connections of that owner."""
+        for link in [link for link in self._unread_links if not link.transport.behind]:
+            del self._unread_links[link]
+        return all(link.owner_address != owner_address for link in self._unread_links)
+
+    def _on_late_data(self, link: OwnerLink, data: bytes) -> None:
+        """Handle input that was in flight when the connection was closed.
 
-    def _late(self, link: OwnerLink, data: bytes) -> None:
-        """What was on its way when we ended the connection. A set-up is sent again by its owner, but what is given up or
-        ended there counts."""
+        The owner sends a set-up again, but not a release, so releases are handled.
+        """
         for message in link.decoder.feed(data):
             if message.kind == Kind.RELEASE:
                 self._tasks.owner_cancelled(message.task)
 
-    def _data(self, link: OwnerLink, data: bytes) -> None:
+    def _on_data(self, link: OwnerLink, data: bytes) -> None:
         if link.transport.behind:
-            self._behind[link] = None
+            self._unread_links[link] = None
         messages = link.decoder.feed(data)
         if messages:
-            link.partial_since = None  # a busy owner's reads may all end within a message, each another one
+            link.partial_since = None  # reads from a busy owner may each end within another message
             if not link.has_sent_message:
                 link.has_sent_message = True
-                self._send_unsent(link)
+                self._send_pending_releases(link)
         for message in messages:
             if link.closed:
                 return
-            self._message(link, message)
+            self._on_message(link, message)
         if link.closed:
             return
         if link.decoder.error is not None:
@@ -323,41 +346,41 @@
         elif link.partial_since is None:
             link.partial_since = self.loop.now()
 
-    def _message(self, link: OwnerLink, message: Message) -> None:
+    def _on_message(self, link: OwnerLink, message: Message) -> None:
         if message.kind == Kind.SETUP:
-            self._set_up(link, message)
+            self._on_set_up(link, message)
         elif message.kind == Kind.RELEASE:
             self._tasks.owner_cancelled(message.task)
         elif message.kind == Kind.TEST:
             link.answer_health_check(message.task, not self.fails_health_checks)
 
-    def _set_up(self, link: OwnerLink, message: Message) -> None:
+    def _on_set_up(self, link: OwnerLink, message: Message) -> None:
         try:
-            setup = self._words.parse(message)
-        except InvalidSetUp as refused:
+            setup = self._parser.parse(message)
+        except InvalidSetUp as error:
             self.counters["invalid"] += 1
-            self.log("owner_invalid", peer=link.transport.peer, task=message.task, why=str(refused))
-            link.refuse(message.task, refused.cause, 0.0)
+            self.log("owner_invalid", peer=link.transport.peer, task=message.task, why=str(error))
+            link.refuse(message.task, error.cause, 0.0)
             return
-        if not setup.current_host and (self.refuses_set_ups or self._tasks.ledger.open >= self._most_open):
+        if not setup.current_host and (self.refuses_set_ups or self._tasks.ledger.open >= self._max_open_tasks):
             self.counters["turned_away"] += 1
             link.refuse(message.task, CAUSE_REFUSED, 0.0)
             return
-        taken = self._tasks.admit(setup, link, link.transport.waited_ms)
-        if taken is SetUpResult.DUPLICATE_ID:
+        result = self._tasks.admit(setup, link, link.transport.waited_ms)
+        if result is SetUpResult.DUPLICATE_ID:
             self.log("owner_repeats_id", peer=link.transport.peer, task=message.task)
             self.disconnect(link, "malformed")
             return
         link.used = self.loop.now()
-        if not setup.current_host and taken is not SetUpResult.CANCELLED:
+        if not setup.current_host and result is not SetUpResult.CANCELLED:
             link.open.add(setup.sid)
-        if not link.proven and taken is not SetUpResult.HOST_UNKNOWN:
+        if not link.proven and result is not SetUpResult.HOST_UNKNOWN:
             link.proven = True
 
     # Releases
 
     def release(self, link: OwnerPort, sid: str, cause: int) -> None:
-        """On its own connection, else on another of that owner, else on the next on which it says something."""
+        """Send the release on this connection, else on another of that owner, else on the next one that it uses."""
         assert isinstance(link, OwnerLink)
         if link.closed:
             others = [
@@ -367,14 +390,14 @@
             ]
             if not others:
                 self.counters["releases_waiting"] += 1
-                self.log.task(sid, "release_waits", owner=link.owner_address, why="no connection of its owner")
-                self._unsent.append((self.loop.now() + RELEASE_RETENTION_MS, link.owner_address, sid, cause))
+                self.log.task(sid, "release_waits", owner=link.owner_address, why="no connection to its owner")
+                self._pending_releases.append((self.loop.now() + RELEASE_RETENTION_MS, link.owner_address, sid, cause))
                 return
             link = max(others, key=lambda other: (other.proven, other.used))
         link.release(sid, cause)
 
-    def _send_unsent(self, link: OwnerLink) -> None:
-        mine = [item for item in self._unsent if item[1] == link.owner_address]
-        self._unsent = [item for item in self._unsent if item[1] != link.owner_address]
-        for _, _, sid, cause in mine:
+    def _send_pending_releases(self, link: OwnerLink) -> None:
+        of_owner = [item for item in self._pending_releases if item[1] == link.owner_address]
+        self._pending_releases = [item for item in self._pending_releases if item[1] != link.owner_address]
+        for _, _, sid, cause in of_owner:
             link.release(sid, cause)
--- a/sprucepost/node/parsing.py
+++ b/sprucepost/node/parsing.py
@@ -1,4 +1,4 @@
-"""What an owner's set-up asks for, checked, and in the module's terms."""
+"""Parsing and validation of owners' set-ups and of the text fields in hosts' messages, into the scheduler's types."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from sprucepost.node.binary import Code, Message
 from sprucepost.node.framing import MAX_MESSAGE_BYTES
 
-NAME_MOST = 128  # characters of a name, a key or a service
-ROOM_FOR_FIELDS = 1024  # bytes that a host's line needs beside the description
-NO_ID = "0" * 16
-MISSING, INVALID = 96, 100  # causes: a parameter that must be there is not; one that cannot be what it says
+MAX_NAME_CHARS = 128  # of a name, a key or a service
+OFFER_FIELDS_BYTES = 1024  # reserved in an offer to a host for the fields beside the description
+EMPTY_ID = "0" * 16
+CAUSE_MISSING, CAUSE_INVALID = 96, 100  # a required parameter is missing; a parameter has an invalid value
 
 
 class InvalidSetUp(Exception):
-    """The set-up cannot be taken, whoever asks and whenever."""
+    """The set-up is invalid and can never be admitted; ``cause`` is sent to the owner."""
 
     def __init__(self, cause: int, why: str) -> None:
         super().__init__(why)
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
-    """One set-up that may be taken."""
+    """A valid set-up."""
 
     sid: str
     name: str
@@ -36,96 +36,109 @@
     cores: float
     memory: float
     time_left_ms: float
-    key: str  # of keyed classes; "" where there is none
+    key: str  # idempotency key of keyed classes; "" if there is none
     description: str  # the description as JSON
-    current_host: str  # the host that holds the task already; "" for none
-    tenant: int = 0  # by its place in the settings; 0 where the deployment has none
+    current_host: str  # the host that runs the task already; "" if there is none
+    tenant: int = 0  # index in the settings; 0 if the deployment has no tenants
 
-    def request(self, number: int, left: float) -> i.TaskRequest:
-        """The task for the module."""
+    def request(self, number: int, time_left_ms: float) -> i.TaskRequest:
+        """Return the task as a request to the scheduler."""
         return i.TaskRequest(
-            number, self.task_class, self.service, self.cores, self.memory, left, self.tenant, task=self.name
+            number, self.task_class, self.service, self.cores, self.memory, time_left_ms, self.tenant, task=self.name
         )
 
 
 class SetUpParser:
-    """Reads set-ups for one deployment."""
+    """Parses set-ups for one deployment's settings."""
 
     def __init__(self, settings: i.Settings) -> None:
         self._classes = {cls.name: n for n, cls in enumerate(settings.classes)}
         self._tenants = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
         self._settings = settings
-        self._cores = max(kind.cores for kind in settings.kinds) * settings.accepts_cores
-        self._memory = max(kind.memory for kind in settings.kinds) * settings.accepts_memory
+        self._max_cores = max(kind.cores for kind in settings.kinds) * settings.accepts_cores
+        self._max_memory = max(kind.memory for kind in settings.kinds) * settings.accepts_memory
 
     def parse(self, message: Message) -> SetUp:
-        """What the message asks for; InvalidSetUp where that is no task of this deployment."""
-        if message.task == NO_ID:  # hosts cannot read such a line, and end the connection with all that is open on it
-            raise InvalidSetUp(MISSING, "no id")
+        """Return the parsed set-up; raises InvalidSetUp if the message is not a valid task of this deployment."""
+        if message.task == EMPTY_ID:  # hosts reject such a message and close the connection, with every set-up on it
+            raise InvalidSetUp(CAUSE_MISSING, "the task id is all zeros")
         class_name = _text(message, Code.CLASS)
         if class_name not in self._classes:
-            raise InvalidSetUp(INVALID, f"class {class_name!r} is not known")
-        number = self._classes[class_name]
-        cls = self._settings.classes[number]
+            raise InvalidSetUp(CAUSE_INVALID, f"unknown task class {class_name!r}")
+        class_index = self._classes[class_name]
+        cls = self._settings.classes[class_index]
         figures = _figures(_text(message, Code.FIGURES, 1024))
         cores, memory = _number(figures, "cores"), _number(figures, "memory")
-        if not (0 <= cores <= self._cores and 0 <= memory <= self._memory) or cores + memory <= 0:
-            raise InvalidSetUp(INVALID, "no host has that many cores or that much memory")
-        service, at = figures.get("service", ""), figures.get("at", "")
-        if not service or len(service) > NAME_MOST or len(at) > NAME_MOST:
-            raise InvalidSetUp(INVALID, "a service's or host's name that is none")
-        left = 0.0
-        if not at or Code.LEFT in message.parameters:
-            left = _finite(_text(message, Code.LEFT))
-            if not (0 < left <= 2 * cls.deadline or at):
-                raise InvalidSetUp(INVALID, f"an owner that waits {left:g} ms")
+        if not (0 <= cores <= self._max_cores and 0 <= memory <= self._max_memory) or cores + memory <= 0:
+            raise InvalidSetUp(CAUSE_INVALID, "cores or memory are negative, both zero, or more than any host accepts")
+        service, current_host = figures.get("service", ""), figures.get("at", "")
+        if not service or len(service) > MAX_NAME_CHARS or len(current_host) > MAX_NAME_CHARS:
+            raise InvalidSetUp(CAUSE_INVALID, "the service name is empty, or the service or host name is too long")
+        time_left_ms = 0.0
+        if not current_host or Code.LEFT in message.parameters:
+            time_left_ms = _finite(_text(message, Code.LEFT))
+            if not (0 < time_left_ms <= 2 * cls.deadline or current_host):
+                raise InvalidSetUp(CAUSE_INVALID, f"time left of {time_left_ms:g} ms is out of range")
         tenant = 0
         if self._tenants:
-            whose = _text(message, Code.TENANT)
-            if whose not in self._tenants:
-                raise InvalidSetUp(INVALID, f"tenant {whose!r} is not known")
-            tenant = self._tenants[whose]
+            tenant_name = _text(message, Code.TENANT)
+            if tenant_name not in self._tenants:
+                raise InvalidSetUp(CAUSE_INVALID, f"unknown tenant {tenant_name!r}")
+            tenant = self._tenants[tenant_name]
         name = _text(message, Code.NAME)
         key = _text(message, Code.KEY) if Code.KEY in message.parameters else ""
         if cls.effect is i.Effect.KEYED and not key:
-            raise InvalidSetUp(MISSING, "a task of a keyed class without a key")
+            raise InvalidSetUp(CAUSE_MISSING, "a task of a keyed class has no key")
         try:
-            text = jsonl.quoted(message.parameters.get(Code.DESCRIPTION, b"").decode("utf-8"))
+            description = jsonl.quoted(message.parameters.get(Code.DESCRIPTION, b"").decode("utf-8"))
         except UnicodeDecodeError:
-            raise InvalidSetUp(INVALID, "a description that is no text") from None
-        if Code.DESCRIPTION not in message.parameters and not at:
-            raise InvalidSetUp(MISSING, "no description")
-        if len(text.encode("utf-8")) > MAX_MESSAGE_BYTES - ROOM_FOR_FIELDS:
-            raise InvalidSetUp(INVALID, "a description that no line to a host can hold")
-        return SetUp(message.task, name, class_name, number, service, cores, memory, left, key, text, at, tenant)
+            raise InvalidSetUp(CAUSE_INVALID, "the description is not valid UTF-8") from None
+        if Code.DESCRIPTION not in message.parameters and not current_host:
+            raise InvalidSetUp(CAUSE_MISSING, "the description is missing")
+        if len(description.encode("utf-8")) > MAX_MESSAGE_BYTES - OFFER_FIELDS_BYTES:
+            raise InvalidSetUp(CAUSE_INVALID, "the description is too long for a message to a host")
+        return SetUp(
+            message.task,
+            name,
+            class_name,
+            class_index,
+            service,
+            cores,
+            memory,
+            time_left_ms,
+            key,
+            description,
+            current_host,
+            tenant,
+        )
 
 
-def _text(message: Message, code: Code, most: int = NAME_MOST) -> str:
+def _text(message: Message, code: Code, max_chars: int = MAX_NAME_CHARS) -> str:
     value = message.parameters.get(code)
     if value is None:
-        raise InvalidSetUp(MISSING, f"parameter {code.value} is missing")
+        raise InvalidSetUp(CAUSE_MISSING, f"parameter {code.value} is missing")
     try:
         text = value.decode("utf-8")
     except UnicodeDecodeError:
-        raise InvalidSetUp(INVALID, f"parameter {code.value} is no text") from None
-    if not text or len(text) > most or not text.isprintable():
-        raise InvalidSetUp(INVALID, f"parameter {code.value} is empty, too long or not printable")
+        raise InvalidSetUp(CAUSE_INVALID, f"parameter {code.value} is not valid UTF-8") from None
+    if not text or len(text) > max_chars or not text.isprintable():
+        raise InvalidSetUp(CAUSE_INVALID, f"parameter {code.value} is empty, too long or not printable")
     return text
 
 
 def _figures(text: str) -> dict[str, str]:
-    found: dict[str, str] = {}
+    figures: dict[str, str] = {}
     for part in text.split(";"):
         name, colon, value = part.partition(":")
-        if not colon or name in found:
-            raise InvalidSetUp(INVALID, "figures that are not name:value, each once")
-        found[name] = value
-    return found
+        if not colon or name in figures:
+            raise InvalidSetUp(CAUSE_INVALID, "figures are not name:value pairs with unique names")
+        figures[name] = value
+    return figures
 
 
 def _number(figures: dict[str, str], name: str) -> float:
     if name not in figures:
-        raise InvalidSetUp(MISSING, f"no figure {name}")
+        raise InvalidSetUp(CAUSE_MISSING, f"figure {name} is missing")
     return _finite(figures[name])
 
 
@@ -133,14 +146,14 @@
     try:
         value = float(text)
     except ValueError:
-        raise InvalidSetUp(INVALID, f"{text!r} is no number") from None
+        raise InvalidSetUp(CAUSE_INVALID, f"{text!r} is not a finite number") from None
     if not math.isfinite(value):
-        raise InvalidSetUp(INVALID, f"{text!r} is no number")
+        raise InvalidSetUp(CAUSE_INVALID, f"{text!r} is not a finite number")
     return value
 
 
 def parse_number(text: str | None) -> float | None:
-    """A number from a host's field, or None."""
+    """Return the finite number in a host's field, or None."""
     try:
         value = float(text) if text is not None else math.nan
     except ValueError:
@@ -167,14 +180,14 @@
 
 
 def parse_load_report(text: str | None, names: tuple[str, ...], fields: tuple[str, ...]) -> i.LoadReport | None:
-    """A load report such as ``x0:12;queue:3``; names that the settings do not give are passed over."""
+    """Parse a load report such as ``x0:12;queue:3``; names that the settings do not map to a field are skipped."""
     if not text:
         return None
-    meaning = dict(zip(names, fields, strict=True))
+    field_of = dict(zip(names, fields, strict=True))
     values: dict[str, float] = {}
     for part in text.split(";"):
         name, _, number = part.partition(":")
         value = parse_number(number)
-        if meaning.get(name) and value is not None:
-            values[meaning[name]] = value
+        if field_of.get(name) and value is not None:
+            values[field_of[name]] = value
     return i.LoadReport(**values) if values else None
--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -1,22 +1,23 @@
-"""One placer on the platform: what it is made of, its signals, its start and its stop.
+"""One placer process on the platform: its components, signals, start and shutdown.
 
-SIGHUP reads the configuration again: another bulletin's address is used from then on, and everything else stays as it was
-at the start; a file that cannot be used is refused in one line. SIGTERM: set-ups are placed as before while the platform
-may still send some, then those that come are refused; the process ends when all that it had taken is answered, and what was
-written has gone out. Standing tasks run on.
+SIGHUP reloads the configuration: a new address of the bulletin is used from then on, and everything else stays as it was at
+the start; a file that cannot be used is rejected with one log line. SIGTERM shuts down: set-ups are placed as before while
+the platform may still send some, and are refused after that; the process ends when every admitted set-up has been answered
+and all output has been sent. Placed tasks keep running.
 
-========= ==================== ============================ =====================================================
-state     until                set-ups                      then
-========= ==================== ============================ =====================================================
-serving   SIGTERM              placed
-leaving   ``SHUTDOWN_ADMIT_MS`` later   placed; tests fail           the backlog is taken, and no connection after it
-refusing  all is answered and  refused                      what is still open has failed
-          ``TICK_MS``, or time
-          is up
-ended     all connections      not read: sent again         the process ends
-          ended, by
+========= ========================= ================================= ================================================
+state     until                     set-ups                           then
+========= ========================= ================================= ================================================
+serving   SIGTERM                   placed
+leaving   ``SHUTDOWN_ADMIT_MS``     placed; health checks fail        the listen backlog is accepted, and no
+          later                                                       connection after it
+refusing  ``TICK_MS`` after all     refused                           open tasks fail
+          are answered, or the
+          time limit
+ended     all connections are       not read; owners send them again  the process ends
+          closed, within
           ``LINGER_MS``
-========= ==================== ============================ =====================================================
+========= ========================= ================================= ================================================
 """
 
 from __future__ import annotations
@@ -46,13 +47,16 @@
 from sprucepost.placing.desk import Desk
 
 SIGNALS = (signal.SIGHUP, signal.SIGTERM)
-TICK_MS = 250.0  # between looks at connections and hosts
-COUNTS_MS = 10_000.0  # between lines with the counters
+TICK_MS = 250.0  # interval of the periodic checks on connections and hosts
+COUNTERS_INTERVAL_MS = 10_000.0  # between log lines with the counters
 # After SIGTERM the platform still sends set-ups for 0.6 s; the rest is slack.
 SHUTDOWN_ADMIT_MS = 700.0
-LONGEST_MS = 3000.0  # a process that ends may be killed the longest deadline after that, which counts as this at most
-SPARE_MS = 60.0  # before it may be killed: what came at the end of SHUTDOWN_ADMIT_MS has had its time by then
-SLEW = 0.05  # share of its own time by which the aligned clock follows a step of the system's
+# A process that ends may be killed the longest task deadline after that, which counts as this at most.
+MAX_SHUTDOWN_DEADLINE_MS = 3000.0
+SHUTDOWN_MARGIN_MS = (
+    60.0  # the process ends this long before it may be killed; late set-ups have had their time by then
+)
+CLOCK_SLEW = 0.05  # rate at which the aligned clock follows a step of the system's clock, as a share of elapsed time
 
 
 class Service:
@@ -62,7 +66,7 @@
         self.loop, self._environment, self.config, self.log = loop, environment, config, log
         self.counters: Counter[str] = Counter()
         settings = config.settings
-        self.desk = Desk(loop, settings, config.seed, SLEW, lambda: self.feed.start(), log, self.counters)
+        self.desk = Desk(loop, settings, config.seed, CLOCK_SLEW, lambda: self.feed.start(), log, self.counters)
         self.tasks = Tasks(
             loop,
             self.desk,
@@ -85,9 +89,17 @@
             self.counters,
         )
         bulletin = Bulletin(settings.zones, settings.kinds)
-        body_most = int(config.limits.memory_mb * 1024 * 1024) // BODY_PART
+        max_body_bytes = int(config.limits.memory_mb * 1024 * 1024) // BODY_PART
         self.feed = Feed(
-            loop, scope, bulletin, config.bulletin, config.connect_ms, body_most, self._told, log, self.counters
+            loop,
+            scope,
+            bulletin,
+            config.bulletin,
+            config.connect_ms,
+            max_body_bytes,
+            self._on_bulletin,
+            log,
+            self.counters,
         )
         self.owners = Owners(
             loop,
@@ -103,13 +115,13 @@
         )
         self.tasks.owners, self.tasks.hosts, self.tasks.trace = self.owners, self.hosts, log.task
         self.owners.free_other_connection = self.hosts.make_room
-        self.finished = False  # all is answered, or time is up
-        self._began = loop.now()
+        self.finished = False  # all set-ups are answered, or the time limit has passed
+        self._started_at = loop.now()
         self._finish_event: Queue[None] = Queue(1)
-        self._due = 0.0  # when the counters are written next
+        self._counters_due = 0.0  # when the counters are logged next, in ms of the loop's clock
 
     def start(self) -> None:
-        """Take what the configuration knows; the first batch follows at this turn's end."""
+        """Load the hosts known from the configuration; the first batch follows at the end of this turn of the loop."""
         if self.config.known is not None:
             try:
                 told = self.feed.bulletin.take(self.config.known)
@@ -117,28 +129,28 @@
                 self.log("known_unreadable", why=str(error))
             else:
                 if told is not None:
-                    self._told(told)
+                    self._on_bulletin(told)
         self.desk.wake()
-        self.feed.start()  # whether the settings say that the list is pushed or asked for: the bulletin wants to be asked
+        self.feed.start()  # whatever the settings' list mode: the bulletin must be polled
         self.log("ready", listen=self.config.listen, hosts=len(self.hosts.hosts), pid=os.getpid())
 
-    def _told(self, told: Told) -> None:
+    def _on_bulletin(self, told: Told) -> None:
         for fault in told.faults:
             self.log("bulletin_unreadable", why=fault)
-        moved = self.start_times.hear(told.list, self.feed.heard_at or self._began)
+        starts_moved = self.start_times.hear(told.list, self.feed.heard_at or self._started_at)
         self.hosts.see(told)
         self.desk.push(self.start_times.dated(told.list))
-        if moved:
+        if starts_moved:
             self.counters["starts_moved"] += 1
             known = tuple(entry for entry in self.feed.bulletin.entries.values() if entry.started)
             self.desk.push(self.start_times.dated(i.MachineList(i.ListKind.DELTA, known)))
         self.counters["lists"] += 1
 
     def run(self) -> Co[int]:
-        """Until SIGTERM has been served; the exit status."""
+        """Run until the shutdown is complete; return the exit status."""
         self.start()
-        self._due = self.loop.now() + COUNTS_MS
-        self.loop.call_later(TICK_MS, self._tick)
+        self._counters_due = self.loop.now() + COUNTERS_INTERVAL_MS
+        self.loop.call_later(TICK_MS, self._run_periodic)
         with contextlib.suppress(Closed):
             yield from self._finish_event.get()
         self.tasks.fail_open_tasks()
@@ -147,17 +159,17 @@
         self.log("end")
         return 0
 
-    def _tick(self) -> None:
-        self.loop.call_later(TICK_MS, self._tick)
+    def _run_periodic(self) -> None:
+        self.loop.call_later(TICK_MS, self._run_periodic)
         self.hosts.tick()
         self.owners.tick()
         self.tasks.expire_records()
-        if self.loop.now() >= self._due:
-            self._due = self.loop.now() + COUNTS_MS
+        if self.loop.now() >= self._counters_due:
+            self._counters_due = self.loop.now() + COUNTERS_INTERVAL_MS
             self.log_counters()
 
     def log_counters(self) -> None:
-        """What there is now, and what has happened so far."""
+        """Log the current sizes and the counters since the start."""
         scheduler = self.desk.scheduler
         self.log(
             "counts",
@@ -181,7 +193,7 @@
     # Signals
 
     def reload(self) -> None:
-        """SIGHUP."""
+        """Reload the configuration, on SIGHUP."""
         try:
             config = read(self._environment)
         except ConfigUnavailable as error:
@@ -195,22 +207,22 @@
         self.feed.move(config.bulletin)
 
     def begin_shutdown(self) -> None:
-        """SIGTERM."""
+        """Begin the shutdown, on SIGTERM; repeated signals change nothing."""
         if self.owners.fails_health_checks:
             return
         self.owners.fails_health_checks = True
-        longest = min(LONGEST_MS, max(cls.deadline for cls in self.config.settings.classes))
+        longest_ms = min(MAX_SHUTDOWN_DEADLINE_MS, max(cls.deadline for cls in self.config.settings.classes))
         self.log("leaving", open=self.tasks.ledger.open)
         self.loop.call_later(SHUTDOWN_ADMIT_MS, self._refuse_set_ups)
-        self.loop.call_later(longest + SHUTDOWN_ADMIT_MS - SPARE_MS, self._finish)
+        self.loop.call_later(longest_ms + SHUTDOWN_ADMIT_MS - SHUTDOWN_MARGIN_MS, self._finish)
 
     def _refuse_set_ups(self) -> None:
         self.owners.refuses_set_ups = True
         self.owners.stop_listening()
-        self.tasks.on_settled = self._look
-        self._look()
+        self.tasks.on_settled = self._finish_when_settled
+        self._finish_when_settled()
 
-    def _look(self) -> None:
+    def _finish_when_settled(self) -> None:
         if not self.tasks.ledger.open:
             self.loop.call_later(TICK_MS, self._finish)
 
@@ -220,23 +232,23 @@
 
 
 def serve(loop: Loop, scope: Scope, environment: Mapping[str, str], config: Config, log: Log) -> Co[int]:
-    """A placer's whole life."""
+    """Run a placer from its start to its end; return the exit status."""
     service = Service(loop, scope, environment, config, log)
     insist(lambda: loop.on_signal(signal.SIGHUP, service.reload))
     insist(lambda: loop.on_signal(signal.SIGTERM, service.begin_shutdown))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     status = yield from service.run()
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # Python gives its handlers up before the process has ended
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # Python removes its handlers before the process has ended
     scope.cancel()
     return status
 
 
 def main() -> int:
-    """Run a placer until it is told to stop; one line and status 2 where it cannot start."""
-    # A signal that comes before there is somebody to take it waits: SIGHUP would end the process, or name a bulletin's
-    # address in a file that has been read already.
+    """Run a placer until it is told to stop; return status 2 after one line on standard error if it cannot start."""
+    # Signals stay blocked until their handlers are installed: SIGHUP would end the process, and one that announces a new
+    # address of the bulletin must not be lost after the file has been read.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    # Ignored until here, where ``run`` of the deploy file says so, since the file had not been read; from now on it waits.
+    # The ``run`` command of the deploy file ignores SIGHUP, since the file had not been read; from now on it is pending.
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
     try:
         config = insist(lambda: read(os.environ), ConfigUnavailable)
@@ -251,7 +263,7 @@
     log = Log(loop, config.name, output.write, output.flush)
     log.dropped = lambda: output.dropped
     gc.collect()
-    gc.freeze()  # what start-up made stays: the collector need not look at it again
+    gc.freeze()  # objects made at start-up stay; the garbage collector need not scan them again
     try:
         return loop.run(lambda: in_scope(lambda scope: serve(loop, scope, os.environ, config, log)))
     except OSError as error:
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -569,7 +569,7 @@
     def body(day: Day) -> Co[None]:
         day.host("s-1")
         day.start()
-        day.service.owners._most = 3
+        day.service.owners._max_connections = 3
         yield from warm(day, SIDS[0])
         owners = [Raw(day), Raw(day)]
         for n, owner in enumerate(owners):
@@ -578,7 +578,7 @@
             owner.send(release(SIDS[1 + n]))
         yield from wait_for(lambda: day.standing() == 1 and len(day.service.owners.links) == 3)
         owners[0].send(setup(SIDS[3]))  # unread when the newcomer is taken
-        assert day.service.owners._make_room()
+        assert day.service.owners._close_idle()
         assert (yield from owners[0].message()).kind == Kind.ANSWER
         assert owners[1].got() is None
         for owner in owners:
--- a/tests/node/test_message_schedules.py
+++ b/tests/node/test_message_schedules.py
@@ -37,12 +37,12 @@
 
 
 DEFECTS: dict[str, Callable[[pytest.MonkeyPatch], None]] = {
-    "words on other connections are dropped": lambda patch: patch.setattr(Tasks, "_heard_before_it_stands", _drop),
+    "words on other connections are dropped": lambda patch: patch.setattr(Tasks, "_handle_message_for_unplaced", _drop),
     "a release on another connection is not of the attempt": lambda patch: patch.setattr(
-        Tasks, "_is_of", lambda self, attempt, line: False
+        Tasks, "_belongs_to_attempt", lambda self, attempt, line: False
     ),
     "what crosses our taking back is dropped": lambda patch: patch.setattr(
-        Tasks, "_stood_when_withdrawn", lambda self, entry, machine, line: False
+        Tasks, "_was_accepted_before_withdrawal", lambda self, entry, machine, line: False
     ),
     "reasons of accepted tasks are not known": lambda patch: patch.setattr(tasks, "ACCEPTED_TASK_REASONS", frozenset()),
     "a failure before the answer is not told": lambda patch: patch.setattr(Tasks, "_fail_unanswered", _fail_silently),
