--- a/sprucepost/node/descriptors.py
+++ b/sprucepost/node/descriptors.py
@@ -29,7 +29,7 @@
 SHARE_PART = 3  # the part that connections to hosts, and clients' connections, may have whatever the others want
 
 
-def usable(configured: int) -> int:
+def descriptor_limit(configured: int) -> int:
     """How many descriptors there may be: as the configuration says, and no more than the system grants."""
     granted, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return configured if granted == resource.RLIM_INFINITY else min(configured, granted)
@@ -40,7 +40,7 @@
 
     def __init__(self, limit: int, connections: Callable[[], int]) -> None:
         self._connections = connections
-        self.share = limit // SHARE_PART
+        self.guaranteed_share = limit // SHARE_PART
         self._shared = limit - min(OWN, limit // OWN_PART)
         self._most = self._shared - limit // CLOSING_PART
         self._closing: dict[Transport, None] = {}  # in the order in which they began to close
@@ -50,21 +50,21 @@
         """How many connections hold a descriptor while they end."""
         return len(self._closing)
 
-    def spare(self) -> int:
+    def available(self) -> int:
         """How many connections there may be more; below zero where there are too many."""
         return self._most - self._connections()
 
-    def end(self, transport: Transport) -> None:
+    def close(self, transport: Transport) -> None:
         """A connection that counts no longer is closed; while its close lingers, its descriptor is accounted for here."""
         transport.close()
-        if not transport.gone:
+        if not transport.socket_closed:
             self._closing[transport] = None
-            transport.on_gone = lambda: self._forget(transport)
+            transport.on_socket_closed = lambda: self._forget(transport)
 
     def reclaim(self) -> None:
         """Before a connection is added: end the longest closes until there is a descriptor for it."""
         while self._closing and self._connections() + len(self._closing) >= self._shared:
-            next(iter(self._closing)).cut()
+            next(iter(self._closing)).end_linger()
 
     def _forget(self, transport: Transport) -> None:
         self._closing.pop(transport, None)
--- a/sprucepost/node/owners.py
+++ b/sprucepost/node/owners.py
@@ -168,7 +168,7 @@
     @property
     def accepts_failed(self) -> int:
         """How often the system had no descriptor to accept a waiting connection."""
-        return self._acceptor.short
+        return self._acceptor.failed_accepts
 
     def _accept_connection(self, sock: Sock) -> None:
         if not self._free_slot():
@@ -182,10 +182,10 @@
         link.transport.on_data = lambda data: self._on_data(link, data)
         link.transport.on_end = lambda: self.disconnect(link, "ended")
         link.transport.on_lost = lambda error: self._remove(link)
-        link.transport.on_late = lambda data: self._on_late_data(link, data)
+        link.transport.on_linger_data = lambda data: self._on_late_data(link, data)
         link.transport.start()
-        if self.loop.looking:  # input that has arrived on the new connection belongs to this poll
-            link.transport.look()
+        if self.loop.polling_mid_turn:  # input that has arrived on the new connection belongs to this poll
+            link.transport.read_now()
         self._delay_accepting()
 
     def _free_slot(self) -> bool:
@@ -197,7 +197,7 @@
         if len(self.links) >= self._max_connections:
             return self._close_idle()
         return (
-            self._descriptors.spare() > 0
+            self._descriptors.available() > 0
             or self._close_idle(lambda link: not (link.proven or self._in_arrival_grace(link)))
             or self.free_other_connection()
             or self._close_idle()
@@ -214,8 +214,8 @@
         would displace other owners before their set-ups have arrived. While owners hold less than their share of the
         descriptors there is no wait, because idle connections to hosts are closed for them.
         """
-        within_share = len(self.links) < self._descriptors.share
-        if len(self.links) < self._max_connections and (within_share or self._descriptors.spare() > 0):
+        within_share = len(self.links) < self._descriptors.guaranteed_share
+        if len(self.links) < self._max_connections and (within_share or self._descriptors.available() > 0):
             return
         idle = [link for link in self.links if not (link.open or link.placed_tasks)]
         if not idle:
@@ -223,7 +223,7 @@
         wait = min(idle, key=_closing_order).used + ARRIVAL_GRACE_MS - self.loop.now()
         if wait > 0:
             self.counters["owners_awaited"] += 1
-            self._acceptor.rest(wait)
+            self._acceptor.pause(wait)
 
     def _close_idle(self, may_close: Callable[[OwnerLink], bool] = lambda link: True) -> bool:
         """Close an idle connection for which ``may_close`` is true; return False if there is none."""
@@ -231,7 +231,7 @@
             needed = self._needed_links()
             idle = [link for link in self.links if not (link.open or link in needed) and may_close(link)]
             for link in sorted(idle, key=_closing_order):
-                if not link.transport.look():
+                if not link.transport.read_now():
                     self.disconnect(link, "room")
                 if link not in self.links:
                     return True
@@ -257,11 +257,11 @@
             return
         self.counters[f"owner_{why}"] += 1
         if why in ("ended", "idle", "stopped"):
-            self._descriptors.end(link.transport)
+            self._descriptors.close(link.transport)
         elif why in ("room", "silent"):
             if not link.transport.buffered:  # its descriptor is needed, or it sent nothing useful: no lingering
                 link.transport.linger_ms = 0.0
-            self._descriptors.end(link.transport)
+            self._descriptors.close(link.transport)
         else:
             link.transport.abort()
         self._remove(link)
@@ -289,7 +289,7 @@
                 or now - link.used <= (self._idle_ms if link.proven else UNPROVEN_TIMEOUT_MS)
             ):
                 continue
-            elif not link.transport.look():
+            elif not link.transport.read_now():
                 self.disconnect(link, "idle" if link.proven else "silent")
         self._pending_releases = [item for item in self._pending_releases if item[0] > now]
 
@@ -301,16 +301,16 @@
         """Close all connections: unread set-ups are refused and buffered output is sent, within ``LINGER_MS``."""
         links = list(self.links)
         for link in links:
-            link.transport.look()
+            link.transport.read_now()
             self.disconnect(link, "stopped")
-        while any(not link.transport.gone for link in links):
+        while any(not link.transport.socket_closed for link in links):
             yield from sleep(CLOSE_POLL_MS)
 
     # Messages
 
     def input_read(self, owner_address: str) -> bool:
         """Return whether the latest poll left nothing unread on the connections of that owner."""
-        for link in [link for link in self._unread_links if not link.transport.behind]:
+        for link in [link for link in self._unread_links if not link.transport.has_unread_backlog]:
             del self._unread_links[link]
         return all(link.owner_address != owner_address for link in self._unread_links)
 
@@ -324,7 +324,7 @@
                 self._tasks.owner_cancelled(message.task)
 
     def _on_data(self, link: OwnerLink, data: bytes) -> None:
-        if link.transport.behind:
+        if link.transport.has_unread_backlog:
             self._unread_links[link] = None
         messages = link.decoder.feed(data)
         if messages:
--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -32,19 +32,19 @@
 
 from sprucepost import interface as i
 from sprucepost.loop import Closed, Co, Loop, Queue, Scope, in_scope
-from sprucepost.loop.epoll import EpollLoop, insist
+from sprucepost.loop.epoll import EpollLoop, retry_on_startup
 from sprucepost.node import parsing
-from sprucepost.node.bulletin import Bulletin, Told
-from sprucepost.node.config import Config, ConfigError, ConfigUnavailable, read
-from sprucepost.node.descriptors import Descriptors, usable
-from sprucepost.node.feed import BODY_PART, Feed
+from sprucepost.node.bulletin import Bulletin, ListUpdate
+from sprucepost.node.config import Config, ConfigError, ConfigUnavailable, read_config
+from sprucepost.node.descriptors import Descriptors, descriptor_limit
+from sprucepost.node.feed import BODY_MEMORY_DIVISOR, Feed
 from sprucepost.node.framing import Malformed
 from sprucepost.node.hosts import Hosts
 from sprucepost.node.log import Log, Output
 from sprucepost.node.owners import Owners
 from sprucepost.node.start_times import StartTimes
 from sprucepost.node.tasks import Tasks
-from sprucepost.placing.desk import Desk
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 
 SIGNALS = (signal.SIGHUP, signal.SIGTERM)
 TICK_MS = 250.0  # interval of the periodic checks on connections and hosts
@@ -66,17 +66,17 @@
         self.loop, self._environment, self.config, self.log = loop, environment, config, log
         self.counters: Counter[str] = Counter()
         settings = config.settings
-        self.desk = Desk(loop, settings, config.seed, CLOCK_SLEW, lambda: self.feed.start(), log, self.counters)
+        self.driver = SchedulerDriver(loop, settings, config.seed, CLOCK_SLEW, lambda: self.feed.start(), log, self.counters)
         self.tasks = Tasks(
             loop,
-            self.desk,
+            self.driver,
             settings,
             lambda text: parsing.parse_load_report(text, config.report_names, config.report_fields),
             self.counters,
         )
-        sockets = usable(config.limits.sockets)
+        sockets = descriptor_limit(config.limits.sockets)
         self.descriptors = Descriptors(sockets, lambda: len(self.owners.links) + self.hosts.connections)
-        self.start_times = StartTimes(loop, self.desk.now)
+        self.start_times = StartTimes(loop, self.driver.now)
         self.hosts = Hosts(
             loop,
             scope,
@@ -89,7 +89,7 @@
             self.counters,
         )
         bulletin = Bulletin(settings.zones, settings.kinds)
-        max_body_bytes = int(config.limits.memory_mb * 1024 * 1024) // BODY_PART
+        max_body_bytes = int(config.limits.memory_mb * 1024 * 1024) // BODY_MEMORY_DIVISOR
         self.feed = Feed(
             loop,
             scope,
@@ -103,7 +103,7 @@
         )
         self.owners = Owners(
             loop,
-            insist(lambda: loop.listen(config.listen)),
+            retry_on_startup(lambda: loop.listen(config.listen)),
             self.tasks,
             parsing.SetUpParser(settings),
             self.descriptors,
@@ -114,7 +114,7 @@
             self.counters,
         )
         self.tasks.owners, self.tasks.hosts, self.tasks.trace = self.owners, self.hosts, log.task
-        self.owners.free_other_connection = self.hosts.make_room
+        self.owners.free_other_connection = self.hosts.close_idle_connection
         self.finished = False  # all set-ups are answered, or the time limit has passed
         self._started_at = loop.now()
         self._finish_event: Queue[None] = Queue(1)
@@ -124,26 +124,26 @@
         """Load the hosts known from the configuration; the first batch follows at the end of this turn of the loop."""
         if self.config.known is not None:
             try:
-                told = self.feed.bulletin.take(self.config.known)
+                told = self.feed.bulletin.apply(self.config.known)
             except Malformed as error:
                 self.log("known_unreadable", why=str(error))
             else:
                 if told is not None:
                     self._on_bulletin(told)
-        self.desk.wake()
+        self.driver.schedule_batch()
         self.feed.start()  # whatever the settings' list mode: the bulletin must be polled
         self.log("ready", listen=self.config.listen, hosts=len(self.hosts.hosts), pid=os.getpid())
 
-    def _on_bulletin(self, told: Told) -> None:
+    def _on_bulletin(self, told: ListUpdate) -> None:
         for fault in told.faults:
             self.log("bulletin_unreadable", why=fault)
-        starts_moved = self.start_times.hear(told.list, self.feed.heard_at or self._started_at)
-        self.hosts.see(told)
-        self.desk.push(self.start_times.dated(told.list))
+        starts_moved = self.start_times.learn(told.list, self.feed.last_answer_at or self._started_at)
+        self.hosts.apply_list(told)
+        self.driver.push(self.start_times.with_aligned_starts(told.list))
         if starts_moved:
             self.counters["starts_moved"] += 1
             known = tuple(entry for entry in self.feed.bulletin.entries.values() if entry.started)
-            self.desk.push(self.start_times.dated(i.MachineList(i.ListKind.DELTA, known)))
+            self.driver.push(self.start_times.with_aligned_starts(i.MachineList(i.ListKind.DELTA, known)))
         self.counters["lists"] += 1
 
     def run(self) -> Co[int]:
@@ -170,7 +170,7 @@
 
     def log_counters(self) -> None:
         """Log the current sizes and the counters since the start."""
-        scheduler = self.desk.scheduler
+        scheduler = self.driver.scheduler
         self.log(
             "counts",
             open=self.tasks.ledger.open,
@@ -195,7 +195,7 @@
     def reload(self) -> None:
         """Reload the configuration, on SIGHUP."""
         try:
-            config = read(self._environment)
+            config = read_config(self._environment)
         except ConfigUnavailable as error:
             self.log("reload_delayed", why=str(error))
             self.loop.call_later(TICK_MS, self.reload)
@@ -204,7 +204,7 @@
             self.log("reload_refused", why=str(error))
             return
         self.log("reloaded", bulletin=config.bulletin)
-        self.feed.move(config.bulletin)
+        self.feed.change_address(config.bulletin)
 
     def begin_shutdown(self) -> None:
         """Begin the shutdown, on SIGTERM; repeated signals change nothing."""
@@ -234,8 +234,8 @@
 def serve(loop: Loop, scope: Scope, environment: Mapping[str, str], config: Config, log: Log) -> Co[int]:
     """Run a placer from its start to its end; return the exit status."""
     service = Service(loop, scope, environment, config, log)
-    insist(lambda: loop.on_signal(signal.SIGHUP, service.reload))
-    insist(lambda: loop.on_signal(signal.SIGTERM, service.begin_shutdown))
+    retry_on_startup(lambda: loop.on_signal(signal.SIGHUP, service.reload))
+    retry_on_startup(lambda: loop.on_signal(signal.SIGTERM, service.begin_shutdown))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     status = yield from service.run()
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # Python removes its handlers before the process has ended
@@ -251,8 +251,8 @@
     # The ``run`` command of the deploy file ignores SIGHUP, since the file had not been read; from now on it is pending.
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
     try:
-        config = insist(lambda: read(os.environ), ConfigUnavailable)
-        loop = insist(lambda: EpollLoop(config.seed))
+        config = retry_on_startup(lambda: read_config(os.environ), ConfigUnavailable)
+        loop = retry_on_startup(lambda: EpollLoop(config.seed))
     except ConfigError as error:
         print(f"sprucepost: {error}", file=sys.stderr)
         return 2
--- a/sprucepost/node/tasks.py
+++ b/sprucepost/node/tasks.py
@@ -66,10 +66,10 @@
 from sprucepost.node.attempt import Attempt, HostsPort, OwnerPort, OwnersPort, SetUpResult, TaskState, Withdrawal
 from sprucepost.node.early_messages import EarlyMessage, EarlyMessageCache
 from sprucepost.node.fair_queue import FairQueue
-from sprucepost.node.jsonl import Line, Word, encode
+from sprucepost.node.jsonl import Line, MessageType, encode
 from sprucepost.node.parsing import SetUp
-from sprucepost.placing.desk import Desk
 from sprucepost.placing.ledger import Entry, Ledger, Outcome
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 
 # Causes sent to owners.
 CAUSE_REFUSED, CAUSE_FAILED, CAUSE_LOST, CAUSE_ENDED = 34, 41, 41, 16
@@ -98,12 +98,12 @@
     def __init__(
         self,
         loop: Loop,
-        desk: Desk,
+        driver: SchedulerDriver,
         settings: i.Settings,
         parse_load_report: Callable[[str | None], i.LoadReport | None],
         counters: Counter[str],
     ) -> None:
-        self.loop, self._desk, self._parse_load_report = loop, desk, parse_load_report
+        self.loop, self._driver, self._parse_load_report = loop, driver, parse_load_report
         self._tick_ms = settings.tick
         # Time after the first attempt in which hosts remember the key of a keyed task, by class.
         self._windows = [cls.window if cls.effect is i.Effect.KEYED else None for cls in settings.classes]
@@ -119,7 +119,7 @@
         self._recently_settled: set[int] = set()
         self._previously_settled: set[int] = set()
         self._found_services: set[str] = set()  # services of tasks reported as placed since the last submission
-        desk.carry, desk.before = self._apply_decision, self._submit_new_tasks
+        driver.on_action, driver.before_batch = self._apply_decision, self._submit_new_tasks
 
     # Owners
 
@@ -152,7 +152,7 @@
             entry.machine = setup.current_host
             self.ledger.settle(entry, Outcome.PLACED, now)
             self._record_placed(entry)
-            self._desk.push(i.TaskFound(setup.request(entry.request, setup.time_left_ms), setup.current_host))
+            self._driver.push(i.TaskFound(setup.request(entry.request, setup.time_left_ms), setup.current_host))
             self._found_services.add(setup.service)
             if not self.hosts.adopt(setup.current_host, setup.sid):
                 return SetUpResult.HOST_UNKNOWN
@@ -161,11 +161,11 @@
                 self.handle_message(*line)
             return SetUpResult.ADMITTED
         self.counters["taken"] += 1
-        entry.due = now + max(0.0, setup.time_left_ms - waited_ms)
+        entry.deadline = now + max(0.0, setup.time_left_ms - waited_ms)
         self.trace(setup.sid, "taken", left=setup.time_left_ms, waited=round(waited_ms, 1))
         entry.ask.queued = True
         self._queue.put(owner, entry, now)
-        self._desk.wake()
+        self._driver.schedule_batch()
         return SetUpResult.ADMITTED
 
     def _submit_new_tasks(self) -> None:
@@ -178,14 +178,14 @@
         new tasks wait, but none longer than ``FOUND_TASKS_WAIT_MS``: a steady flow of reports must not starve them.
         """
         if self._queue:
-            self.loop.look()
+            self.loop.poll_now()
         self._previously_settled, self._recently_settled = self._recently_settled, set()
         if self._found_services:
             self.hosts.withdraw_unsent(self._found_services)
             self._found_services = set()
             if self._queue and self.loop.now() - self._queue.oldest_arrival < FOUND_TASKS_WAIT_MS:
                 self.counters["held_for_found"] += 1
-                self.loop.call_soon(self._desk.wake)
+                self.loop.call_soon(self._driver.schedule_batch)
                 return
         now = self.loop.now()
         submitted = 0
@@ -194,9 +194,9 @@
             if entry.outcome is Outcome.OPEN:
                 submitted += 1
                 entry.ask.queued = False
-                self._desk.push(entry.ask.setup.request(entry.request, max(0.0, entry.due - now)))
+                self._driver.push(entry.ask.setup.request(entry.request, max(0.0, entry.deadline - now)))
         if self._queue:
-            self.loop.call_soon(self._desk.wake)
+            self.loop.call_soon(self._driver.schedule_batch)
 
     def owner_cancelled(self, sid: str) -> None:
         """Handle an owner's release: it cancels its set-up, or ends its placed task."""
@@ -227,7 +227,7 @@
         self._settle(entry, Outcome.FAILED)
         self._withdraw(entry)
         if not entry.ask.queued:
-            self._desk.push(i.RequestAbandoned(entry.request))
+            self._driver.push(i.RequestAbandoned(entry.request))
 
     def fail_open_tasks(self) -> None:
         """Fail all open tasks and tell their owners, since the process ends."""
@@ -244,7 +244,7 @@
         if entry is not None and entry.outcome is not Outcome.OPEN and crossed:
             if isinstance(action, i.Offer):
                 entry.attempts += 1
-                self._desk.push(i.Outcome(entry.request, entry.attempts - 1, i.Ending.VOID, True))
+                self._driver.push(i.Outcome(entry.request, entry.attempts - 1, i.Ending.VOID, True))
             return
         if entry is None or entry.outcome is not Outcome.OPEN:
             raise AssertionError(f"{type(action).__name__} for request {action.request}, which is settled")
@@ -274,7 +274,7 @@
         now = self.loop.now()
         attempt = Attempt(entry, entry.attempts, action.machine, now, now + action.timeout)
         entry.attempts += 1
-        entry.out = attempt.number
+        entry.pending_attempt = attempt.number
         entry.ask.attempt = attempt
         self.counters["offers"] += 1
         self.trace(entry.name, "offered", host=action.machine, attempt=attempt.number, timeout=round(action.timeout))
@@ -311,7 +311,7 @@
         if setup.key:
             attrs["idem"] = setup.key
         attrs["left"] = str(int(left_ms))
-        return encode(Word.OPEN, setup.sid, attrs, text=setup.description)
+        return encode(MessageType.OPEN, setup.sid, attrs, text=setup.description)
 
     def _expire(self, attempt: Attempt) -> None:
         if attempt.entry.ask.attempt is not attempt:
@@ -335,7 +335,7 @@
         entry = attempt.entry
         if entry.ask.attempt is not attempt:
             return
-        entry.ask.attempt = entry.out = None
+        entry.ask.attempt = entry.pending_attempt = None
         if attempt.timer is not None:
             attempt.timer.cancel()
         self.counters[f"ended_{ending.value}"] += 1
@@ -343,11 +343,11 @@
         if ending not in (i.Ending.FULL, i.Ending.CONNECT_FAILED, i.Ending.VOID) and entry.ask.may_run_since is None:
             entry.ask.may_run_since = attempt.offered_at
         closed = entry.outcome is not Outcome.OPEN
-        self._desk.push(i.Outcome(entry.request, attempt.number, ending, closed, reason, report))
+        self._driver.push(i.Outcome(entry.request, attempt.number, ending, closed, reason, report))
 
     def handle_answer(self, attempt: Attempt, line: Line) -> None:
         """Handle a host's message on the connection of an open set-up: an answer, or how the attempt ended."""
-        if line.word is Word.READY and line.text is not None:
+        if line.type is MessageType.READY and line.text is not None:
             self._accept(attempt, line.text)
             return
         if line.code == CAUSE_ENDED and line.text is not None:
@@ -392,7 +392,7 @@
 
     def _accept(self, attempt: Attempt, text: str) -> None:
         entry, now = attempt.entry, self.loop.now()
-        entry.ask.attempt = entry.out = None
+        entry.ask.attempt = entry.pending_attempt = None
         if attempt.timer is not None:
             attempt.timer.cancel()
         entry.machine, entry.attempt = attempt.machine, attempt.number
@@ -402,7 +402,7 @@
         self._keep_connection(entry, entry.ask.owner)
         self.counters["placed"] += 1
         self.trace(entry.name, "stands", host=attempt.machine, attempt=attempt.number)
-        self._desk.push(i.Accepted(entry.request, attempt.number, now - attempt.offered_at))
+        self._driver.push(i.Accepted(entry.request, attempt.number, now - attempt.offered_at))
         entry.ask.setup = replace(entry.ask.setup, description="")  # it is offered to no host again
         entry.ask.owner.answer(entry.name, text)
 
@@ -421,11 +421,11 @@
         entry = self.placed.get(machine, {}).get(line.sid)
         if entry is None:
             self._handle_message_for_unplaced(machine, line)
-        elif line.word is Word.EVENT:
+        elif line.type is MessageType.EVENT:
             kind, value = parsing.NOTES.get(line.attrs.get("note", "")), parsing.parse_number(line.attrs.get("value"))
             if kind is not None and value is not None:
-                self._desk.push(i.StatusNote(entry.request, entry.attempt, kind, value))
-        elif line.word is Word.CLOSE:
+                self._driver.push(i.StatusNote(entry.request, entry.attempt, kind, value))
+        elif line.type is MessageType.CLOSE:
             ending = {16: i.Ending.OK, 31: i.Ending.CANCELLED}.get(line.code or 0, i.Ending.RESET)
             cause = {i.Ending.OK: CAUSE_ENDED, i.Ending.RESET: CAUSE_LOST}.get(ending)
             why = f"host said {line.code}"
@@ -441,18 +441,18 @@
         if entry is not None and entry.outcome is Outcome.OPEN:
             attempt: Attempt | None = entry.ask.attempt
             if attempt is not None and attempt.machine == machine and self.hosts.was_sent(attempt):
-                if line.word is Word.EVENT:
+                if line.type is MessageType.EVENT:
                     attempt.noted = True
                     self.trace(line.sid, "noted", host=machine)
                     return
-                if line.word is Word.CLOSE and self._belongs_to_attempt(attempt, line):
+                if line.type is MessageType.CLOSE and self._belongs_to_attempt(attempt, line):
                     self._handle_unanswered_release(attempt, line, other_connection=True)
                     return
-            elif line.word is Word.CLOSE and self._was_accepted_before_withdrawal(entry, machine, line):
+            elif line.type is MessageType.CLOSE and self._was_accepted_before_withdrawal(entry, machine, line):
                 self._fail_withdrawn(entry, machine)
                 return
         self._count_late(machine, line)
-        if line.word is Word.CLOSE and entry is None:
+        if line.type is MessageType.CLOSE and entry is None:
             self.early_messages.record(line.sid, EarlyMessage.RELEASED_BY_HOST, self.loop.now(), (machine, line))
 
     def handle_withdrawn_message(self, machine: str, line: Line) -> None:
@@ -462,7 +462,7 @@
         if (
             entry is not None
             and is_open
-            and line.word is Word.CLOSE
+            and line.type is MessageType.CLOSE
             and self._was_accepted_before_withdrawal(entry, machine, line)
         ):
             self._fail_withdrawn(entry, machine)
@@ -471,7 +471,7 @@
 
     def _count_late(self, machine: str, line: Line) -> None:
         self.counters["late_words"] += 1
-        self.trace(line.sid, "late_word", host=machine, word=line.word.value, code=line.code)
+        self.trace(line.sid, "late_word", host=machine, word=line.type.value, code=line.code)
 
     def _belongs_to_attempt(self, attempt: Attempt, line: Line) -> bool:
         """Return whether a release on another connection belongs to that attempt.
@@ -501,7 +501,7 @@
         self.early_messages.record(entry.name, EarlyMessage.TASK_ENDED, self.loop.now())
         self._withdraw(entry)
         if not entry.ask.queued:
-            self._desk.push(i.RequestAbandoned(entry.request))
+            self._driver.push(i.RequestAbandoned(entry.request))
         entry.ask.owner.refuse(entry.name, CAUSE_FAILED, 0.0)
 
     def host_lost(self, machine: str, why: str, before: float | None = None) -> int:
@@ -533,7 +533,7 @@
         self.early_messages.record(entry.name, EarlyMessage.TASK_ENDED, self.loop.now())
         self.counters[f"over_{ending.value}"] += 1
         self.trace(entry.name, "over", host=entry.machine, why=why)
-        self._desk.push(i.Outcome(entry.request, entry.attempt, ending, True, reason, report))
+        self._driver.push(i.Outcome(entry.request, entry.attempt, ending, True, reason, report))
         if entry.ask.keeps_connection:
             entry.ask.owner.remove_placed_task()
         if cause is not None:
--- a/tests/node/test_newcomers.py
+++ b/tests/node/test_newcomers.py
@@ -16,10 +16,10 @@
 from sprucepost.node.log import Log
 from sprucepost.node.owners import ARRIVAL_GRACE_MS, Owners
 from sprucepost.node.tasks import Tasks
-from sprucepost.placing.desk import Desk
+from sprucepost.placing.scheduler_driver import SchedulerDriver
 from tests.node.platform import settings, setup
 from tests.node.test_crossings import release
-from tests.node.virtual import DISCOVERY, LISTEN, Placer, SocketLoop, VirtualSock, known, play_virtual
+from tests.node.virtual import DISCOVERY, LISTEN, Placer, SocketLoop, VirtualSock, known_hosts, run_virtual
 
 ADDRESS = LISTEN
 TEST = binary.encode(Kind.TEST, "5c" * 8, [(Code.CAUSE, b"\0")])
@@ -31,8 +31,8 @@
     def __init__(self) -> None:
         self.loop, self.counters = SocketLoop(), Counter[str]()
         found = settings_from(settings())
-        desk = Desk(self.loop, found, 1, 0.05, lambda: None, lambda *a, **k: None, self.counters)
-        tasks = Tasks(self.loop, desk, found, lambda text: parsing.parse_load_report(text, (), ()), self.counters)
+        driver = SchedulerDriver(self.loop, found, 1, 0.05, lambda: None, lambda *a, **k: None, self.counters)
+        tasks = Tasks(self.loop, driver, found, lambda text: parsing.parse_load_report(text, (), ()), self.counters)
         descriptors = Descriptors(64, lambda: len(self.owners.links))
         self.owners = Owners(
             self.loop,
@@ -151,7 +151,7 @@
 
     found = alone_on_their_hosts()
     found["policy_limits"]["keepalive"] = 1000.0
-    play_virtual(tmp_path, body, known=known(60), settings=found)
+    run_virtual(tmp_path, body, known=known_hosts(60), settings=found)
 
 
 @pytest.mark.parametrize("newcomers", [12, 60])
@@ -167,7 +167,7 @@
         while counters["over_ok"] < 59:
             placer.serve_hosts()
             yield from sleep(1)
-        assert placer.service.descriptors.spare() <= 0
+        assert placer.service.descriptors.available() <= 0
         closed = counters["host_link_room"]
         first = [placer.loop.arrive(ADDRESS, f"127.0.1.1:{n}") for n in range(newcomers)]
         yield from sleep(2)
@@ -181,4 +181,4 @@
         assert not placer.loop.listeners[ADDRESS].backlog
         assert counters["host_link_room"] - closed <= 21 and not counters["owners_turned_away"]
 
-    play_virtual(tmp_path, body, known=known(60), settings=alone_on_their_hosts())
+    run_virtual(tmp_path, body, known=known_hosts(60), settings=alone_on_their_hosts())
