--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -66,7 +66,9 @@
         self.loop, self._environment, self.config, self.log = loop, environment, config, log
         self.counters: Counter[str] = Counter()
         settings = config.settings
-        self.driver = SchedulerDriver(loop, settings, config.seed, CLOCK_SLEW, lambda: self.feed.start(), log, self.counters)
+        self.driver = SchedulerDriver(
+            loop, settings, config.seed, CLOCK_SLEW, lambda: self.feed.start(), log, self.counters
+        )
         self.tasks = Tasks(
             loop,
             self.driver,
