--- a/tests/node/test_fleet_edge_cases.py
+++ b/tests/node/test_fleet_edge_cases.py
@@ -1,4 +1,4 @@
-"""Hard cases of a full fleet, each played without a bench: one tick for all, a signal in a long poll, a name again."""
+"""Edge cases of a full fleet without a benchmark: one tick for all, a signal during a long poll, a reused name."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 from tests.wire.support import wait_for
 
 
-def returned(number: int, size: int) -> Member:
-    """One placer of a fleet that hears in one tick that the cold machines had gone and, late, that they are back."""
+def placer_told_of_return(number: int, size: int) -> Member:
+    """Return a placer that is told in one tick that the cold machines had gone and, late, that they are back."""
     machines = [entry(f"m{n}", started=START + 18_000.0, free_cores=1e6, free_memory=1e6) for n in range(3)]
     gone = i.MachineList(i.ListKind.DELTA, tuple(replace(machine, state=GONE) for machine in machines))
     back = i.MachineList(i.ListKind.DELTA, tuple(machines))
     return Member(number, size, told=[(15_000.0, gone), (20_000.0, back)])
 
 
-def test_a_zone_back_cold_and_told_late_to_all_in_one_tick_is_not_pushed_over() -> None:
-    bears = 6.0
-    fleet = [returned(n, 16) for n in range(16)]
-    worst, offers = worst_window(fleet, bears, machines=3)
-    _, before = worst_window(fleet, bears, machines=3, length=19_900.0)
-    assert worst <= bears
-    assert offers > before + 50, "once back, the machines are used again"
-    alone, _ = worst_window([returned(0, 1) for _ in range(16)], bears, machines=3)
-    assert alone > 2 * bears, "sixteen of which each holds itself for the only one do push them over"
+def test_a_zone_that_is_back_cold_and_reported_late_to_all_in_one_tick_is_not_overloaded() -> None:
+    max_cold_offers = 6.0
+    fleet = [placer_told_of_return(n, 16) for n in range(16)]
+    worst, offers = worst_window(fleet, max_cold_offers, machines=3)
+    _, before = worst_window(fleet, max_cold_offers, machines=3, length=19_900.0)
+    assert worst <= max_cold_offers
+    assert offers > before + 50, "the machines are used again once they are back"
+    alone, _ = worst_window([placer_told_of_return(0, 1) for _ in range(16)], max_cold_offers, machines=3)
+    assert alone > 2 * max_cold_offers, "sixteen placers that each act as if they were alone overload the machines"
 
 
-def test_sighup_in_the_midst_of_a_long_poll_moves_the_program_to_the_other_bulletin(tmp_path: Path) -> None:
+def test_sighup_during_a_long_poll_moves_the_placer_to_the_other_bulletin(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         first, second = platform.host("s-1"), platform.host("s-2")
         platform.bulletin.publish(first.entry(), everything=True)
@@ -54,20 +54,20 @@
             asked = len(old.requests)
             os.kill(pid, signal.SIGHUP)
             yield from wait_for(lambda: platform.bulletin.requests, 5000)
-            assert platform.bulletin.requests[0] == 1, "from where it was, not from the start"
+            assert platform.bulletin.requests[0] == 1, "it continues from the last number, not from the start"
             old.publish(first.entry(state="DRAINING"))  # what the old one says no longer counts
             platform.bulletin.publish(second.entry(), first.entry(state="DRAINING"))
             yield from wait_for(lambda: len(platform.bulletin.requests) > 1)
             link.transport.write(setup(SIDS[1]))
             yield from wait_for_message(link, SIDS[1], Kind.ANSWER)
             assert second.lines(MessageType.OPEN) and len(old.requests) == asked
-            assert not [m for m in messages_for(link, SIDS[0]) if m.kind == Kind.RELEASE], "what stood stands"
+            assert not [m for m in messages_for(link, SIDS[0]) if m.kind == Kind.RELEASE], "placed tasks stay placed"
 
     run_on_platform(tmp_path, body)
 
 
-def test_the_same_name_again_while_half_of_the_hosts_are_replaced(tmp_path: Path) -> None:
-    """The next life of a placer knows nothing; tasks of the first stand at hosts that stay, and at hosts that go."""
+def test_a_placer_restarts_under_its_name_while_half_of_the_hosts_are_replaced(tmp_path: Path) -> None:
+    """The next incarnation of a placer knows nothing; tasks of the first run at hosts that stay and at hosts that go."""
 
     def body(platform: Platform) -> Co[None]:
         hosts = [platform.host(f"s-{n}") for n in range(4)]
@@ -78,13 +78,14 @@
                 link.transport.write(setup(sid, FIGURES=f"cores:0.1;memory:0.1;service:{n:016x}"))
             yield from wait_for(lambda: all(messages_for(link, sid) for sid in SIDS[:16]))
         yield from wait_for(lambda: link.ended)  # it was killed, as the fleet's days do
-        held = {line.sid: host for host in hosts for line in host.lines(MessageType.OPEN)}
-        assert held.keys() == set(SIDS[:16])
+        placed_at = {line.sid: host for host in hosts for line in host.lines(MessageType.OPEN)}
+        assert placed_at.keys() == set(SIDS[:16])
         for host in hosts[:2]:
             host.die()
-        newer = [platform.host(f"t-{n}", hosts[n].port) for n in range(2)]  # other hosts at the addresses of those gone
+        # Other hosts at the addresses of those that have gone.
+        replacements = [platform.host(f"t-{n}", hosts[n].port) for n in range(2)]
         platform.bulletin.publish(
-            *(host.entry(state="DELETED") for host in hosts[:2]), *(host.entry() for host in newer)
+            *(host.entry(state="DELETED") for host in hosts[:2]), *(host.entry() for host in replacements)
         )
         (tmp_path / "n0" / "config.json").unlink()
         (tmp_path / "n0").rmdir()
@@ -95,9 +96,9 @@
             yield from wait_for(lambda: all(messages_for(link, sid) for sid in SIDS[16:48]))
             assert all([m.kind for m in messages_for(link, sid)] == [Kind.ANSWER] for sid in SIDS[16:48])
             yield from sleep(300)
-            placed = {line.sid for host in [*newer, *hosts[2:]] for line in host.lines(MessageType.OPEN)}
-            assert placed >= set(SIDS[16:48]) and all(host.lines(MessageType.OPEN) for host in newer)
+            placed = {line.sid for host in [*replacements, *hosts[2:]] for line in host.lines(MessageType.OPEN)}
+            assert placed >= set(SIDS[16:48]) and all(host.lines(MessageType.OPEN) for host in replacements)
             closed = {line.sid for host in hosts[2:] for line in host.lines(MessageType.CLOSE)}
-            assert not closed, "the next life lets nothing go that it does not know"
+            assert not closed, "the next incarnation ends no task that it does not know"
 
     run_on_platform(tmp_path, body)
--- a/tests/node/test_message_schedules.py
+++ b/tests/node/test_message_schedules.py
@@ -1,6 +1,6 @@
-"""Drawn schedules of hosts' words, and planted defects that they must find.
+"""Random schedules of hosts' messages, and planted defects that they must find.
 
-By hand: ``python -m tests.node.test_message_schedules FROM TO``.
+To run more seeds: ``python -m tests.node.test_message_schedules FROM TO``.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
     return [fault for seed in seeds for fault in Schedule(seed).play()]
 
 
-# Guards against a call that is over at its host and whose caller is not told, whatever the order of the host's words.
-def test_in_every_drawn_schedule_the_client_hears_what_it_is_owed() -> None:
+# Guards against a task that has ended at its host without its client being told, in any order of the host's messages.
+def test_in_every_random_schedule_clients_are_told_of_ended_tasks() -> None:
     assert faults(range(SCHEDULES)) == []
 
 
@@ -37,15 +37,19 @@
 
 
 DEFECTS: dict[str, Callable[[pytest.MonkeyPatch], None]] = {
-    "words on other connections are dropped": lambda patch: patch.setattr(Tasks, "_handle_message_for_unplaced", _drop),
-    "a release on another connection is not of the attempt": lambda patch: patch.setattr(
+    "messages on other connections are dropped": lambda patch: patch.setattr(
+        Tasks, "_handle_message_for_unplaced", _drop
+    ),
+    "a release on another connection is not matched to the attempt": lambda patch: patch.setattr(
         Tasks, "_belongs_to_attempt", lambda self, attempt, line: False
     ),
-    "what crosses our taking back is dropped": lambda patch: patch.setattr(
+    "messages that cross a withdrawal are dropped": lambda patch: patch.setattr(
         Tasks, "_was_accepted_before_withdrawal", lambda self, entry, machine, line: False
     ),
-    "reasons of accepted tasks are not known": lambda patch: patch.setattr(tasks, "ACCEPTED_TASK_REASONS", frozenset()),
-    "a failure before the answer is not told": lambda patch: patch.setattr(Tasks, "_fail_unanswered", _fail_silently),
+    "reasons of accepted tasks are unknown": lambda patch: patch.setattr(tasks, "ACCEPTED_TASK_REASONS", frozenset()),
+    "a failure before the answer is not reported": lambda patch: patch.setattr(
+        Tasks, "_fail_unanswered", _fail_silently
+    ),
 }
 
 
--- a/tests/node/test_messages_on_another_connection.py
+++ b/tests/node/test_messages_on_another_connection.py
@@ -1,4 +1,4 @@
-"""A host speaks of a task on another connection than the one that carried its set-up, before it has answered there."""
+"""A host sends messages about a task on another connection than that of the set-up, before its answer."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 NOTE = {"note": "cores", "value": "0.5"}
 
 
-def out_on_one_of_two(platform: Platform) -> Co[tuple[Host, Link, Link, Link]]:
-    """A host with two connections, the owner of a task that is out on one of them, that connection, and the other."""
+def offered_on_one_of_two(platform: Platform) -> Co[tuple[Host, Link, Link, Link]]:
+    """Return a host with two connections, the owner of a task offered on one of them, that connection, and the other one."""
     host = platform.host("s-1")
     platform.start()
     owner = yield from two_connections(platform, host)
-    carried: list[Link] = []
+    offers: list[Link] = []
 
-    def leave_out(link: Link, line: Line) -> None:
-        carried.append(link)
+    def ignore_offer(link: Link, line: Line) -> None:
+        offers.append(link)
 
-    host.on_open = leave_out
+    host.on_open = ignore_offer
     owner.transport.write(setup(TASK))
-    yield from wait_for(lambda: bool(carried))
-    [other] = [link for link in host.links if link is not carried[0]]
-    return host, owner, carried[0], other
+    yield from wait_for(lambda: bool(offers))
+    [other] = [link for link in host.links if link is not offers[0]]
+    return host, owner, offers[0], other
 
 
-# Guards against a call that was over at its host and whose caller was never told, since the word came on a connection
-# that did not carry its set-up (incident 8).
+# Guards against a task that has ended at its host without its client being told, since the release arrived on another
+# connection than that of the set-up (incident 8).
 def test_a_release_on_another_connection_before_the_answer_is_passed_on(tmp_path: Path) -> None:
     def body(platform: Platform, noted: bool, cause: int) -> Co[None]:
-        _, owner, carrying, other = yield from out_on_one_of_two(platform)
+        _, owner, carrier, other = yield from offered_on_one_of_two(platform)
         if noted:
             other.send(MessageType.EVENT, TASK, NOTE)
         other.send(MessageType.CLOSE, TASK, code=cause)
         assert (yield from wait_for_message(owner, TASK, Kind.RELEASE, 1000)).cause == 41
-        carrying.send(MessageType.READY, TASK, text="late")
+        carrier.send(MessageType.READY, TASK, text="late")
         yield from sleep(100)
         assert (
             len(messages_for(owner, TASK)) == 1 and platform.standing() == 2 and not platform.service.tasks.ledger.open
@@ -58,13 +58,13 @@
         run_on_platform(tmp_path, functools.partial(body, noted=noted, cause=cause))
 
 
-# Guards against a task that is offered again though its note, on another connection, has told that it stood.
-def test_a_note_on_another_connection_tells_that_a_release_is_of_a_task_that_stood(tmp_path: Path) -> None:
+# Guards against a task being offered again although a note on another connection has shown that it was accepted.
+def test_a_note_on_another_connection_shows_that_a_released_task_was_accepted(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
-        host, owner, carrying, other = yield from out_on_one_of_two(platform)
+        host, owner, carrier, other = yield from offered_on_one_of_two(platform)
         other.send(MessageType.EVENT, TASK, NOTE)
         yield from sleep(50)
-        carrying.send(MessageType.CLOSE, TASK, code=41)
+        carrier.send(MessageType.CLOSE, TASK, code=41)
         assert (yield from wait_for_message(owner, TASK, Kind.RELEASE, 1000)).cause == 41
         assert sum(line.sid == TASK for line in host.lines(MessageType.OPEN)) == 1
 
@@ -72,79 +72,78 @@
 
 
 def withdrawn_at_its_host(noted: bool) -> tuple[TaskHarness, Attempt]:
-    """A task whose first attempt's time was up at its host; the next attempt is out."""
+    """Return a task whose first attempt timed out at its host, with the next attempt offered; and the first attempt."""
     harness = TaskHarness()
-    harness.ask()
-    [first] = harness.outs()
+    harness.submit()
+    [first] = harness.offers()
     if noted:
         harness.tasks.handle_message(first.machine, Line(MessageType.EVENT, SID, NOTE))
     harness.loop.pass_ms(first.deadline - harness.loop.now() + 1.0)
-    assert len(harness.outs()) == 2 and ("give up", first) in harness.events
+    assert len(harness.offers()) == 2 and ("withdraw", first) in harness.events
     return harness, first
 
 
-# Guards against a release that is dropped because the time of its attempt was up right before it was read.
-def test_a_release_of_a_task_that_stood_crosses_our_taking_it_back() -> None:
+# Guards against a release being dropped because its attempt timed out right before it was read.
+def test_a_release_of_an_accepted_task_crosses_its_withdrawal() -> None:
     harness, first = withdrawn_at_its_host(noted=True)
-    latest = harness.outs()[-1]
+    latest = harness.offers()[-1]
     harness.tasks.handle_message(first.machine, Line(MessageType.CLOSE, SID, {}, 41))
     harness.loop.pass_ms(1)
-    assert harness.events[-2:] == [("give up", latest), ("refuse", SID, 41, 0.0)]
+    assert harness.events[-2:] == [("withdraw", latest), ("refuse", SID, 41, 0.0)]
     assert not harness.tasks.ledger.open and not harness.tasks.placed
 
 
-# Guards against a client that is told of an end by the mere echo of an attempt that was taken back.
+# Guards against a client being told of an end by a mere reply to a withdrawal.
 @pytest.mark.parametrize(
     ("noted", "cause"), [(True, 31), (False, 31), (True, 16), (False, 16), (True, 34), (True, 102)]
 )
-def test_what_says_of_no_task_that_stood_ends_no_later_attempt(noted: bool, cause: int) -> None:
+def test_a_reply_to_a_withdrawal_or_a_refusal_ends_no_later_attempt(noted: bool, cause: int) -> None:
     harness, first = withdrawn_at_its_host(noted)
     harness.tasks.handle_message(first.machine, Line(MessageType.CLOSE, SID, {}, cause))
-    harness.say(MessageType.READY, text="made")
+    harness.send_from_host(MessageType.READY, text="made")
     assert harness.events[-1] == ("answer", SID, "made")
 
 
-# Guards against a caller that is told of an end, or never told of one, by a host's answer to an earlier taking back there.
+# Guards against a client being told of an end, or never told of one, by a host's reply to an earlier withdrawal.
 @pytest.mark.parametrize("cause", [16, 31])
-def test_an_answer_to_taking_back_ends_no_task_that_stands_by_a_later_attempt(tmp_path: Path, cause: int) -> None:
+def test_a_reply_to_a_withdrawal_ends_no_task_that_a_later_attempt_placed(tmp_path: Path, cause: int) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start()
         owner = yield from warm(platform, SIDS[0])
-        carrying: list[Link] = []
+        carrier: list[Link] = []
 
-        def hold_the_first(link: Link, line: Line) -> None:
-            carrying.append(link)
-            link.transport.on_end = lambda: None  # it may still say something there
-            if len(carrying) > 1:
+        def answer_the_second(link: Link, line: Line) -> None:
+            carrier.append(link)
+            link.transport.on_end = lambda: None  # the host may still send messages there
+            if len(carrier) > 1:
                 link.send(MessageType.READY, line.sid, text="x")
 
-        host.on_open = hold_the_first
+        host.on_open = answer_the_second
         owner.transport.write(setup(TASK))
         yield from wait_for_message(owner, TASK, Kind.ANSWER)
-        carrying[0].send(
-            MessageType.CLOSE, TASK, code=cause
-        )  # on the connection that was taken back, which is still read
+        # On the connection of the withdrawn set-up, which is still read.
+        carrier[0].send(MessageType.CLOSE, TASK, code=cause)
         yield from sleep(50)
         assert platform.standing() == 2 and len(messages_for(owner, TASK)) == 1
-        carrying[1].send(MessageType.CLOSE, TASK, code=41)
+        carrier[1].send(MessageType.CLOSE, TASK, code=41)
         yield from wait_for_message(owner, TASK, Kind.RELEASE)
 
     run_on_platform(tmp_path, body)
 
 
-# Guards against the end of a set-up that broke on its way being taken for that of the next host's.
-def test_a_break_of_what_was_taken_back_says_nothing_of_another_hosts_attempt() -> None:
+# Guards against the end of a set-up that was lost in transit being attributed to the attempt at the next host.
+def test_the_reset_of_a_withdrawn_attempt_does_not_affect_another_hosts_attempt() -> None:
     harness = TaskHarness()
-    harness.ask()
-    [first] = harness.outs()
+    harness.submit()
+    [first] = harness.offers()
     harness.driver.push(
         i.MachineList(
             i.ListKind.DELTA, (i.MachineEntry(first.machine, i.MachineState.DRAINING, 0, 0, 0, 0.0, 32.0, 64.0),)
         )
     )
     harness.loop.pass_ms(first.deadline - harness.loop.now() + 1.0)
-    assert harness.outs()[-1].machine != first.machine
+    assert harness.offers()[-1].machine != first.machine
     harness.tasks.handle_message(first.machine, Line(MessageType.CLOSE, SID, {}, 41))
-    harness.say(MessageType.READY, text="made")
+    harness.send_from_host(MessageType.READY, text="made")
     assert harness.events[-1] == ("answer", SID, "made")
--- a/tests/node/test_release_before_answer.py
+++ b/tests/node/test_release_before_answer.py
@@ -1,4 +1,4 @@
-"""A host's answer that is held up or lost while notes and the release of the same task arrive."""
+"""A host's answer is delayed or lost while notes and the release of the same task arrive."""
 
 from __future__ import annotations
 
@@ -18,19 +18,23 @@
 NOTE = {"note": "cores", "value": "0.5"}
 
 
-def hosts_that_end(platform: Platform, attrs: dict[str, str], cause: int, noted: bool) -> tuple[list[Host], list[Link]]:
-    """Two hosts; the one that gets the task first ends it without its answer, the other would answer. Also the list
-    that the first host's connection is added to."""
-    ending: list[Link] = []
+def hosts_that_release(
+    platform: Platform, attrs: dict[str, str], cause: int, noted: bool
+) -> tuple[list[Host], list[Link]]:
+    """Return two hosts, and the list to which the connection of the first offer is added.
+
+    The host that is offered the task first releases it without an answer; the other one would answer.
+    """
+    releasing_links: list[Link] = []
 
     def answer(link: Link, line: Line) -> None:
         link.send(MessageType.READY, line.sid, text="x")
 
     def end(link: Link, line: Line) -> None:
-        if ending:
+        if releasing_links:
             answer(link, line)
             return
-        ending.append(link)
+        releasing_links.append(link)
         if noted:
             link.send(MessageType.EVENT, line.sid, NOTE)
         link.send(MessageType.CLOSE, line.sid, attrs, code=cause)
@@ -38,65 +42,65 @@
     found = [platform.host("s-1"), platform.host("s-2")]
     for host in found:
         host.on_open = end
-    return found, ending
+    return found, releasing_links
 
 
-def opened(hosts: list[Host]) -> int:
+def count_offers(hosts: list[Host]) -> int:
     return sum(len(host.lines(MessageType.OPEN)) for host in hosts)
 
 
 @pytest.mark.parametrize("cause", [41, 16, 31])
-def test_a_release_that_overtakes_the_answer_of_a_task_with_notes_is_passed_on(tmp_path: Path, cause: int) -> None:
-    """A note is sent of a standing task only, so the task is over and its client is owed the release."""
+def test_a_release_of_a_task_with_notes_is_passed_on_before_its_answer(tmp_path: Path, cause: int) -> None:
+    """Notes are sent about accepted tasks only, so the task has ended and its client must be sent the release."""
 
     def body(platform: Platform) -> Co[None]:
-        hosts, ending = hosts_that_end(platform, {}, cause, noted=True)
+        hosts, releasing_links = hosts_that_release(platform, {}, cause, noted=True)
         platform.start()
         owner = yield from platform.owner()
         owner.transport.write(setup(TASK))
         assert (yield from wait_for_message(owner, TASK, Kind.RELEASE)).cause == 41
-        ending[0].send(MessageType.READY, TASK, text="late")
+        releasing_links[0].send(MessageType.READY, TASK, text="late")
         yield from sleep(100)
-        assert opened(hosts) == 1 and len(messages_for(owner, TASK)) == 1
+        assert count_offers(hosts) == 1 and len(messages_for(owner, TASK)) == 1
         assert not platform.standing() and not platform.service.tasks.ledger.open
 
     run_on_platform(tmp_path, body)
 
 
 @pytest.mark.parametrize("note", ["evicted", "pushed_out", "sent_away"])
-def test_a_release_that_names_an_end_of_accepted_tasks_is_passed_on(tmp_path: Path, note: str) -> None:
+def test_a_release_with_a_reason_of_accepted_tasks_is_passed_on(tmp_path: Path, note: str) -> None:
     def body(platform: Platform) -> Co[None]:
-        hosts, _ = hosts_that_end(platform, {"note": note}, 41, noted=False)
+        hosts, _ = hosts_that_release(platform, {"note": note}, 41, noted=False)
         platform.start()
         owner = yield from platform.owner()
         owner.transport.write(setup(TASK))
         assert (yield from wait_for_message(owner, TASK, Kind.RELEASE)).cause == 41
         yield from sleep(100)
-        assert opened(hosts) == 1 and len(messages_for(owner, TASK)) == 1
+        assert count_offers(hosts) == 1 and len(messages_for(owner, TASK)) == 1
 
     run_on_platform(tmp_path, body)
 
 
 @pytest.mark.parametrize(("cause", "noted"), [(41, False), (34, True), (102, True)])
-def test_what_never_stood_is_offered_again(tmp_path: Path, cause: int, noted: bool) -> None:
-    """A set-up that broke on its way, and one that by its host's word never ran."""
+def test_a_task_that_was_never_accepted_is_offered_again(tmp_path: Path, cause: int, noted: bool) -> None:
+    """A set-up that was lost in transit, and one that by its host's message never ran."""
 
     def body(platform: Platform) -> Co[None]:
-        hosts, _ = hosts_that_end(platform, {}, cause, noted)
+        hosts, _ = hosts_that_release(platform, {}, cause, noted)
         platform.start()
         owner = yield from platform.owner()
         owner.transport.write(setup(TASK))
         yield from wait_for_message(owner, TASK, Kind.ANSWER)
-        assert opened(hosts) == 2 and len(messages_for(owner, TASK)) == 1 and platform.standing() == 1
+        assert count_offers(hosts) == 2 and len(messages_for(owner, TASK)) == 1 and platform.standing() == 1
 
     run_on_platform(tmp_path, body)
 
 
-def test_a_client_that_names_the_task_once_more_is_not_kept_waiting_for_its_end(tmp_path: Path) -> None:
-    """It may have heard from the host before it heard from us; the host has ended the task and says nothing more."""
+def test_an_ended_task_that_its_client_reports_again_is_not_recorded_as_placed(tmp_path: Path) -> None:
+    """The client may hear of the task from the host first; the host has ended it and will send no further release."""
 
     def body(platform: Platform) -> Co[None]:
-        hosts, _ = hosts_that_end(platform, {}, 41, noted=True)
+        hosts, _ = hosts_that_release(platform, {}, 41, noted=True)
         platform.start()
         owner = yield from platform.owner()
         owner.transport.write(setup(TASK))
@@ -112,28 +116,28 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "heard_by_client"),
+    ("line", "message_to_client"),
     [
         (Line(MessageType.READY, SID, text="made"), ("answer", SID, "made")),
         (Line(MessageType.CLOSE, SID, {"note": "sent_away"}, 41), ("refuse", SID, 41, 0.0)),
     ],
 )
 @pytest.mark.parametrize("action", [i.Refuse, i.Fail])
-def test_what_its_host_settles_while_the_module_gives_it_up_is_settled_once(
-    line: Line, heard_by_client: tuple[object, ...], action: type[i.Refuse] | type[i.Fail]
+def test_a_task_that_its_host_settles_while_the_scheduler_refuses_it_is_settled_once(
+    line: Line, message_to_client: tuple[object, ...], action: type[i.Refuse] | type[i.Fail]
 ) -> None:
-    """Sockets are read between a decision and its being carried out; the task is not open any more by then."""
+    """Sockets are read between a decision and its execution, so the task may not be open any more by then."""
     harness = TaskHarness()
-    harness.ask()
-    [out] = harness.outs()
+    harness.submit()
+    [attempt] = harness.offers()
 
     def decide(now: float, events: list[i.Event]) -> list[i.Action]:
         if len(harness.events) > 1:
             return []
-        harness.tasks.handle_answer(out, line)
-        return [i.Fail(out.entry.request) if action is i.Fail else i.Refuse(out.entry.request, 0.0)]
+        harness.tasks.handle_answer(attempt, line)
+        return [i.Fail(attempt.entry.request) if action is i.Fail else i.Refuse(attempt.entry.request, 0.0)]
 
     harness.driver.scheduler.handle = decide  # type: ignore[method-assign]
     harness.driver.schedule_batch()
     harness.loop.pass_ms(0.0)
-    assert harness.events[1:] == [heard_by_client]
+    assert harness.events[1:] == [message_to_client]
--- a/tests/node/test_release_lost_with_connection.py
+++ b/tests/node/test_release_lost_with_connection.py
@@ -1,4 +1,4 @@
-"""A host's release lies unread on a connection that breaks, while another one to that host is open and well."""
+"""A host's release is lost with a broken connection while another connection to that host is open."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def two_connections(platform: Platform, host: Host) -> Co[Link]:
-    """Start the placer and have it use two connections to the host, each with a task that stands; the owner's link."""
+    """Start the placer and have it use two connections to the host, each with a placed task; return the owner's link."""
     host.on_open = lambda link, line: _answer_later(platform, link, line)
     platform.start()
     owner = yield from platform.owner()
@@ -32,9 +32,9 @@
     platform.loop.call_later(30.0, lambda: link.send(MessageType.READY, line.sid, text="x"))
 
 
-# Guards against a caller that never hears of its call's end: the host says it again on the next connection alone.
+# Guards against a client that is never told of its task's end: the host repeats the release on a new connection only.
 @pytest.mark.parametrize("how", ["reset", "malformed"])
-def test_a_release_lost_with_a_connection_is_asked_for_on_a_new_one(tmp_path: Path, how: str) -> None:
+def test_a_release_lost_with_a_connection_arrives_on_a_new_one(tmp_path: Path, how: str) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         owner = yield from two_connections(platform, host)
@@ -51,8 +51,8 @@
     run_on_platform(tmp_path, body)
 
 
-# Guards against a connection opened anew for each one that the host closes in order: what came before its end was read.
-def test_a_connection_that_its_host_closes_in_order_is_not_replaced_while_another_is_well(tmp_path: Path) -> None:
+# Guards against a new connection for each one that the host closes properly: all input before the end has been read.
+def test_a_connection_that_its_host_closes_properly_is_not_replaced_while_another_is_open(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         yield from two_connections(platform, host)
