--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -53,9 +53,9 @@
 SHUTDOWN_ADMIT_MS = 700.0
 # A process that ends may be killed the longest task deadline after that, which counts as this at most.
 MAX_SHUTDOWN_DEADLINE_MS = 3000.0
-SHUTDOWN_MARGIN_MS = (
-    60.0  # the process ends this long before it may be killed; late set-ups have had their time by then
-)
+# The process ends this long before it may be killed; set-ups that came at the end of SHUTDOWN_ADMIT_MS have had their time
+# by then.
+SHUTDOWN_MARGIN_MS = 60.0
 CLOCK_SLEW = 0.05  # rate at which the aligned clock follows a step of the system's clock, as a share of elapsed time
 
 
--- a/sprucepost/node/tasks.py
+++ b/sprucepost/node/tasks.py
@@ -10,7 +10,7 @@
 waiting   ``Offer``                          the host is sent it as soon as it can be written           offered
 waiting,  ``Refuse``, ``Fail``               the owner is told at once; an open attempt is withdrawn    (ended)
 offered
-waiting,  cancelled, or the owner's          an open attempt is withdrawn, ``RequestAbandoned``                     (ended)
+waiting,  cancelled, or the owner's          an open attempt is withdrawn, ``RequestAbandoned``         (ended)
 offered   connection ended
 offered   answer                             ``Accepted``; the owner is sent the answer                 placed
 offered   release (16) with a description    ``Accepted``, ``Outcome`` ok; the owner is sent answer     (ended)
@@ -37,7 +37,7 @@
 =========== ==================== ================================ ==========================================
 the task is note                 answer                           release
 =========== ==================== ================================ ==========================================
-placed      ``StatusNote``             counted                          the task ends, as above
+placed      ``StatusNote``       counted                          the task ends, as above
 there
 offered     the host has         on the connection of its set-up  see :meth:`Tasks._handle_unanswered_release`
 there       accepted it, so its  only, which is where the host
