--- a/sprucepost/configuration/__init__.py
+++ b/sprucepost/configuration/__init__.py
@@ -1,24 +1,25 @@
-"""The deployment's configuration, the same at every placer: changes made anywhere, in force everywhere.
+"""The deployment's configuration, replicated to every placer; a change can be proposed at any of them.
 
-=============== ====================================================================================================
-``document``    settings documents as values by key path, and back
-``change``      a change, its position in the one order, a version
-``validation``  what the injected validator says of a whole configuration
-``limits``      bounds and times
-``messages``    what replicas send each other, and what a replica tells its carrier
-``state``       the values that a fold has reached, and steps back
-``judge``       whether a configuration may be
-``timeline``    the changes in their order, folded over a base
-``outcomes``    what a merge did to changes that were known before
-``history``     what is kept for display and comparison, bounded
-``ledger``      all that is known: base, live changes, history
-``enforcement`` what of it is in force here
-``door``        whether a proposal may become a change
-``peer``        what is remembered of one connected peer
-``replica``     the state machine; its text says how a carrier uses it
-=============== ====================================================================================================
+========================= ==========================================================================================
+``document``              converts settings documents to flat maps of key paths and back
+``change``                a change, its position in the total order, and versions
+``validation``            the interface of the injected validator
+``limits``                bounds on sizes and times
+``messages``              messages between replicas, and a replica's outputs to its caller
+``state``                 the settings that a fold has reached, with undo
+``configuration_checker`` checks whole configurations
+``timeline``              the ordered changes, folded over a base snapshot
+``merge_events``          the effects of a merge on changes that were known before
+``history``               bounded histories for display and comparison
+``change_store``          everything that a replica knows: base snapshot, live changes, history
+``active_configuration``  the configuration that is in force at this placer
+``proposal_checker``      checks proposals before they become changes
+``peer``                  the synchronization state of one connected peer
+``replica``               the state machine; its docstring shows how to drive it
+========================= ==========================================================================================
 
-Nothing here knows a socket, a clock, randomness or the settings package. Promises: docs/configuration.md.
+The package does no I/O: it uses no socket, clock or random numbers, and doesn't import the settings package. The
+guarantees are described in docs/configuration.md.
 """
 
 from sprucepost.configuration.change import Change, Edit, Position, Version
--- a/sprucepost/configuration/active_configuration.py
+++ b/sprucepost/configuration/active_configuration.py
@@ -1,13 +1,14 @@
-"""What is in force at this placer: its file, the agreed configuration, or the last one that it could run with.
+"""The configuration in force at this placer: its file, the agreed configuration, or the last one it could run with.
 
 ===========  ===========================================  ==========================================================
-a replica    when                                         what is in force here
+state        condition                                    configuration in force here
 ===========  ===========================================  ==========================================================
-unbased      no change is known                           its file
-following    it can run with the agreed configuration     that one
-held         it doesn't know a key, or its own limits     the last one that it could run with, whole
-             forbid it, or it couldn't judge a change
-             and no peer has confirmed the result
+no baseline  no change is known                           the placer's own file
+following    it can run with the agreed configuration     the agreed configuration
+held         the program doesn't know a key, or the       the last one that it could run with, as a whole
+             placer's own limits forbid it, or it could
+             not check a change and no peer has
+             confirmed the result
 ===========  ===========================================  ==========================================================
 """
 
@@ -25,58 +26,59 @@
 
 
 class ActiveConfiguration:
-    """Decides what is in force. ``settle`` is to be called after each change of the timeline."""
+    """Decides which configuration is in force. ``refresh`` must be called after each change of the timeline."""
 
     def __init__(self, timeline: Timeline, checker: ConfigurationChecker, file: Settings) -> None:
         self._timeline, self._checker = timeline, checker
         self._file = dict(file)
         self._in_force: dict[str, Value] | None = None
         self._digest = settings_digest(self._file)
-        self._confirmed = BEFORE_FIRST  # up to there a peer that could judge everything had the same result
+        self._confirmed = BEFORE_FIRST  # a peer that could check all changes up to there has the same result
         self.held: Held | None = None
 
     @property
     def configuration(self) -> dict[str, Value]:
+        """The values in force here, by key path."""
         return dict(self._file if self._in_force is None else self._in_force)
 
     @property
     def saved(self) -> dict[str, Value] | None:
-        """What the next life must begin with; None where that is the file."""
+        """What the next run of this process must start with; None if that is its file."""
         return None if self._in_force is None else dict(self._in_force)
 
     @property
     def agreed_outcome(self) -> int:
-        """64 bits that stand for the agreed configuration; never NO_OUTCOME."""
+        """64-bit digest of the agreed configuration; never NO_OUTCOME."""
         return self._timeline.state.digest or 1
 
     @property
     def outcome(self) -> int:
-        """The same, or NO_OUTCOME while this replica can't vouch for it."""
+        """``agreed_outcome``, or NO_OUTCOME while this replica cannot check all changes."""
         if not self._timeline.has_baseline or self.unconfirmed() is not None:
             return NO_OUTCOME
         return self.agreed_outcome
 
     def resume(self, in_force: Mapping[str, Value] | None) -> None:
-        """Begin with what was in force in the life before."""
+        """Starts with the configuration that was in force in the previous run."""
         if in_force is not None:
             self._in_force = dict(in_force)
             self._digest = settings_digest(self._in_force)
 
     def unconfirmed(self) -> Entry | None:
-        """A change that this program couldn't judge, and whose outcome no peer has confirmed."""
+        """Returns a change that this program could not check and whose outcome no peer has confirmed."""
         return self._timeline.unjudged_after(self._confirmed)
 
     def confirm(self) -> None:
-        """A peer that could judge all changes has come to the same configuration."""
+        """Records that a peer which could check all changes derived the same configuration."""
         self._confirmed = self._timeline.entries[-1].position
 
     def withdraw_confirmation(self, position: Position) -> None:
-        """A change has come in there: what was confirmed with later ones doesn't hold any more."""
+        """Withdraws a confirmation that a change inserted at ``position`` may have invalidated."""
         if position < self._confirmed:
             self._confirmed = BEFORE_FIRST
 
     def refresh(self, version: Version) -> Iterator[Event]:
-        """Put the agreed configuration in force, or hold the last one and say why."""
+        """Puts the agreed configuration in force, or holds the last one and reports why."""
         if not self._timeline.has_baseline:
             return
         obstacle = self._obstacle_to_agreed()
--- a/sprucepost/configuration/change.py
+++ b/sprucepost/configuration/change.py
@@ -1,4 +1,4 @@
-"""One change of the configuration: its edits, who made it, and its place in the order of all changes."""
+"""A configuration change: its edits, its author and its position in the total order of changes."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from sprucepost.configuration.document import Value, canonical_json, fingerprint
 
-MAX_CLOCK = 2**53  # no fleet counts so far: a clock beyond it is a fault of whoever sent it
+MAX_CLOCK = 2**53  # no fleet reaches this Lamport clock; a higher one is an error of the sender
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Position:
-    """A change's identity and its place in the total order: by Lamport clock, then by origin.
+    """The identity of a change and its position in the total order: by Lamport clock, then by origin.
 
-    ``origin`` names one life of one process (such as ``p17/5f3a``), so no two changes ever have one position.
+    ``origin`` names one run of one process (such as ``p17/5f3a``), so no two changes share a position.
     """
 
     clock: int
@@ -24,12 +24,15 @@
         return f"{self.clock}@{self.origin}"
 
 
-BEFORE_FIRST = Position(0, "")  # before every change
+BEFORE_FIRST = Position(0, "")  # orders before every change
 
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """One key's new value, or its removal. ``replaces``: the change whose value the author saw there."""
+    """The new value of one key, or its removal.
+
+    ``replaces`` is the change that had set the value which the author saw.
+    """
 
     key: str
     value: Value = None
@@ -39,9 +42,10 @@
 
 @dataclass(frozen=True)
 class Change:
-    """Edits that take effect together or not at all. ``made_ms`` (wall clock) is for display only.
+    """Edits that are applied atomically.
 
-    ``baseline``: holds the whole file of the fleet's first proposer. Only the first baseline in the order counts.
+    ``made_ms`` is wall-clock time, for display only. A ``baseline`` holds all settings from the file of the fleet's
+    first proposer; only the first baseline in the total order is applied.
     """
 
     position: Position
@@ -53,7 +57,7 @@
 
     @cached_property
     def text(self) -> str:
-        """Canonical JSON of the whole change."""
+        """Canonical JSON of the change."""
         return canonical_json(
             [
                 [self.position.clock, self.position.origin],
@@ -67,12 +71,12 @@
 
     @cached_property
     def size(self) -> int:
-        """Bytes of its text, by which bounds are kept."""
+        """Size of ``text`` in bytes; the size limits apply to it."""
         return len(self.text.encode())
 
     @cached_property
     def fingerprint(self) -> int:
-        """64 bits that stand for this change in digests and summaries."""
+        """64-bit hash that identifies this change in digests and summaries."""
         return fingerprint(self.text)
 
 
@@ -82,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Version:
-    """What a replica knows: the highest clock, and the digest of the set of changes. Equal sets have equal versions."""
+    """The highest known clock and the digest of the set of known changes. Equal sets have equal versions."""
 
     number: int
     digest: int
--- a/sprucepost/configuration/change_store.py
+++ b/sprucepost/configuration/change_store.py
@@ -1,4 +1,4 @@
-"""All that a replica knows: the base, the live changes over it, and what is kept for display. No peers, no effects."""
+"""Everything that a replica knows: the base, the live changes on top of it, and the history for display."""
 
 from __future__ import annotations
 
@@ -15,15 +15,17 @@
 from sprucepost.configuration.state import SettingsState
 from sprucepost.configuration.timeline import ChangeState, Entry, HistoryEntry, Timeline, Verdict
 
-MAX_CLOCK_STEP = 2**32  # a clock that leads ours by more is a fault, not a busy fleet
-COMPACT_BATCH_DIVISOR = 16  # ripe changes are compacted together once they are one in so many of all that may live,
-MAX_RIPE_HORIZONS = 1.25  # or the oldest is so many horizons old
-LIVE_CHANGES_LIMIT_FACTOR = 2  # times the bound, where nothing can be compacted: what comes then is not taken
-KEPT_SHARE = 0.75  # where the bound is passed, so much of it is left
+MAX_CLOCK_STEP = 2**32  # a clock that is further ahead is an error of the sender, not a busy fleet
+# Changes past the horizon are compacted in batches of at least 1/16 of the limit of live changes, or when the oldest
+# reaches this age in horizons.
+MIN_BATCH_DIVISOR = 16
+MAX_AGE_HORIZONS = 1.25
+LIVE_CHANGES_LIMIT_FACTOR = 2  # where nothing can be compacted, further changes are rejected at twice the limit
+KEPT_SHARE = 0.75  # share of the limit that is retained when the limit is exceeded
 
 
 class ChangeStore:
-    """The base and the live changes. Of two bases the one with the greater ``rank`` counts."""
+    """The base and the live changes. Of two bases, the one with the greater ``rank`` takes precedence."""
 
     def __init__(self, checker: ConfigurationChecker, limits: Limits) -> None:
         self._limits = limits
@@ -33,34 +35,35 @@
         self.clock = 0
         self.version = Version(0, 0)
         self.versions = VersionLog(limits.known_versions, self.version)
-        self.fingerprints: deque[int] = deque(maxlen=limits.remembered_fingerprints)  # of changes in the base
+        # of compacted changes
+        self.fingerprints: deque[int] = deque(maxlen=limits.remembered_fingerprints)
         self._base_digest = 0
-        self._forgotten = False  # whether the base holds more changes than fingerprints
-        self.archive_complete_from = (
-            BEFORE_FIRST  # the archive holds every applied change from there on, or had to drop it
-        )
+        self._forgotten = False  # whether the base contains more changes than there are fingerprints
+        # The archive holds each applied change from there on, except those dropped for space.
+        self.archive_complete_from = BEFORE_FIRST
         self._live: dict[int, Position] = {}  # by fingerprint
 
-    # What may be asked
+    # Queries
 
     @property
     def rank(self) -> tuple[Position, int]:
+        """The cut and the digest of the base; the greater one takes precedence."""
         return self.timeline.cut, self._base_digest
 
     @property
     def history(self) -> list[HistoryEntry]:
-        """All changes that are still shown, oldest first."""
-        live = [entry.shown() for entry in self.timeline.entries]
+        """All changes that are still displayed, oldest first."""
+        live = [entry.history_entry() for entry in self.timeline.entries]
         archived = [entry.with_setters(self.timeline.state.setters) for entry in self.archive]
         return sorted([*archived, *self.set_aside, *live], key=lambda entry: entry.change.position)
 
     @property
     def is_full(self) -> bool:
-        """Whether no more changes are taken, since none can be compacted."""
+        """Whether further changes are rejected because none can be compacted."""
         return len(self.timeline.entries) >= self._limits.live_changes * LIVE_CHANGES_LIMIT_FACTOR
 
     def settings_at(self, position: Position) -> dict[str, Value] | None:
-        """The agreed values right after the change at ``position``; None where that is no longer known."""
+        """Returns the agreed values right after the change at ``position``; None if that is no longer known."""
         if position == self.timeline.cut or position in self.timeline:
             return self.timeline.settings_at(position)
         if position not in self.archive or position < self.archive_complete_from:
@@ -74,7 +77,7 @@
         return state.values
 
     def is_plausible(self, change: Change) -> bool:
-        """Whether an honest replica could have sent that."""
+        """Whether a correct replica could have sent this change."""
         clock, origin = change.position.clock, change.position.origin
         return (
             0 < clock <= min(MAX_CLOCK, self.clock + MAX_CLOCK_STEP)
@@ -85,11 +88,11 @@
         )
 
     def is_behind(self, change: Change) -> bool:
-        """Whether the change is from before the base's cut: in the base, or never to be applied."""
+        """Whether the change precedes the base's cut: it is in the base or will never be applied."""
         return change.position <= self.timeline.cut
 
     def is_known(self, change: Change) -> bool:
-        """Whether there is nothing to learn from the change."""
+        """Whether the change is already known."""
         position = change.position
         return (
             position in self.timeline
@@ -99,10 +102,11 @@
         )
 
     def summary(self) -> Summary:
+        """Returns the base's rank and the fingerprints of the live changes."""
         return Summary(*self.rank, tuple(self._live))
 
     def missing_at(self, summary: Summary) -> list[Position]:
-        """Live changes that whoever sent the summary hasn't, and can still take."""
+        """Returns the live changes that the sender of the summary lacks and can still apply."""
         theirs = set(summary.live)
         return [
             position
@@ -111,11 +115,11 @@
         ]
 
     def missing_here(self, summary: Summary) -> bool:
-        """Whether the sender has live changes that are neither live here nor in the base."""
+        """Whether the sender of the summary has live changes that are neither live here nor in the base."""
         return bool(set(summary.live) - self._live.keys() - set(self.fingerprints))
 
     def needs_base_of(self, summary: Summary) -> bool:
-        """Whether the sender's base counts and holds something else than what this ledger has up to there."""
+        """Whether the sender's base takes precedence and differs from the changes known here up to its cut."""
         if (summary.cut, summary.base_digest) <= self.rank:
             return False
         digest = self._base_digest
@@ -125,17 +129,18 @@
         return digest != summary.base_digest
 
     def refused_fingerprints(self) -> tuple[int, ...]:
+        """Returns the fingerprints of the refused live changes."""
         entries = self.timeline.entries
         return tuple(entry.change.fingerprint for entry in entries if entry.verdict is Verdict.REFUSED)
 
     def positions(self, fingerprints: Iterable[int]) -> list[Position]:
-        """Of those live changes; unknown fingerprints are passed over."""
+        """Returns the positions of the live changes with these fingerprints; unknown fingerprints are ignored."""
         return [self._live[each] for each in fingerprints if each in self._live]
 
-    # What happens
+    # Updates
 
     def insert(self, now: float, changes: Sequence[Change]) -> None:
-        """Changes that are new here and later than the cut, in their order."""
+        """Adds changes, in their order, that are not known yet and later than the cut."""
         self.timeline.insert([Entry(change, now) for change in changes])
         digest = self.version.digest
         for change in changes:
@@ -146,35 +151,38 @@
             self.versions.add(self.version, [change])
 
     def set_change_aside(self, change: Change) -> None:
-        """Keep a change that is behind the cut and not in the base; it is never applied."""
-        line = f"{change.edits[0].key}: not in the base, which holds all changes up to {self.timeline.cut}"
+        """Records, for display only, a change that precedes the cut and is not in the base."""
+        reason = f"{change.edits[0].key}: not in the base, which holds all changes up to {self.timeline.cut}"
         if self._forgotten:
-            line += "; if it is older than the changes that are remembered it may have been"
+            reason += "; it may be in the base if it is older than the remembered changes"
         self.archive.remove(change.position)
-        self.set_aside.add(HistoryEntry(change, ChangeState.SET_ASIDE, line, {}))
+        self.set_aside.add(HistoryEntry(change, ChangeState.SET_ASIDE, reason, {}))
 
     # The base
 
     def compact(self, now: float) -> bool:
-        """Fold into the base what is older than the horizon, or too much. False where there is too much and the oldest
-        can't be judged here, so that only another replica's base can help."""
+        """Folds changes that are past the horizon or above the limits into the base.
+
+        Returns False if the limits are exceeded and the oldest changes cannot be checked here, so that only the base of
+        another replica can help.
+        """
         entries, limits = self.timeline.entries, self._limits
-        ripe = 0
-        while ripe < len(entries) and _is_decided(entries[ripe]) and self._age_in_horizons(now, entries[ripe]) >= 1.0:
-            ripe += 1
+        due = 0
+        while due < len(entries) and _is_decided(entries[due]) and self._age_in_horizons(now, entries[due]) >= 1.0:
+            due += 1
         if (
-            ripe
-            and ripe < limits.live_changes // COMPACT_BATCH_DIVISOR
-            and self._age_in_horizons(now, entries[0]) < MAX_RIPE_HORIZONS
+            due
+            and due < limits.live_changes // MIN_BATCH_DIVISOR
+            and self._age_in_horizons(now, entries[0]) < MAX_AGE_HORIZONS
         ):
-            ripe = 0
+            due = 0
         surplus = self._surplus()
-        settled = next((n for n, entry in enumerate(entries[:surplus]) if not _is_decided(entry)), surplus)
-        self._fold_into_base(max(ripe, settled))
-        return settled == surplus
+        decided = next((n for n, entry in enumerate(entries[:surplus]) if not _is_decided(entry)), surplus)
+        self._fold_into_base(max(due, decided))
+        return decided == surplus
 
     def snapshot(self) -> Snapshot:
-        """The base for another replica, or for the next life."""
+        """Returns the base, for another replica or for the next run of this process."""
         base = self.timeline.base
         return Snapshot(
             *self.rank,
@@ -184,12 +192,12 @@
         )
 
     def accepts(self, snapshot: Snapshot) -> bool:
-        """Whether that base counts, and could be an honest replica's."""
+        """Whether that base takes precedence and could have come from a correct replica."""
         is_plausible = snapshot.cut.clock <= MAX_CLOCK and len(snapshot.settings) <= self._limits.configuration_keys
         return is_plausible and (snapshot.cut, snapshot.digest) > self.rank
 
     def adopt(self, snapshot: Snapshot) -> list[Change]:
-        """Take that base in place of the own one, and set aside what isn't in it: these changes are the result."""
+        """Replaces the base and sets aside the changes that the new one lacks; returns those."""
         base = SettingsState()
         for record in snapshot.settings:
             base.put(record.key, record.value, record.setter)
@@ -201,15 +209,14 @@
         not_held = [change for change in behind if change.fingerprint not in held]
         for entry in dropped:
             if entry.change.fingerprint in held:
-                self.archive.add(entry.shown())
+                self.archive.add(entry.history_entry())
             else:
                 not_held.append(entry.change)
         for change in not_held:
             self.set_change_aside(change)
         for aside in self.set_aside:
-            if (
-                aside.change.fingerprint in held
-            ):  # set aside for another base; what became of its keys, their setters tell
+            # Missing in an earlier base, but not in this one. The setters of its keys determine its state.
+            if aside.change.fingerprint in held:
                 self.set_aside.remove(aside.change.position)
                 self.archive.add(HistoryEntry(aside.change, ChangeState.IN_FORCE, "", {}))
         self.archive_complete_from = snapshot.cut
@@ -226,11 +233,11 @@
         self.versions = VersionLog(self._limits.known_versions, self.version)
 
     def _age_in_horizons(self, now: float, entry: Entry) -> float:
-        """In horizons."""
-        return (now - entry.since_ms) / self._limits.horizon_ms
+        """Returns the age of an entry in multiples of the horizon."""
+        return (now - entry.received_ms) / self._limits.horizon_ms
 
     def _surplus(self) -> int:
-        """How many of the oldest must go to keep the bounds; the newest always stays."""
+        """Returns how many of the oldest changes exceed the limits; the newest is always retained."""
         entries, limits = self.timeline.entries, self._limits
         if len(entries) <= limits.live_changes and self.timeline.size <= limits.live_bytes:
             return 0
@@ -249,7 +256,7 @@
             self.fingerprints.append(fingerprint)
             self._base_digest ^= fingerprint
             del self._live[fingerprint]
-            self.archive.add(replace(entry.shown(), previous=tuple(entry.undo)))
+            self.archive.add(replace(entry.history_entry(), previous=tuple(entry.undo)))
 
 
 def _is_decided(entry: Entry) -> bool:
--- a/sprucepost/configuration/configuration_checker.py
+++ b/sprucepost/configuration/configuration_checker.py
@@ -1,4 +1,4 @@
-"""Whether a configuration may be: the injected validator, the keys that may be changed, and the bounds on size."""
+"""Checks whole configurations: the injected validator, the changeable keys and the size limits."""
 
 from __future__ import annotations
 
@@ -10,32 +10,35 @@
 from sprucepost.configuration.state import SettingsState
 from sprucepost.configuration.validation import ChangeableKeys, Problem, ProblemKind, Validator
 
-MAX_CACHED_RESULTS = 256  # configurations whose problems are kept,
-MAX_CACHED_KEYS = 4096  # and keys that are known to be deployment-wide
+MAX_CACHED_RESULTS = 256  # configurations
+MAX_CACHED_KEYS = 4096  # keys found to be deployment-wide
 
 
 class ConfigurationChecker:
-    """Judges whole configurations. All but LOCAL problems follow from the configuration and this program alone."""
+    """Checks whole configurations.
+
+    All problems except LOCAL ones depend on the configuration and this program version alone.
+    """
 
     def __init__(self, validator: Validator, changeable: ChangeableKeys, limits: Limits) -> None:
         self._validator, self._changeable, self._limits = validator, changeable, limits
-        self._known: dict[int, Sequence[Problem]] = {}  # by the configuration's digest
-        self._deployment_wide: set[str] = set()  # keys that were found to be
+        self._results: dict[int, Sequence[Problem]] = {}  # by digest of the configuration
+        self._deployment_wide: set[str] = set()  # cache of keys that passed the check
 
     def problems(self, state: SettingsState) -> Sequence[Problem]:
-        """All that is wrong with these values."""
-        if state.digest not in self._known:
-            if len(self._known) >= MAX_CACHED_RESULTS:
-                del self._known[next(iter(self._known))]
-            self._known[state.digest] = self._find_problems(state)
-        return self._known[state.digest]
+        """Returns all problems of these settings; results are cached."""
+        if state.digest not in self._results:
+            if len(self._results) >= MAX_CACHED_RESULTS:
+                del self._results[next(iter(self._results))]
+            self._results[state.digest] = self._find_problems(state)
+        return self._results[state.digest]
 
-    def forget(self) -> None:
-        """This placer's own settings have changed, and with them what LOCAL problems there are."""
-        self._known.clear()
+    def clear_cache(self) -> None:
+        """Drops the cached results: this placer's own settings have changed, and with them the LOCAL problems."""
+        self._results.clear()
 
     def unknown_key(self, change: Change) -> str | None:
-        """A key of the change that isn't deployment-wide, as far as this program knows."""
+        """Returns a key of the change that this program does not know as deployment-wide, if any."""
         return next((edit.key for edit in change.edits if edit.key not in self._changeable), None)
 
     def _find_problems(self, state: SettingsState) -> Sequence[Problem]:
@@ -48,8 +51,8 @@
         try:
             return found + list(self._validator(dict(state.values)))
         except DocumentError as error:
-            line = str(error)
-            return [*found, Problem(ProblemKind.INVALID, line.partition(":")[0], line)]
+            reason = str(error)
+            return [*found, Problem(ProblemKind.INVALID, reason.partition(":")[0], reason)]
 
     def _is_deployment_wide(self, key: str) -> bool:
         if key not in self._changeable:
@@ -61,9 +64,9 @@
     def _size_problems(self, state: SettingsState) -> list[Problem]:
         limits = self._limits
         if state.size > limits.configuration_bytes:
-            line = f"configuration: {state.size} bytes, {limits.configuration_bytes} at most"
-            return [Problem(ProblemKind.INVALID, "configuration", line)]
+            reason = f"configuration: {state.size} bytes, {limits.configuration_bytes} at most"
+            return [Problem(ProblemKind.INVALID, "configuration", reason)]
         if len(state.values) > limits.configuration_keys:
-            line = f"configuration: {len(state.values)} keys, {limits.configuration_keys} at most"
-            return [Problem(ProblemKind.INVALID, "configuration", line)]
+            reason = f"configuration: {len(state.values)} keys, {limits.configuration_keys} at most"
+            return [Problem(ProblemKind.INVALID, "configuration", reason)]
         return []
--- a/sprucepost/configuration/document.py
+++ b/sprucepost/configuration/document.py
@@ -1,9 +1,9 @@
-"""Settings documents as flat maps of key paths to values, and back.
+"""Converts settings documents to flat maps of key paths to values, and back.
 
-A change names single keys, so that two operators who change different keys don't hinder each other. A JSON document becomes
-a map of paths such as ``cluster.max_attempts``. Elements of a list of objects that all have a ``name`` are addressed by it
-(``cluster.classes[batch].aim_ms``), and the order of such a list is a key of its own (``cluster.classes[]``); elements that
-it doesn't mention follow in the order of their names. Any other list is one value.
+A change edits single keys, so that two operators who change different keys don't conflict. A JSON document is flattened
+to paths such as ``cluster.max_attempts``. If all elements of a list are objects with a ``name``, they are addressed by
+it (``cluster.classes[batch].aim_ms``), and the order of the list is a key of its own (``cluster.classes[]``); elements
+missing from that order follow it, sorted by name. Any other list is a single value.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from functools import lru_cache
 from typing import Any
 
-Value = Any  # what JSON can hold: None, bool, int, float, str, and lists and dicts of these
+Value = Any  # a JSON value: None, bool, int, float, str, and lists and dicts of these
 Settings = Mapping[str, Value]
 
-ORDER_SUFFIX = "[]"  # ends the key that holds the order of a list of named objects
+ORDER_SUFFIX = "[]"  # suffix of the key that holds the order of a list of named objects
 
 
 class DocumentError(Exception):
-    """Keys that can't stand together in one document. The text is one line that names the key."""
+    """Keys that cannot form one document. The text is a single line that names the key."""
 
 
 def flatten(document: Mapping[str, Value], prefix: str = "") -> dict[str, Value]:
-    """The values of a document by key path."""
+    """Returns the values of a document by key path."""
     found: dict[str, Value] = {}
     for name, value in document.items():
         found.update(_flatten_value(f"{prefix}.{name}" if prefix else name, value))
@@ -33,7 +33,10 @@
 
 
 def expand(settings: Settings) -> dict[str, Value]:
-    """The document that these values make; DocumentError where one key is inside another or a path is malformed."""
+    """Returns the document with these values.
+
+    Raises DocumentError where a key is nested in another key's value or a path is malformed.
+    """
     root = _Node()
     for key in sorted(settings):
         _insert(root, key, settings[key])
@@ -42,22 +45,22 @@
 
 
 def canonical_json(value: Value) -> str:
-    """JSON text that is equal for equal values, whatever the order of their keys."""
+    """Returns JSON text that is equal for equal values, independent of the order of their keys."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False)
 
 
 def fingerprint(text: str) -> int:
-    """64 bits of a hash of the text."""
+    """Returns a 64-bit hash of the text."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def key_fingerprint(key: str, value: Value) -> int:
-    """The part of one key in the digest of a whole configuration."""
+    """Returns the contribution of one key to the digest of a configuration."""
     return fingerprint(f"{key}={canonical_json(value)}")
 
 
 def settings_digest(settings: Settings) -> int:
-    """64 bits that are equal for equal configurations."""
+    """Returns a 64-bit digest that is equal for equal configurations."""
     digest = 0
     for key, value in settings.items():
         digest ^= key_fingerprint(key, value)
@@ -65,7 +68,7 @@
 
 
 class _Node:
-    """One object or list of named objects under construction."""
+    """An object or list of named objects under construction."""
 
     __slots__ = ("members", "named", "order")
 
@@ -98,7 +101,7 @@
 
 @lru_cache(maxsize=8192)
 def _path_steps(key: str) -> tuple[tuple[str, str | None], ...]:
-    """The steps of a path: a member's name and, for an element of a list, the element's name."""
+    """Returns the steps of a path: the name of a member and, for a list element, the name of the element."""
     return tuple(_parse_path(key))
 
 
@@ -111,13 +114,13 @@
         if rest.startswith("["):
             element, closed, rest = rest[1:].partition("]")
             if not closed:
-                raise DocumentError(f"{key}: a bracket isn't closed")
+                raise DocumentError(f"{key}: unclosed bracket")
         if not name:
-            raise DocumentError(f"{key}: not a key path")
+            raise DocumentError(f"{key}: malformed key path")
         yield name, element
         if rest:
             if not rest.startswith(".") or rest == ".":
-                raise DocumentError(f"{key}: not a key path")
+                raise DocumentError(f"{key}: malformed key path")
             rest = rest[1:]
 
 
@@ -130,33 +133,33 @@
         last = depth == len(steps) - 1
         if last and element is None:
             if name in node.members:
-                raise DocumentError(f"{key}: another key stands inside it")
+                raise DocumentError(f"{key}: another key is nested in it")
             node.members[name] = value
             return
         inner = node.members.get(name)
         if inner is None and name not in node.members:
             inner = node.members[name] = _Node()
         if not isinstance(inner, _Node):
-            raise DocumentError(f"{key}: stands inside another key's value")
+            raise DocumentError(f"{key}: is nested in another key's value")
         node = inner
         if element is None:
             continue
         if not element:
             if not last or not isinstance(value, list):
-                raise DocumentError(f"{key}: not the order of a list")
+                raise DocumentError(f"{key}: must be the order of a list")
             node.order = [each for each in value if isinstance(each, str)]
             return
         if element not in node.named:
             node.named[element] = _Node()
         node = node.named[element]
     if value != {}:
-        raise DocumentError(f"{key}: an element of a list is set by its keys")
+        raise DocumentError(f"{key}: a list element can only be set by its keys")
 
 
 def _build(node: _Node) -> Value:
     if node.named or node.order is not None:
         if node.members:
-            raise DocumentError(f"{next(iter(node.members))}: stands in a list of named objects")
+            raise DocumentError(f"{next(iter(node.members))}: is nested in a list of named objects")
         ordered = [name for name in node.order or [] if name in node.named]
         ordered += sorted(node.named.keys() - set(ordered))
         return [{"name": name, **_build(node.named[name])} for name in ordered]
--- a/sprucepost/configuration/history.py
+++ b/sprucepost/configuration/history.py
@@ -1,4 +1,4 @@
-"""What is kept for display and for comparison beside the live changes: bounded, the oldest go first."""
+"""Bounded histories for display and comparison; the oldest entries are dropped first."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BoundedHistory:
-    """Entries by position, at most so many and of so many bytes. The one that was added first goes first."""
+    """Entries by position, bounded in number and in bytes. The entry that was added first is dropped first."""
 
     def __init__(self, changes: int, size: int) -> None:
         self._max_changes, self._max_bytes = changes, size
@@ -29,7 +29,7 @@
 
     @property
     def has_dropped(self) -> bool:
-        """Whether anything had to go for something newer."""
+        """Whether an entry was ever dropped for a newer one."""
         return self.dropped > 0
 
     def add(self, entry: HistoryEntry) -> None:
@@ -48,18 +48,18 @@
 
 
 class VersionLog:
-    """The versions that this replica has had, and which keys changed from each to the next."""
+    """The past versions of this replica, with the keys that changed from each to the next."""
 
     def __init__(self, versions: int, first: Version) -> None:
         self._steps: deque[tuple[Version, frozenset[str]]] = deque([(first, frozenset())], versions)
 
     def add(self, version: Version, changes: Iterable[Change]) -> None:
-        """These changes led to this version."""
+        """Records the version that results from these changes."""
         keys = frozenset(edit.key for change in changes for edit in change.edits)
         self._steps.append((version, keys))
 
     def keys_since(self, version: Version) -> frozenset[str] | None:
-        """Keys that changes have touched since the replica had that version; None where it never had, or forgot it."""
+        """Returns the keys changed since that version; None if the replica never had the version or has dropped it."""
         keys: set[str] = set()
         for known, touched in reversed(self._steps):
             if known == version:
--- a/sprucepost/configuration/merge_events.py
+++ b/sprucepost/configuration/merge_events.py
@@ -1,4 +1,4 @@
-"""What a merge did to changes that were known before: the events that an operator must see."""
+"""Derives the operator events of a merge: which known changes it refused or overwrote."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MergeEvents:
-    """Remembers how things stand in a timeline; ``events`` compares that with how they stand later."""
+    """Records the verdicts and setters of a timeline; ``events`` compares them with those after a merge."""
 
     def __init__(self, timeline: Timeline) -> None:
         self._timeline = timeline
@@ -18,7 +18,7 @@
         self._setters = dict(timeline.state.setters)
 
     def events(self) -> Iterator[Event]:
-        """Changes that are refused now and weren't, and values that were replaced unseen."""
+        """Yields changes that the merge refused, and values that were replaced by an author who had not seen them."""
         yield from self._refusals()
         yield from self._overwrites()
 
@@ -40,8 +40,10 @@
 
 
 def unseen_overwrite(timeline: Timeline, key: str, before: Position, after: Position) -> Position | None:
-    """The change that replaced ``before``'s value of ``key`` without its author having seen it; None where every change
-    from there to ``after`` was made in sight of the one it replaced."""
+    """Returns the change that replaced the value of ``key`` set by ``before`` although its author had not seen it.
+
+    None if the author of each change from ``before`` to ``after`` had seen the value that it replaced.
+    """
     latest = after
     while True:
         entry = timeline.entry(latest)
--- a/sprucepost/configuration/messages.py
+++ b/sprucepost/configuration/messages.py
@@ -1,4 +1,4 @@
-"""What replicas send each other, and what a replica tells whoever carries it."""
+"""Messages between replicas, and the outputs of a replica to its caller."""
 
 from __future__ import annotations
 
@@ -12,8 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """Rides on each heartbeat. ``changes``: the set of changes known; ``outcome``: the agreed configuration, 0 where this
-    replica couldn't judge all changes."""
+    """Sent with each heartbeat.
+
+    ``changes`` is the digest of the known changes, ``outcome`` that of the agreed configuration; 0 if this replica
+    could not check all changes.
+    """
 
     changes: int
     outcome: int
@@ -21,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What the sender has: its base, and the fingerprint of each live change. Sent where digests differ."""
+    """The sender's base and the fingerprints of its live changes. Sent when digests differ."""
 
     cut: Position
     base_digest: int
@@ -30,19 +33,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Changes that the receiver may not have, oldest first."""
+    """Changes that the receiver may lack, oldest first."""
 
     changes: tuple[Change, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRequest:
-    """Asks for the sender's base."""
+    """Requests the receiver's base as a snapshot."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingRecord:
-    """One key of a base: its value, and the change that set it."""
+    """One key of a base: its value and the change that set it."""
 
     key: str
     value: Value
@@ -51,24 +54,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A whole base: the agreed configuration at ``cut``, and the fingerprints of the latest changes that went into it."""
+    """A base: the agreed configuration at ``cut`` and the fingerprints of the latest changes compacted into it.
+
+    ``forgotten``: more changes were compacted than there are fingerprints.
+    """
 
     cut: Position
     digest: int
     settings: tuple[SettingRecord, ...]
     fingerprints: tuple[int, ...]
-    forgotten: bool  # whether there were more changes than fingerprints
+    forgotten: bool
 
 
 @dataclass(frozen=True, slots=True)
 class VerdictsRequest:
-    """From a replica that couldn't judge all changes: asks for the verdicts of one that could."""
+    """Sent by a replica that could not check all changes, to a peer that could: requests its verdicts."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdicts:
-    """For that set of changes: the agreed configuration, and the fingerprints of the changes that are refused among those
-    later than the sender's cut."""
+    """The verdicts on the set of changes with the digest ``changes``.
+
+    ``outcome`` is the digest of the agreed configuration, ``refused`` the fingerprints of the refused changes later
+    than the sender's ``cut``.
+    """
 
     changes: int
     outcome: int
@@ -79,12 +88,12 @@
 Message = Digest | Summary | Changes | SnapshotRequest | Snapshot | VerdictsRequest | Verdicts
 
 
-# Outputs to the carrier
+# Outputs to the caller
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send that message to a connected peer."""
+    """Send this message to a connected peer."""
 
     peer: int
     message: Message
@@ -92,14 +101,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """Another configuration is in force here; read it from the replica."""
+    """Another configuration has come into force here; read it from the replica."""
 
     version: Version
 
 
 @dataclass(frozen=True, slots=True)
 class Overwritten:
-    """A key's value that was in force here was replaced by a change whose author hadn't seen it."""
+    """A value that was in force here was replaced by a change whose author had not seen it (a concurrent write)."""
 
     position: Position
     key: str
@@ -108,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A known change isn't applied: ``line`` names the key."""
+    """A known change is not applied. ``reason`` is a single line that names the key."""
 
     position: Position
     reason: str
@@ -116,14 +125,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAside:
-    """A change from before the base's cut that isn't in the base: kept and shown, not applied."""
+    """A change from before the base's cut that is not in the base: retained for display, never applied."""
 
     position: Position
 
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """The agreed configuration can't come into force here; the last one stays. ``line`` names the key."""
+    """The agreed configuration cannot come into force here; the last one stays.
+
+    ``reason`` is a single line that names the key.
+    """
 
     key: str
     reason: str
@@ -131,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Diverged:
-    """A peer has the same changes and another result: its program has other rules."""
+    """A peer derives another configuration from the same changes: its program validates differently."""
 
     peer: int
     version: Version
--- a/sprucepost/configuration/proposal_checker.py
+++ b/sprucepost/configuration/proposal_checker.py
@@ -1,4 +1,4 @@
-"""Whether a proposal may become a change: checked at the replica where it is made, before anybody else hears of it."""
+"""Checks proposals at the replica where they are made, before they become changes and are sent to peers."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from sprucepost.configuration.state import SettingsState
 from sprucepost.configuration.validation import ChangeableKeys
 
-COMMENT_LENGTH_FACTOR = 4  # a comment may be so many times as long as a key
+COMMENT_LENGTH_FACTOR = 4  # maximum length of a comment, as a multiple of that of a key
 
 
 @dataclass(frozen=True, slots=True)
 class KeyEdit:
-    """One key's new value, or its removal, as an operator asks for it."""
+    """The new value of one key, or its removal, as requested by an operator."""
 
     key: str
     value: Value = None
@@ -27,8 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """What an operator asks for. ``against``: the version that was read before, where none of the keys may have changed
-    since. ``made_ms``: wall clock, for display."""
+    """A change requested by an operator.
+
+    With ``against``, the proposal is refused if one of its keys has changed since that version (optimistic
+    concurrency control). ``made_ms`` is wall-clock time, for display only.
+    """
 
     edits: tuple[KeyEdit, ...]
     author: str
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Receipt:
-    """The answer to a proposal: the new change's position, or one line that says why there is none."""
+    """The answer to a proposal: the position of the new change, or a single line that says why it was refused."""
 
     version: Version
     position: Position | None = None
@@ -47,28 +50,30 @@
 
 
 class ProposalRefusedError(Exception):
-    """A proposal can't become a change. The text is one line, with the key where one is at fault."""
+    """A proposal cannot become a change. The text is a single line that names the key, if one is at fault."""
 
 
 class ProposalChecker:
-    """Checks proposals. ``check_*`` raise Refusal."""
+    """Checks proposals. The ``check_*`` methods raise ProposalRefusedError."""
 
     def __init__(self, checker: ConfigurationChecker, changeable: ChangeableKeys, limits: Limits, now: float) -> None:
         self._checker, self._changeable, self._limits = checker, changeable, limits
         self._tokens, self._refilled_ms = limits.proposals_burst, now
 
     def check_rate(self, now: float) -> None:
-        """One change more from this replica. To be called last: it counts."""
+        """Takes one token from this replica's rate limit. Call it last, as it consumes the token."""
         limits = self._limits
-        passed_s = max(0.0, now - self._refilled_ms) / 1000.0
-        self._tokens = min(limits.proposals_burst, self._tokens + passed_s * limits.proposals_per_s)
+        elapsed_s = max(0.0, now - self._refilled_ms) / 1000.0
+        self._tokens = min(limits.proposals_burst, self._tokens + elapsed_s * limits.proposals_per_s)
         self._refilled_ms = max(self._refilled_ms, now)
         if self._tokens < 1.0:
-            raise ProposalRefusedError(f"too many changes at this placer: {limits.proposals_per_s:g} a second for long")
+            raise ProposalRefusedError(
+                f"too many changes at this placer: the limit is {limits.proposals_per_s:g} a second"
+            )
         self._tokens -= 1.0
 
     def check_form(self, proposal: Proposal, max_edits: int) -> None:
-        """Sizes and keys, whatever the configuration is."""
+        """Checks sizes and keys, independent of the current configuration."""
         keys = [edit.key for edit in proposal.edits]
         if not keys:
             raise ProposalRefusedError("no key is changed")
@@ -89,44 +94,44 @@
             )
 
     def check_against(self, proposal: Proposal, versions: VersionLog) -> None:
-        """None of the keys has changed since the version that the proposal names."""
+        """Checks that none of the keys has changed since the version that the proposal refers to."""
         if proposal.against is None:
             return
-        touched = versions.keys_since(proposal.against)
-        if touched is None:
+        changed_keys = versions.keys_since(proposal.against)
+        if changed_keys is None:
             raise ProposalRefusedError(f"version {proposal.against} isn't known at this placer: read the status again")
         for edit in proposal.edits:
-            if edit.key in touched:
+            if edit.key in changed_keys:
                 raise ProposalRefusedError(f"{edit.key}: has changed since version {proposal.against}")
 
     def check_size(self, change: Change, max_edits: int) -> None:
-        """The change isn't too large; where more edits than usual may be in it, more bytes may be too."""
+        """Checks the size of the change; the limit is higher where more edits than usual are allowed."""
         limits = self._limits
-        most = limits.change_bytes if max_edits == limits.edits else limits.large_change_bytes
-        if change.size > most:
-            raise ProposalRefusedError(f"{change.edits[0].key}: a change of {change.size} bytes, {most} at most")
+        max_bytes = limits.change_bytes if max_edits == limits.edits else limits.large_change_bytes
+        if change.size > max_bytes:
+            raise ProposalRefusedError(f"{change.edits[0].key}: a change of {change.size} bytes, {max_bytes} at most")
 
     def check_baseline(self, baseline: Change) -> SettingsState:
-        """The configuration that the placer's own file makes; it must be valid before anything is changed in it."""
+        """Returns the configuration of the placer's own file, which must be valid before it can be changed."""
         state = SettingsState()
         for edit in baseline.edits:
             state.edit(edit, baseline.position)
         problems = self._checker.problems(state)
         if problems:
             raise ProposalRefusedError(
-                f"{problems[0].reason} (in this placer's own file, from which the fleet would begin)"
+                f"{problems[0].reason} (in this placer's own file, which would become the baseline of the fleet)"
             )
         return state
 
     def check_result(self, edits: Sequence[Edit], state: SettingsState) -> None:
-        """The whole configuration with these edits is one that this placer can run with."""
+        """Checks that the edits change something and that this placer can run with the resulting configuration."""
         trial = state.copy()
         for edit in edits:
             if edit.removed and edit.key not in trial.values:
-                raise ProposalRefusedError(f"{edit.key}: has no value that could be removed")
+                raise ProposalRefusedError(f"{edit.key}: has no value to remove")
             trial.edit(edit, Position(0, ""))
         if trial.digest == state.digest:
-            raise ProposalRefusedError(f"{edits[0].key}: has that value already")
+            raise ProposalRefusedError(f"{edits[0].key}: already has that value")
         problems = self._checker.problems(trial)
         if problems:
             raise ProposalRefusedError(problems[0].reason)
--- a/sprucepost/configuration/state.py
+++ b/sprucepost/configuration/state.py
@@ -1,4 +1,4 @@
-"""The values that a fold has reached, which change set each, and how to take a step back."""
+"""The settings that a fold has reached, the change that set each of them, and undo records."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Undo:
-    """What one key had before it was edited."""
+    """The state of one key before an edit."""
 
     key: str
     present: bool
@@ -19,7 +19,10 @@
 
 
 class SettingsState:
-    """Values by key, with their digest and size kept up to date. A removed key keeps its setter."""
+    """Values by key, with an incrementally updated digest and size.
+
+    ``setters`` names the change that last set or removed each key; a removed key keeps its setter.
+    """
 
     def __init__(self) -> None:
         self.values: dict[str, Value] = {}
@@ -34,7 +37,7 @@
         return other
 
     def edit(self, edit: Edit, setter: Position) -> Undo:
-        """Apply one edit; the result takes it back."""
+        """Applies one edit; returns the record that undoes it."""
         key = edit.key
         undo = Undo(key, key in self.values, self.values.get(key), self.setters.get(key))
         self._remove(key)
@@ -44,13 +47,13 @@
         return undo
 
     def put(self, key: str, value: Value, setter: Position) -> None:
-        """A value with its setter, as a snapshot has it."""
+        """Sets a value and its setter, as read from a snapshot."""
         self._remove(key)
         self._put(key, value)
         self.setters[key] = setter
 
     def restore(self, undo: Undo) -> None:
-        """Take one edit back; edits are taken back in the reverse of their order."""
+        """Undoes one edit. Edits must be undone in reverse order."""
         self._remove(undo.key)
         if undo.present:
             self._put(undo.key, undo.value)
@@ -60,9 +63,9 @@
             self.setters[undo.key] = undo.setter
 
     def forget_removed(self, up_to: Position | None = None) -> None:
-        """Drop the setters of keys that have no value, where given of those removed by then."""
-        gone = [key for key in self.setters if key not in self.values]
-        for key in gone:
+        """Drops the setters of removed keys; with ``up_to``, only of keys removed at or before that position."""
+        removed = [key for key in self.setters if key not in self.values]
+        for key in removed:
             if up_to is None or self.setters[key] <= up_to:
                 del self.setters[key]
 
--- a/sprucepost/configuration/timeline.py
+++ b/sprucepost/configuration/timeline.py
@@ -1,7 +1,7 @@
-"""The known changes in their order, folded over a base: which of them hold, and what configuration follows.
+"""The known changes in their total order, folded over a base: the verdict on each, and the resulting configuration.
 
-The fold is a function of the base and the set of changes alone. A change that comes in between is put in its place: the
-fold steps back to there and forward again.
+The result depends on the base and the set of changes alone. A change that arrives out of order is inserted at its
+position: the later changes are undone and applied again.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 
 
 class ChangeState(Enum):
-    """What has become of a change, for the history."""
+    """The state of a change, as shown in the history."""
 
-    IN_FORCE = "in force"  # at least one of its keys has its value from it
-    SUPERSEDED = "superseded"  # later changes have replaced all that it set, or another baseline came first
-    REFUSED = "refused"  # the whole result would be invalid
-    UNJUDGED = "not judged"  # this program doesn't know a key; taken as accepted, and not put in force
-    WAITING = "waiting"  # no baseline before it has been received yet
-    SET_ASIDE = "set aside"  # from before the base's cut, and not in the base
+    IN_FORCE = "in force"  # at least one key still has the value that it set
+    SUPERSEDED = "superseded"  # later changes replaced all its values, or an earlier baseline exists
+    REFUSED = "refused"  # the resulting configuration would be invalid
+    UNJUDGED = "not judged"  # this program doesn't know a key; treated as accepted, but not put in force
+    WAITING = "waiting"  # no earlier baseline has been received yet
+    SET_ASIDE = "set aside"  # precedes the base's cut and is not in the base
 
 
 class Verdict(Enum):
-    """What the fold decided about a change."""
+    """The decision of the fold about a change."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
     UNJUDGED = "unjudged"
     WAITING = "waiting"
-    REDUNDANT = "redundant"  # a baseline that isn't the first
+    REDUNDANT = "redundant"  # a baseline that is not the first one
 
 
 APPLIED = (Verdict.ACCEPTED, Verdict.UNJUDGED)
@@ -44,8 +44,11 @@
 
 @dataclass(frozen=True)
 class HistoryEntry:
-    """A change as the history shows it. ``superseded_by``: for each key of it that was replaced, by which change.
-    ``previous``: of a compacted change, what its keys had before it."""
+    """A change as shown in the history.
+
+    ``superseded_by`` maps each replaced key to the change that replaced its value. ``previous`` holds, for a compacted
+    change, the undo records of its edits.
+    """
 
     change: Change
     state: ChangeState
@@ -54,7 +57,7 @@
     previous: tuple[Undo, ...] = ()
 
     def with_setters(self, setters: Mapping[str, Position]) -> HistoryEntry:
-        """The entry of a compacted change, which later changes may have superseded since."""
+        """Returns the entry of a compacted change, updated with the changes that have superseded it since."""
         if self.state is not ChangeState.IN_FORCE:
             return self
         position = self.change.position
@@ -64,18 +67,18 @@
             if edit.key not in self.superseded_by and setters.get(edit.key, position) != position
         }
         superseded_by = {**self.superseded_by, **replaced}
-        holds = any(edit.key not in superseded_by for edit in self.change.edits)
+        in_force = any(edit.key not in superseded_by for edit in self.change.edits)
         return replace(
-            self, state=ChangeState.IN_FORCE if holds else ChangeState.SUPERSEDED, superseded_by=superseded_by
+            self, state=ChangeState.IN_FORCE if in_force else ChangeState.SUPERSEDED, superseded_by=superseded_by
         )
 
 
 @dataclass
 class Entry:
-    """A change in its place, with what the fold made of it."""
+    """A live change in the timeline, with the verdict of the fold."""
 
     change: Change
-    since_ms: float  # when this replica first had it
+    received_ms: float  # when this replica received it
     verdict: Verdict = Verdict.WAITING
     reason: str = ""
     superseded_by: dict[str, Position] = field(default_factory=dict)
@@ -85,7 +88,7 @@
     def position(self) -> Position:
         return self.change.position
 
-    def shown(self) -> HistoryEntry:
+    def history_entry(self) -> HistoryEntry:
         return HistoryEntry(self.change, self._state(), self.reason, dict(self.superseded_by))
 
     def _state(self) -> ChangeState:
@@ -95,12 +98,16 @@
             return ChangeState.UNJUDGED
         if self.verdict is Verdict.WAITING:
             return ChangeState.WAITING
-        holds = any(edit.key not in self.superseded_by for edit in self.change.edits)
-        return ChangeState.IN_FORCE if holds and self.verdict is Verdict.ACCEPTED else ChangeState.SUPERSEDED
+        in_force = any(edit.key not in self.superseded_by for edit in self.change.edits)
+        return ChangeState.IN_FORCE if in_force and self.verdict is Verdict.ACCEPTED else ChangeState.SUPERSEDED
 
 
 class Timeline:
-    """The fold. ``cut`` and ``base`` are what was compacted; ``entries`` are the live changes, oldest first."""
+    """The fold of the live changes over the base.
+
+    ``base`` is the result of the compacted changes and ``cut`` the position of the last of them; ``entries`` are the
+    live changes, oldest first.
+    """
 
     def __init__(self, checker: ConfigurationChecker) -> None:
         self._checker = checker
@@ -112,55 +119,58 @@
         self._by_position: dict[Position, Entry] = {}
         self._refused_by_peers: frozenset[Position] = frozenset()
         self._unjudged_entries: list[Entry] = []
-        self._has_baseline = False  # whether a baseline is behind the present point of the fold
+        self._has_baseline = False  # whether a baseline precedes the current point of the fold
 
     def __contains__(self, position: Position) -> bool:
         return position in self._by_position
 
     def entry(self, position: Position) -> Entry | None:
-        """The live entry at that position."""
+        """Returns the live entry at that position."""
         return self._by_position.get(position)
 
     @property
     def has_baseline(self) -> bool:
-        """Whether there is any agreed configuration."""
+        """Whether an agreed configuration exists."""
         return self._has_baseline
 
     def unjudged_after(self, position: Position) -> Entry | None:
-        """The first change later than that which this program couldn't judge."""
+        """Returns the first change after ``position`` that this program could not check."""
         return next((entry for entry in self._unjudged_entries if entry.position > position), None)
 
     def insert(self, entries: Iterable[Entry]) -> None:
-        """Put changes in their places; they are later than the cut and not here yet."""
+        """Inserts changes at their positions; they must be later than the cut and not yet present."""
         new = sorted(entries, key=lambda entry: entry.position)
         if not new:
             return
         first = new[0].position
         self._refused_by_peers = frozenset(each for each in self._refused_by_peers if each < first)
-        place = bisect_left(self.entries, first, key=lambda entry: entry.position)
-        self._undo_from(place)
+        index = bisect_left(self.entries, first, key=lambda entry: entry.position)
+        self._undo_from(index)
         for entry in new:
             self._by_position[entry.position] = entry
             self.size += entry.change.size
-        self.entries[place:] = sorted(self.entries[place:] + new, key=lambda entry: entry.position)
-        self._apply_from(place)
+        self.entries[index:] = sorted(self.entries[index:] + new, key=lambda entry: entry.position)
+        self._apply_from(index)
 
     def applies(self, position: Position, key: str) -> bool:
-        """Whether the change at that position, which has set ``key``, is applied, here or in the base."""
+        """Whether the change at that position, which set ``key``, is applied in the timeline or the base."""
         entry = self._by_position.get(position)
         if entry is not None:
             return entry.verdict in APPLIED
         return self.base.setters.get(key) == position
 
     def reevaluate(self, refused_by_peers: Iterable[Position] = ()) -> None:
-        """Fold all live changes once more: what the validator rests on has changed, or a replica that knows more keys has
-        refused these. Only changes that can't be judged here are refused for that."""
+        """Folds all live changes again, after a change of the validator's inputs or with the verdicts of a peer.
+
+        ``refused_by_peers`` are changes refused by a replica that knows more keys. Only those of them that cannot be
+        checked here are refused for that reason.
+        """
         self._refused_by_peers = frozenset(refused_by_peers)
         self._undo_from(0)
         self._apply_from(0)
 
     def compact(self, count: int) -> list[Entry]:
-        """Fold the first ``count`` entries into the base for good, and return them."""
+        """Folds the first ``count`` entries into the base permanently, and returns them."""
         compacted, self.entries = self.entries[:count], self.entries[count:]
         for entry in compacted:
             if entry.verdict in APPLIED:
@@ -175,18 +185,18 @@
         return compacted
 
     def rebase(self, cut: Position, base: SettingsState) -> list[Entry]:
-        """Take another base with a later cut; returns the live entries that are not later than it."""
-        everything = self.entries
-        dropped = [entry for entry in everything if entry.position <= cut]
+        """Replaces the base by one with a later cut; returns the live entries at or before that cut."""
+        live = self.entries
+        dropped = [entry for entry in live if entry.position <= cut]
         self.cut, self.base, self.state = cut, base, base.copy()
         self.entries, self._by_position, self.size = [], {}, 0
         self._update_unjudged()
         self._has_baseline = True
-        self.insert([_unapplied(entry) for entry in everything if entry.position > cut])
+        self.insert([_unapplied(entry) for entry in live if entry.position > cut])
         return dropped
 
     def settings_at(self, position: Position) -> dict[str, Value]:
-        """The agreed values right after the change at ``position``, which is live or the cut."""
+        """Returns the agreed values right after the change at ``position``, which must be live or the cut."""
         state = self.base.copy()
         for entry in self.entries:
             if entry.position > position:
@@ -198,19 +208,19 @@
 
     # The fold
 
-    def _undo_from(self, place: int) -> None:
-        for entry in reversed(self.entries[place:]):
+    def _undo_from(self, index: int) -> None:
+        for entry in reversed(self.entries[index:]):
             for undo in reversed(entry.undo):
                 self.state.restore(undo)
                 self._mark_superseded(undo, None)
             entry.undo = []
             entry.superseded_by = {}
         self._has_baseline = self.cut != BEFORE_FIRST or any(
-            entry.change.baseline and entry.verdict in APPLIED for entry in self.entries[:place]
+            entry.change.baseline and entry.verdict in APPLIED for entry in self.entries[:index]
         )
 
-    def _apply_from(self, place: int) -> None:
-        for entry in self.entries[place:]:
+    def _apply_from(self, index: int) -> None:
+        for entry in self.entries[index:]:
             entry.verdict, entry.reason = self._apply(entry)
         self._update_unjudged()
 
@@ -224,21 +234,21 @@
         if not change.baseline and not self._has_baseline:
             return Verdict.WAITING, "no baseline yet"
         undo = [self.state.edit(edit, change.position) for edit in change.edits]
-        verdict, line = self._verdict(change)
+        verdict, reason = self._verdict(change)
         if verdict is Verdict.REFUSED:
             for step in reversed(undo):
                 self.state.restore(step)
-            return verdict, line
+            return verdict, reason
         entry.undo = undo
         for step in undo:
             self._mark_superseded(step, change.position)
         self._has_baseline = True
-        return verdict, line
+        return verdict, reason
 
     def _verdict(self, change: Change) -> tuple[Verdict, str]:
-        foreign = self._checker.unknown_key(change)
-        if foreign is not None:
-            return self._unjudged(change, f"{foreign}: not a deployment-wide key of this program")
+        unknown_key = self._checker.unknown_key(change)
+        if unknown_key is not None:
+            return self._unjudged(change, f"{unknown_key}: not a deployment-wide key of this program")
         problems = self._checker.problems(self.state)
         unknown = first_problem(problems, ProblemKind.UNKNOWN_KEY)
         if unknown is not None:
@@ -248,13 +258,13 @@
             return Verdict.REFUSED, invalid.reason
         return Verdict.ACCEPTED, ""
 
-    def _unjudged(self, change: Change, line: str) -> tuple[Verdict, str]:
+    def _unjudged(self, change: Change, reason: str) -> tuple[Verdict, str]:
         if change.position in self._refused_by_peers:
-            return Verdict.REFUSED, f"{line}; refused by a placer that knows it"
-        return Verdict.UNJUDGED, line
+            return Verdict.REFUSED, f"{reason}; refused by a placer that knows it"
+        return Verdict.UNJUDGED, reason
 
     def _mark_superseded(self, step: Undo, by: Position | None) -> None:
-        """The change that had set this key was superseded there, or is no more."""
+        """Marks the change that had set this key as superseded by ``by``; None removes the mark."""
         earlier = None if step.setter is None else self._by_position.get(step.setter)
         if earlier is None:
             return
@@ -265,4 +275,4 @@
 
 
 def _unapplied(entry: Entry) -> Entry:
-    return Entry(entry.change, entry.since_ms)
+    return Entry(entry.change, entry.received_ms)
--- a/sprucepost/configuration/validation.py
+++ b/sprucepost/configuration/validation.py
@@ -1,4 +1,4 @@
-"""What a validator says of a whole configuration. The settings package supplies one; nothing here imports it."""
+"""The interface of the validator, which the settings package implements; nothing here imports that package."""
 
 from __future__ import annotations
 
@@ -10,8 +10,11 @@
 
 
 class ProblemKind(Enum):
-    """INVALID: no placer may run with it. UNKNOWN_KEY: this program can't judge it. LOCAL: it breaks this placer's own
-    limits, others may run with it."""
+    """Kinds of problems.
+
+    INVALID: no placer may run with the configuration. UNKNOWN_KEY: this program version cannot check it. LOCAL: it
+    violates this placer's own limits; other placers may run with it.
+    """
 
     INVALID = "invalid"
     UNKNOWN_KEY = "unknown key"
@@ -20,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One fault of a configuration. ``line`` is for people, names the key and is one line."""
+    """One problem of a configuration. ``reason`` is a single line for operators that names the key."""
 
     kind: ProblemKind
     key: str
@@ -28,19 +31,25 @@
 
 
 Validator = Callable[[Settings], Sequence[Problem]]
-"""Judges a whole configuration, given as values by key path. It is to make a document of them (:func:`document.expand`) and
-may let its DocumentError through: that counts as INVALID. It must depend on nothing but the configuration, apart from LOCAL
-problems, which may depend on this placer's own settings."""
+"""Checks a whole configuration, given as values by key path.
+
+A validator builds a document from them (:func:`document.expand`) and may let DocumentError propagate, which counts as
+INVALID. Its result must depend on the configuration alone, except for LOCAL problems, which may depend on this placer's
+own settings.
+"""
 
 
 def first_problem(problems: Sequence[Problem], kind: ProblemKind) -> Problem | None:
-    """The first problem of that kind."""
+    """Returns the first problem of that kind."""
     return next((problem for problem in problems if problem.kind is kind), None)
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeableKeys:
-    """The deployment-wide keys: each of ``prefixes`` and all that stands under it. All other keys are a placer's own."""
+    """The deployment-wide keys: the ``prefixes`` and all keys below them.
+
+    All other keys belong to each placer's own file.
+    """
 
     prefixes: tuple[str, ...]
 
--- a/tests/configuration/test_document.py
+++ b/tests/configuration/test_document.py
@@ -1,4 +1,4 @@
-"""Documents as flat maps and back; what can't stand together is one line with the key."""
+"""Tests of flattening and expanding documents, and of the errors for keys that conflict."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 @given(DOCUMENTS)
-def test_a_document_is_the_same_after_both_ways(document: dict[str, Any]) -> None:
+def test_flattening_and_expanding_returns_the_same_document(document: dict[str, Any]) -> None:
     flat = flatten(document)
     assert expand(flat) == document
     assert settings_digest(flat) == settings_digest(dict(reversed(flat.items())))
 
 
-def test_paths_name_the_elements_of_a_list() -> None:
+def test_paths_address_list_elements_by_name() -> None:
     document = {
         "c": {"zones": ["z1", "z2"], "classes": [{"name": "web", "aim": 3}, {"name": "batch", "aim": 9}], "t": []}
     }
@@ -46,20 +46,22 @@
 
 
 @pytest.mark.parametrize(
-    ("settings", "line"),
+    ("settings", "message"),
     [
-        ({"a": 1, "a.b": 2}, "a.b: stands inside another key's value"),
+        ({"a": 1, "a.b": 2}, "a.b: is nested in another key's value"),
         ({"": 1}, "key: empty"),
-        ({"a..b": 1}, "a..b: not a key path"),
-        ({"a.": 1}, "a.: not a key path"),
-        ({"a[x": 1}, "a[x: a bracket isn't closed"),
-        ({"a[x]b": 1}, "a[x]b: not a key path"),
-        ({"a[x]": 1}, "a[x]: an element of a list is set by its keys"),
-        ({"a[]": 1}, "a[]: not the order of a list"),
-        ({"a[x].b": 1, "a.c": 1}, "c: stands in a list of named objects"),
+        ({"a..b": 1}, "a..b: malformed key path"),
+        ({"a.": 1}, "a.: malformed key path"),
+        ({"a[x": 1}, "a[x: unclosed bracket"),
+        ({"a[x]b": 1}, "a[x]b: malformed key path"),
+        ({"a[x]": 1}, "a[x]: a list element can only be set by its keys"),
+        ({"a[]": 1}, "a[]: must be the order of a list"),
+        ({"a[x].b": 1, "a.c": 1}, "c: is nested in a list of named objects"),
     ],
 )
-def test_what_cannot_stand_together_is_one_line_with_the_key(settings: dict[str, Any], line: str) -> None:
+def test_conflicting_or_malformed_keys_raise_an_error_that_names_the_key(
+    settings: dict[str, Any], message: str
+) -> None:
     with pytest.raises(DocumentError) as raised:
         expand(settings)
-    assert str(raised.value) == line
+    assert str(raised.value) == message
--- a/tests/configuration/test_replica.py
+++ b/tests/configuration/test_replica.py
@@ -186,7 +186,9 @@
 def test_a_file_that_cannot_be_is_no_baseline() -> None:
     one = replica(file={**FILE, "c.low": 30})
     refusal = one.propose(0.0, proposal(low=1)).refusal
-    assert refusal == "c.low: must be below c.high (in this placer's own file, from which the fleet would begin)"
+    assert refusal == (
+        "c.low: must be below c.high (in this placer's own file, which would become the baseline of the fleet)"
+    )
     assert one.version == Version(0, 0)
 
 
