--- a/sprucepost/peers/__init__.py
+++ b/sprucepost/peers/__init__.py
@@ -1,11 +1,13 @@
-"""Placers to each other, on the existing wire: the streams that carry the fleet's own view.
+"""The gRPC streams between placers, which carry the membership view and the replicated configuration.
 
-========= ========================================================================================================
-``codec`` the view's words as protobuf frames, and what is refused
-``peers`` the streams: dialled, taken, ended; the view is ticked here
-========= ========================================================================================================
+=========================== ======================================================================================
+``codec``                   encodes and decodes the messages of the view as protobuf frames
+``peers``                   opens, accepts and closes the streams, and drives the view's ticks
+``configuration_codec``     encodes and decodes the messages between configuration replicas
+``configuration_transport`` connects a configuration replica to the streams
+=========================== ======================================================================================
 
-Off unless ``placer.peers`` is in the settings. ``sprucepost node`` may not import it.
+Disabled unless ``placer.peers`` is set. ``sprucepost node`` must not import this package.
 """
 
 from sprucepost.peers.peers import Peers
--- a/sprucepost/peers/codec.py
+++ b/sprucepost/peers/codec.py
@@ -1,4 +1,7 @@
-"""Words between members as protobuf frames, and back. What cannot be read is one error; unknown fields are passed over."""
+"""Encodes the messages between members as protobuf frames, and decodes them.
+
+All malformed input raises MalformedMessageError; unknown fields are ignored.
+"""
 
 from __future__ import annotations
 
@@ -13,115 +16,120 @@
 from sprucepost.view.view import MEMBERS_MOST
 from sprucepost.view.words import Beat, Hello, News, Summary, Word
 
-MAX_TEXT_CHARS = 256  # characters of a name, a life, an address
-MAX_SEEN_MEMBERS = 256  # streams that one member may claim
+MAX_TEXT_CHARS = 256  # of a name, a life, an address
+MAX_SEEN_MEMBERS = 256  # connected members in one record; also the limit of its roles
 
 
 class MalformedMessageError(Exception):
-    """What a peer sent is no word."""
+    """A peer sent a malformed message."""
 
 
-def encode(word: Word, configuration: pb.ConfigurationDigest | None = None) -> bytes:
-    """The frame of a word; a heartbeat's with the digest of the configuration, where the sender carries one."""
-    if isinstance(word, Hello):
+def encode(message: Word, configuration: pb.ConfigurationDigest | None = None) -> bytes:
+    """Returns the frame of a message. ``configuration`` is sent with a heartbeat, if the sender replicates one."""
+    if isinstance(message, Hello):
         frame = pb.PeerFrame(
             hello=pb.PeerHello(
-                cluster=word.cluster,
-                settings=word.settings,
-                record=_record(word.record),
-                fixed_settings=word.fixed_settings,
+                cluster=message.cluster,
+                settings=message.settings,
+                record=_encode_record(message.record),
+                fixed_settings=message.fixed_settings,
             )
         )
-    elif isinstance(word, Beat):
-        frame = pb.PeerFrame(beat=pb.PeerBeat(digest=word.digest, configuration=configuration))
-    elif isinstance(word, News):
-        frame = pb.PeerFrame(news=pb.PeerNews(records=[_record(record) for record in word.records]))
+    elif isinstance(message, Beat):
+        frame = pb.PeerFrame(beat=pb.PeerBeat(digest=message.digest, configuration=configuration))
+    elif isinstance(message, News):
+        frame = pb.PeerFrame(news=pb.PeerNews(records=[_encode_record(record) for record in message.records]))
     else:
-        ages = [pb.PeerAge(name=name, incarnation=life, version=version) for name, life, version in word.ages]
-        frame = pb.PeerFrame(summary=pb.PeerSummary(ages=ages, answer=word.answer))
+        ages = [pb.PeerAge(name=name, incarnation=life, version=version) for name, life, version in message.ages]
+        frame = pb.PeerFrame(summary=pb.PeerSummary(ages=ages, answer=message.answer))
     return frame.SerializeToString()
 
 
 def parse(data: bytes) -> pb.PeerFrame:
-    """The frame; Malformed where it is none."""
+    """Parses a frame; raises MalformedMessageError if it is invalid."""
     try:
         return pb.PeerFrame.FromString(data)
     except DecodeError as error:
-        raise MalformedMessageError("no frame") from error
+        raise MalformedMessageError("not a protobuf frame") from error
 
 
 def decode(data: bytes) -> Word | None:
-    """The word of a frame, as ``word_of`` reads it."""
+    """Parses a frame and returns its message, as ``view_message_of`` does."""
     return view_message_of(parse(data))
 
 
 def view_message_of(frame: pb.PeerFrame) -> Word | None:
-    """The word of a frame; None for one of a kind that is no word of the view, or that a later version may have. Malformed
-    where it can't be."""
+    """Returns the view's message in a frame.
+
+    None for frames without a message of the view, or of a kind that this version does not know. Raises
+    MalformedMessageError for invalid contents.
+    """
     kind = frame.WhichOneof("word")
     if kind == "hello":
-        return Hello(frame.hello.cluster, frame.hello.settings, _read(frame.hello.record), frame.hello.fixed_settings)
+        return Hello(
+            frame.hello.cluster, frame.hello.settings, _decode_record(frame.hello.record), frame.hello.fixed_settings
+        )
     if kind == "beat":
         return Beat(frame.beat.digest)
     if kind == "news":
-        return News(tuple(_read(record) for record in frame.news.records))
+        return News(tuple(_decode_record(record) for record in frame.news.records))
     if kind == "summary":
         if len(frame.summary.ages) > MEMBERS_MOST:
-            raise MalformedMessageError(f"a summary of {len(frame.summary.ages)} members")
+            raise MalformedMessageError(f"summary of {len(frame.summary.ages)} members")
         return Summary(
             tuple((age.name, age.incarnation, age.version) for age in frame.summary.ages), frame.summary.answer
         )
     return None
 
 
-def _record(record: Record) -> pb.PeerRecord:
+def _encode_record(record: Record) -> pb.PeerRecord:
     return pb.PeerRecord(
         name=record.name, incarnation=record.incarnation, life=record.life, version=record.version,
         number=record.number, host=record.host, room=record.room, address=record.address,
-        runs=_generation(record.generation), status=record.status, roles=record.roles,
+        runs=_encode_generation(record.generation), status=record.status, roles=record.roles,
         sees=[pb.PeerSight(name=name, life=life) for name, life in record.sees], left=record.left,
     )  # fmt: skip
 
 
-def _read(record: pb.PeerRecord) -> Record:
-    return _made(record.SerializeToString())
+def _decode_record(record: pb.PeerRecord) -> Record:
+    return _decode_record_bytes(record.SerializeToString())
 
 
-@lru_cache(maxsize=4096)  # each comes by many ways, most of it several times
-def _made(data: bytes) -> Record:
+@lru_cache(maxsize=4096)  # the same record arrives from several peers
+def _decode_record_bytes(data: bytes) -> Record:
     record = pb.PeerRecord.FromString(data)
     texts = (record.name, record.life, record.host, record.room, record.address, record.status, *record.roles)
     if not record.name or not record.life:
-        raise MalformedMessageError("a record without a name or a life")
+        raise MalformedMessageError("record has no name or no life")
     if (
         max(map(len, texts)) > MAX_TEXT_CHARS
         or len(record.sees) > MAX_SEEN_MEMBERS
         or len(record.roles) > MAX_SEEN_MEMBERS
     ):
-        raise MalformedMessageError("a record that is too long")
+        raise MalformedMessageError("record exceeds the size limits")
     return Record(
         name=record.name, incarnation=record.incarnation, life=record.life, version=record.version,
         number=record.number, host=record.host, room=record.room, address=record.address,
-        generation=_runs(record.runs), status=record.status, roles=tuple(record.roles),
+        generation=_decode_generation(record.runs), status=record.status, roles=tuple(record.roles),
         sees=tuple((sight.name, sight.life) for sight in record.sees), left=record.left,
     )  # fmt: skip
 
 
-def _generation(what: Generation) -> pb.PeerGeneration:
+def _encode_generation(generation: Generation) -> pb.PeerGeneration:
     return pb.PeerGeneration(
-        number=what.number, size=what.size, previous=what.previous, begins_ms=what.begins_ms,
-        overlap_ms=what.overlap_ms, announced=what.announced, rollback=what.rollback, over_ms=what.over_ms,
+        number=generation.number, size=generation.size, previous=generation.previous, begins_ms=generation.begins_ms,
+        overlap_ms=generation.overlap_ms, announced=generation.announced, rollback=generation.rollback,
+        over_ms=generation.over_ms,
     )  # fmt: skip
 
 
-def _runs(what: pb.PeerGeneration) -> Generation:
-    found = Generation(
-        what.number, what.size, what.previous if what.HasField("previous") else None, what.begins_ms, what.overlap_ms,
-        what.announced, what.rollback, what.over_ms if what.HasField("over_ms") else None,
+def _decode_generation(message: pb.PeerGeneration) -> Generation:
+    generation = Generation(
+        message.number, message.size, message.previous if message.HasField("previous") else None, message.begins_ms,
+        message.overlap_ms, message.announced, message.rollback,
+        message.over_ms if message.HasField("over_ms") else None,
     )  # fmt: skip
-    times = (found.begins_ms, found.overlap_ms, found.over_ms or 0.0)
-    if found.problems() or not all(isfinite(time) for time in times):
-        raise MalformedMessageError(
-            f"a generation that cannot be: {'; '.join(found.problems()) or 'times without end'}"
-        )
-    return found
+    times = (generation.begins_ms, generation.overlap_ms, generation.over_ms or 0.0)
+    if generation.problems() or not all(isfinite(time) for time in times):
+        raise MalformedMessageError(f"invalid generation: {'; '.join(generation.problems()) or 'times are not finite'}")
+    return generation
--- a/sprucepost/peers/configuration_transport.py
+++ b/sprucepost/peers/configuration_transport.py
@@ -1,8 +1,8 @@
-"""Carries a configuration replica on the streams of the view.
+"""Connects a configuration replica to the streams between placers.
 
-A stream counts as connected for the replica once the peer has shown, by a digest on a heartbeat, that it carries a
-configuration too: members without one, or of an earlier version, get nothing but the digest in our heartbeats, which they
-pass over.
+A stream is connected for the replica once the peer has sent a digest with a heartbeat, which shows that it replicates a
+configuration too. Members that don't, or that run an earlier version, only receive the digest in our heartbeats, which
+they ignore.
 """
 
 from __future__ import annotations
@@ -18,7 +18,11 @@
 
 
 class ConfigurationTransport:
-    """``transmit`` sends a frame on a stream, under the streams' own back-pressure; ``told`` gets the replica's events."""
+    """Passes messages between a replica and the streams.
+
+    ``transmit`` sends a frame on a stream, subject to the stream's back-pressure. ``on_event`` is called with each
+    event of the replica, ``now`` returns a monotonic time in ms.
+    """
 
     def __init__(
         self, replica: ConfigurationReplica, now: Callable[[], float], on_event: Callable[[Event], None]
@@ -27,19 +31,19 @@
         self.transmit: Callable[[int, bytes], None] = lambda stream, data: None
         self.counters: Counter[str] = Counter()
         self._connected_streams: set[int] = set()
-        self._dispatching = False  # outputs that a send gives rise to wait their turn
+        self._dispatching = False  # outputs that result from a send are queued behind the current ones
 
     @property
     def connected_streams(self) -> int:
-        """Streams to peers that carry a configuration."""
+        """Number of streams to peers that replicate a configuration."""
         return len(self._connected_streams)
 
     def digest(self) -> pb.ConfigurationDigest:
-        """For the next heartbeat."""
+        """Returns the digest to send with the next heartbeat."""
         return encode_digest(self.replica.digest)
 
     def handle_message(self, stream: int, message: Message) -> None:
-        """A message on a stream that is past its greeting."""
+        """Handles a message on a stream whose handshake is complete."""
         if stream not in self._connected_streams:
             if not isinstance(message, Digest):
                 return
@@ -49,25 +53,25 @@
         self._dispatch_outputs()
 
     def stream_closed(self, stream: int) -> None:
-        """The stream is over."""
+        """Handles the end of a stream."""
         if stream in self._connected_streams:
             self._connected_streams.remove(stream)
             self.replica.disconnected(self._now(), stream)
             self._dispatch_outputs()
 
     def tick(self) -> None:
-        """To be called with the view's ticks."""
+        """Runs the replica's periodic work; call it with the ticks of the view."""
         self.replica.tick(self._now())
         self._dispatch_outputs()
 
     def propose(self, proposal: Proposal) -> Receipt:
-        """An operator's change at this placer."""
+        """Proposes an operator's change at this placer."""
         receipt = self.replica.propose(self._now(), proposal)
         self._dispatch_outputs()
         return receipt
 
     def rollback(self, position: Position, author: str, comment: str, made_ms: float) -> Receipt:
-        """An operator's rollback at this placer."""
+        """Proposes an operator's rollback at this placer."""
         receipt = self.replica.rollback(self._now(), position, author, comment, made_ms)
         self._dispatch_outputs()
         return receipt
--- a/sprucepost/peers/peers.py
+++ b/sprucepost/peers/peers.py
@@ -1,4 +1,4 @@
-"""The streams that carry a view: dialled and taken on the placer's own gRPC port, ticked by the loop."""
+"""The streams between placers: opened by this placer or accepted on its gRPC port, and driven by the event loop."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 WATCH_PATH = "/sprucepost.v1.Peer/Watch"
 CONNECT_TIMEOUT_MS = 1000.0
-MAX_FRAME_BYTES = 262_144  # bytes of one frame: 64 records of a member with twenty streams are a tenth of it
-MAX_UNSENT_BYTES = 1_048_576  # bytes that a peer may leave unread
-MAX_STREAMS = 512  # streams at a time, those of others included: 350 that join by one seed at once fit
+MAX_FRAME_BYTES = 262_144  # 64 records of members with twenty streams each take a tenth of it
+MAX_UNSENT_BYTES = 1_048_576  # to one peer; a peer that reads too slowly loses the stream
+MAX_STREAMS = 512  # incoming ones included; allows 350 members to join through one seed at once
 
 
 class _Stream:
-    """One stream: a call, and the connection where it was dialled."""
+    """One stream: its call and, if this placer opened it, its connection."""
 
     def __init__(self, call: Call, connection: ClientConnection | None) -> None:
         self.call, self.connection = call, connection
@@ -40,8 +40,11 @@
 
 
 class Peers:
-    """Carries one member's view, and where ``configuration`` is given its messages too. ``changed`` hears of each step,
-    ``looked`` is called after each tick."""
+    """Runs the streams of one member: performs the view's actions and delivers the messages of its peers.
+
+    With ``configuration``, the streams also carry the messages of the configuration replica. ``on_change`` is called
+    with each change of the view, ``on_tick`` after each tick, ``log`` with the events of the streams.
+    """
 
     def __init__(
         self,
@@ -68,19 +71,19 @@
         self._streams: dict[int, _Stream] = {}
         self._last_stream_id = 0
         self._stopped = False
-        self._next_tick: Timer | None = None  # the next tick
-        self._next_tick_is_soon = False  # whether that is as early as can be
+        self._next_tick: Timer | None = None  # timer of the next tick
+        self._next_tick_is_soon = False  # whether it is due after TICK_MS, not IDLE_TICK_MS
 
     def methods(self) -> dict[str, Method]:
-        """What the gRPC port serves."""
+        """Returns the methods for the placer's gRPC server."""
         return {WATCH_PATH: Method(attach=self._accept)}
 
     def start(self) -> None:
-        """Tick from now on."""
+        """Starts the periodic ticks."""
         self._tick()
 
     def stop(self) -> None:
-        """Tell the others, and end the streams once that is out."""
+        """Announces that this member leaves, and closes the streams after time to send that."""
         if not self._stopped:
             self._perform(self.view.leave())
             self._stopped = True
@@ -111,7 +114,7 @@
         self._add(_Stream(call, None), None)
 
     def _dial(self, dial: Dial) -> Co[None]:
-        dialled = dial.name or dial.address
+        target = dial.name or dial.address
         try:
             host, _, port = dial.address.rpartition(":")
             address: Address = (host, int(port))
@@ -124,10 +127,10 @@
                 raise
         except (OSError, TimedOut, RpcError, ValueError) as error:
             self.counters["dial_failed"] += 1
-            self._log("peer_not_connected", peer=dialled, why=str(error) or type(error).__name__)
-            self._perform(self.view.not_opened(self._loop.now(), dialled))
+            self._log("peer_not_connected", peer=target, why=str(error) or type(error).__name__)
+            self._perform(self.view.not_opened(self._loop.now(), target))
             return
-        self._add(_Stream(call, connection), dialled)
+        self._add(_Stream(call, connection), target)
 
     def _add(self, stream: _Stream, dialled: str | None) -> None:
         self._last_stream_id += 1
@@ -143,9 +146,9 @@
         self.counters["bytes_in"] += len(data)
         try:
             frame = parse(data)
-            word = view_message_of(frame)
-            if word is not None:
-                self._perform(self.view.heard(self._loop.now(), stream_id, word))
+            message = view_message_of(frame)
+            if message is not None:
+                self._perform(self.view.heard(self._loop.now(), stream_id, message))
             if self._configuration is not None:
                 self._on_configuration_frame(self._configuration, stream_id, frame)
         except MalformedMessageError as error:
@@ -156,9 +159,9 @@
     def _on_configuration_frame(
         self, configuration: ConfigurationTransport, stream_id: int, frame: pb.PeerFrame
     ) -> None:
-        stream = self.view.streams.get(stream_id)
-        if stream_id not in self._streams or stream is None or not stream.name:
-            return  # ended, or not past its greeting
+        member = self.view.streams.get(stream_id)
+        if stream_id not in self._streams or member is None or not member.name:
+            return  # closed, or its handshake is not complete
         message = configuration_message_of(frame)
         if message is not None:
             configuration.handle_message(stream_id, message)
@@ -195,7 +198,7 @@
                 self._on_change(action)
 
     def _transmit(self, stream_id: int, data: bytes) -> None:
-        """Send a frame; a peer that leaves too much unread loses the stream."""
+        """Sends a frame; closes the stream if too much is unsent."""
         stream = self._streams.get(stream_id)
         if stream is None or stream.call.over is not None:
             return
