--- a/benchmarks/configuration_schedules.py
+++ b/benchmarks/configuration_schedules.py
@@ -10,15 +10,15 @@
 from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
 
-from tests.configuration.schedules import broken, play
+from tests.configuration.schedules import play, violations
 
 
 def play_one(seed: int) -> tuple[int, list[str], Counter[str]]:
     fleet = play(seed)
-    played: Counter[str] = Counter(fleet.observed.events)
+    played: Counter[str] = Counter(fleet.observations.events)
     played["changes accepted"] = len(fleet.accepted)
     played["proposals refused"] = len(fleet.refusals)
-    return seed, broken(fleet), played
+    return seed, violations(fleet), played
 
 
 def main() -> int:
--- a/tests/configuration/defects.py
+++ b/tests/configuration/defects.py
@@ -1,4 +1,4 @@
-"""Planted defects of the configuration, each a change to the code that serves; the drawn schedules must find every one."""
+"""Defects injected into the configuration package by patching it; the random schedules must detect each of them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from sprucepost.configuration import replica as module
+from sprucepost.configuration import replica as replica_module
 from sprucepost.configuration.active_configuration import ActiveConfiguration
 from sprucepost.configuration.change import Position
 from sprucepost.configuration.change_store import ChangeStore
@@ -21,20 +21,20 @@
 from sprucepost.configuration.timeline import Timeline, Verdict
 from sprucepost.configuration.validation import ProblemKind
 
-Plant = Callable[[], Any]
+DefectPatch = Callable[[], Any]
 
 
-def _drop(kind: type) -> Any:
-    """Events of that kind are never told."""
+def _suppress_events(kind: type) -> Any:
+    """Drops all events of that kind."""
     real = ConfigurationReplica._emit
 
-    def tell(self: ConfigurationReplica, *events: Any) -> None:
+    def emit(self: ConfigurationReplica, *events: Any) -> None:
         real(self, *(event for event in events if not isinstance(event, kind)))
 
-    return mock.patch.object(ConfigurationReplica, "_emit", tell)
+    return mock.patch.object(ConfigurationReplica, "_emit", emit)
 
 
-def _changes_are_folded_as_they_come() -> Any:
+def _fold_in_arrival_order() -> Any:
     def insert(self: Timeline, entries: Any) -> None:
         for entry in entries:
             self._by_position[entry.position] = entry
@@ -51,11 +51,11 @@
     )
 
 
-def _an_invalid_result_is_accepted() -> Any:
+def _invalid_result_accepted() -> Any:
     return mock.patch.object(Timeline, "_verdict", lambda self, change: (Verdict.ACCEPTED, ""))
 
 
-def _a_refused_change_keeps_some_edits() -> Any:
+def _refused_change_partially_applied() -> Any:
     real = Timeline._apply
 
     def apply(self: Timeline, entry: Any) -> Any:
@@ -67,7 +67,7 @@
     return mock.patch.object(Timeline, "_apply", apply)
 
 
-def _own_limits_are_not_looked_at() -> Any:
+def _local_limits_ignored() -> Any:
     def obstacle(self: ActiveConfiguration) -> Any:
         problems = [each for each in self._checker.problems(self._timeline.state) if each.kind is not ProblemKind.LOCAL]
         return Held(problems[0].key, problems[0].reason) if problems else None
@@ -75,23 +75,23 @@
     return mock.patch.object(ActiveConfiguration, "_obstacle_to_agreed", obstacle)
 
 
-def _unknown_keys_come_into_force() -> Any:
+def _unknown_keys_put_in_force() -> Any:
     return mock.patch.object(ActiveConfiguration, "_obstacle_to_agreed", lambda self: None)
 
 
-def _a_limited_program_trusts_its_guess() -> Any:
+def _unchecked_changes_treated_as_confirmed() -> Any:
     return mock.patch.object(ActiveConfiguration, "unconfirmed", lambda self: None)
 
 
-def _what_was_confirmed_is_never_doubted() -> Any:
+def _confirmation_never_withdrawn() -> Any:
     return mock.patch.object(ActiveConfiguration, "withdraw_confirmation", lambda self, position: None)
 
 
-def _a_limited_program_never_asks_for_verdicts() -> Any:
+def _verdicts_never_sent() -> Any:
     return mock.patch.object(ConfigurationReplica, "_send_verdicts", lambda self, peer: None)
 
 
-def _what_a_program_does_not_know_is_not_relayed() -> Any:
+def _unchecked_changes_not_relayed() -> Any:
     real = ConfigurationReplica._flush
 
     def flush(self: ConfigurationReplica) -> None:
@@ -105,10 +105,10 @@
     return mock.patch.object(ConfigurationReplica, "_flush", flush)
 
 
-def _changes_of_others_are_not_passed_on() -> Any:
+def _changes_of_peers_not_relayed() -> Any:
     real = ConfigurationReplica._insert_changes
 
-    def take_in(self: ConfigurationReplica, now: float, changes: Any, source: Any) -> None:
+    def insert_changes(self: ConfigurationReplica, now: float, changes: Any, source: Any) -> None:
         before = {ident: dict(peer.pending) for ident, peer in self._peers.items()}
         real(self, now, changes, source)
         if source is not None:
@@ -116,11 +116,11 @@
                 peer.pending = before[ident]
 
     summary = mock.patch.object(ConfigurationReplica, "_summarize", lambda self, now, peer: None)
-    passed = mock.patch.object(ConfigurationReplica, "_insert_changes", take_in)
-    return _both(passed, summary)
+    relaying = mock.patch.object(ConfigurationReplica, "_insert_changes", insert_changes)
+    return _both(relaying, summary)
 
 
-def _no_summaries() -> Any:
+def _summaries_not_sent() -> Any:
     real = ConfigurationReplica._send
     return mock.patch.object(
         ConfigurationReplica,
@@ -129,30 +129,30 @@
     )
 
 
-def _no_snapshots() -> Any:
+def _snapshots_not_requested() -> Any:
     return mock.patch.object(ConfigurationReplica, "_request_snapshot", lambda self, now, peer: None)
 
 
-def _the_earlier_base_counts() -> Any:
+def _earlier_base_takes_precedence() -> Any:
     def accepts(self: ChangeStore, snapshot: Any) -> bool:
         return bool((snapshot.cut, snapshot.digest) < self.rank)
 
     return mock.patch.object(ChangeStore, "accepts", accepts)
 
 
-def _what_is_older_than_the_base_is_dropped() -> Any:
-    def aside(self: ConfigurationReplica, changes: Any, source: Any) -> None:
+def _changes_before_the_cut_dropped() -> Any:
+    def announce_set_aside(self: ConfigurationReplica, changes: Any, source: Any) -> None:
         return None
 
     dropped = mock.patch.object(ChangeStore, "set_change_aside", lambda self, change: None)
-    return _both(dropped, mock.patch.object(ConfigurationReplica, "_announce_set_aside", aside))
+    return _both(dropped, mock.patch.object(ConfigurationReplica, "_announce_set_aside", announce_set_aside))
 
 
-def _what_is_older_than_the_base_is_applied() -> Any:
+def _changes_before_the_cut_applied() -> Any:
     return mock.patch.object(ChangeStore, "is_behind", lambda self, change: False)
 
 
-def _what_a_later_base_holds_again_is_shown_no_more() -> Any:
+def _changes_in_a_later_base_missing_from_history() -> Any:
     real = ChangeStore.adopt
 
     def adopt(self: ChangeStore, snapshot: Any) -> Any:
@@ -165,22 +165,22 @@
     return mock.patch.object(ChangeStore, "adopt", adopt)
 
 
-def _an_unseen_overwrite_is_not_told() -> Any:
-    return _drop(Overwritten)
+def _overwrite_not_reported() -> Any:
+    return _suppress_events(Overwritten)
 
 
-def _a_refusal_by_a_merge_is_not_told() -> Any:
-    return _drop(Refused)
+def _refusal_by_merge_not_reported() -> Any:
+    return _suppress_events(Refused)
 
 
-def _what_is_set_aside_is_not_told() -> Any:
-    return _drop(SetAside)
+def _set_aside_not_reported() -> Any:
+    return _suppress_events(SetAside)
 
 
-def _the_clock_counts_own_changes_only() -> Any:
+def _clock_ignores_changes_of_peers() -> Any:
     real = ConfigurationReplica._changes_for
 
-    def admitted(self: ConfigurationReplica, now: float, proposal: Any, most: int) -> Any:
+    def changes_for(self: ConfigurationReplica, now: float, proposal: Any, most: int) -> Any:
         own = [entry.position.clock for entry in self._timeline.entries if entry.position.origin == self.origin]
         clock, self._store.clock = self._store.clock, max(own, default=0)
         try:
@@ -188,14 +188,14 @@
         finally:
             self._store.clock = clock
 
-    return mock.patch.object(ConfigurationReplica, "_changes_for", admitted)
+    return mock.patch.object(ConfigurationReplica, "_changes_for", changes_for)
 
 
-def _a_named_version_is_not_compared() -> Any:
+def _against_version_ignored() -> Any:
     return mock.patch.object(ProposalChecker, "check_against", lambda self, proposal, versions: None)
 
 
-def _only_the_last_step_counts_as_since() -> Any:
+def _only_the_last_version_step_compared() -> Any:
     real = VersionLog.keys_since
 
     def keys_since(self: VersionLog, version: Any) -> Any:
@@ -205,11 +205,11 @@
     return mock.patch.object(VersionLog, "keys_since", keys_since)
 
 
-def _proposals_are_not_validated() -> Any:
+def _proposals_not_validated() -> Any:
     return mock.patch.object(ProposalChecker, "check_result", lambda self, edits, state: None)
 
 
-def _a_file_that_cannot_be_is_a_baseline() -> Any:
+def _invalid_file_used_as_baseline() -> Any:
     def baseline(self: ProposalChecker, change: Any) -> Any:
         state = SettingsState()
         for edit in change.edits:
@@ -219,7 +219,7 @@
     return mock.patch.object(ProposalChecker, "check_baseline", baseline)
 
 
-def _every_baseline_counts() -> Any:
+def _every_baseline_applied() -> Any:
     real = Timeline._apply
 
     def apply(self: Timeline, entry: Any) -> Any:
@@ -231,7 +231,7 @@
     return mock.patch.object(Timeline, "_apply", apply)
 
 
-def _a_step_back_forgets_who_set_a_key() -> Any:
+def _undo_loses_the_setter() -> Any:
     real = SettingsState.restore
 
     def restore(self: Any, undo: Any) -> None:
@@ -240,40 +240,40 @@
     return mock.patch.object(SettingsState, "restore", restore)
 
 
-def _messages_have_no_bound() -> Any:
-    def everything(self: Peer, timeline: Timeline, limits: Any) -> Any:
+def _message_size_unbounded() -> Any:
+    def next_changes(self: Peer, timeline: Timeline, limits: Any) -> Any:
         entries = [timeline.entry(position) for position in sorted(self.pending)]
         self.pending.clear()
         changes = tuple(entry.change for entry in entries if entry is not None)
         return iter([Changes(changes)] if changes else [])
 
-    return mock.patch.object(Peer, "next_changes", everything)
+    return mock.patch.object(Peer, "next_changes", next_changes)
 
 
-def _history_is_never_compacted() -> Any:
+def _history_never_compacted() -> Any:
     return mock.patch.object(ConfigurationReplica, "_compact", lambda self, now: None)
 
 
-def _what_one_flush_cannot_hold_is_lost() -> Any:
+def _changes_above_the_flush_limit_lost() -> Any:
     real = Peer.next_changes
 
-    def changes(self: Peer, timeline: Timeline, limits: Any) -> Any:
+    def next_changes(self: Peer, timeline: Timeline, limits: Any) -> Any:
         sent = list(real(self, timeline, limits))
         self.pending.clear()
         return iter(sent)
 
-    summary = mock.patch.object(module, "DIFFERING_DIGESTS", 10**9)
-    return _both(mock.patch.object(Peer, "next_changes", changes), summary)
+    summary = mock.patch.object(replica_module, "DIFFERING_DIGESTS", 10**9)
+    return _both(mock.patch.object(Peer, "next_changes", next_changes), summary)
 
 
-def _the_next_life_forgets_what_was_kept() -> Any:
+def _saved_state_ignored() -> Any:
     return mock.patch.object(ConfigurationReplica, "_restore", lambda self, now, saved: None)
 
 
-def _a_merge_is_not_put_in_force() -> Any:
+def _merge_not_put_in_force() -> Any:
     real = ConfigurationReplica._insert_changes
 
-    def take_in(self: ConfigurationReplica, now: float, changes: Any, source: Any) -> None:
+    def insert_changes(self: ConfigurationReplica, now: float, changes: Any, source: Any) -> None:
         first = self._timeline.entries[-1].position if self._timeline.entries else Position(0, "")
         if changes and changes[0].position < first:
             with mock.patch.object(ActiveConfiguration, "refresh", lambda self, version: ()):
@@ -281,54 +281,54 @@
         else:
             real(self, now, changes, source)
 
-    return mock.patch.object(ConfigurationReplica, "_insert_changes", take_in)
+    return mock.patch.object(ConfigurationReplica, "_insert_changes", insert_changes)
 
 
 @contextmanager
-def _both(one: Any, other: Any) -> Iterator[None]:
-    with one, other:
+def _both(first: Any, second: Any) -> Iterator[None]:
+    with first, second:
         yield
 
 
-PLANTS: tuple[Plant, ...] = (
-    _changes_are_folded_as_they_come,
+DEFECT_PATCHES: tuple[DefectPatch, ...] = (
+    _fold_in_arrival_order,
     _order_by_origin_before_clock,
-    _an_invalid_result_is_accepted,
-    _a_refused_change_keeps_some_edits,
-    _own_limits_are_not_looked_at,
-    _unknown_keys_come_into_force,
-    _a_limited_program_trusts_its_guess,
-    _what_was_confirmed_is_never_doubted,
-    _a_limited_program_never_asks_for_verdicts,
-    _what_a_program_does_not_know_is_not_relayed,
-    _changes_of_others_are_not_passed_on,
-    _no_summaries,
-    _no_snapshots,
-    _the_earlier_base_counts,
-    _what_is_older_than_the_base_is_dropped,
-    _what_is_older_than_the_base_is_applied,
-    _what_a_later_base_holds_again_is_shown_no_more,
-    _an_unseen_overwrite_is_not_told,
-    _a_refusal_by_a_merge_is_not_told,
-    _what_is_set_aside_is_not_told,
-    _the_clock_counts_own_changes_only,
-    _a_named_version_is_not_compared,
-    _only_the_last_step_counts_as_since,
-    _proposals_are_not_validated,
-    _a_file_that_cannot_be_is_a_baseline,
-    _every_baseline_counts,
-    _a_step_back_forgets_who_set_a_key,
-    _messages_have_no_bound,
-    _history_is_never_compacted,
-    _what_one_flush_cannot_hold_is_lost,
-    _the_next_life_forgets_what_was_kept,
-    _a_merge_is_not_put_in_force,
+    _invalid_result_accepted,
+    _refused_change_partially_applied,
+    _local_limits_ignored,
+    _unknown_keys_put_in_force,
+    _unchecked_changes_treated_as_confirmed,
+    _confirmation_never_withdrawn,
+    _verdicts_never_sent,
+    _unchecked_changes_not_relayed,
+    _changes_of_peers_not_relayed,
+    _summaries_not_sent,
+    _snapshots_not_requested,
+    _earlier_base_takes_precedence,
+    _changes_before_the_cut_dropped,
+    _changes_before_the_cut_applied,
+    _changes_in_a_later_base_missing_from_history,
+    _overwrite_not_reported,
+    _refusal_by_merge_not_reported,
+    _set_aside_not_reported,
+    _clock_ignores_changes_of_peers,
+    _against_version_ignored,
+    _only_the_last_version_step_compared,
+    _proposals_not_validated,
+    _invalid_file_used_as_baseline,
+    _every_baseline_applied,
+    _undo_loses_the_setter,
+    _message_size_unbounded,
+    _history_never_compacted,
+    _changes_above_the_flush_limit_lost,
+    _saved_state_ignored,
+    _merge_not_put_in_force,
 )
-DEFECTS: dict[str, Plant] = {plant.__name__.strip("_"): plant for plant in PLANTS}
+DEFECTS: dict[str, DefectPatch] = {defect.__name__.strip("_"): defect for defect in DEFECT_PATCHES}
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
-    """The program has that defect for as long."""
+def with_defect(name: str) -> Iterator[None]:
+    """Injects the named defect while the context is active."""
     with DEFECTS[name]():
         yield
--- a/tests/configuration/member.py
+++ b/tests/configuration/member.py
@@ -1,4 +1,4 @@
-"""A replica as a process of the virtual world: its streams and heartbeats, and what must hold at each of its steps."""
+"""A replica as a simulated process: its streams and heartbeats, and the invariants checked at each of its steps."""
 
 from __future__ import annotations
 
@@ -33,25 +33,25 @@
 )
 from sprucepost.view.words import Close, Dial
 from sprucepost.view.words import Send as Carry
-from tests.configuration.oracle import saw
+from tests.configuration.oracle import author_saw
 from tests.configuration.support import CHANGEABLE, FILE, KNOWN, rules
 
 TICK_MS = 250.0
-BEAT_MS = 1000.0
-PATIENCE_MS = 3000.0  # a stream that says nothing for so long is closed
+HEARTBEAT_MS = 1000.0
+STREAM_TIMEOUT_MS = 3000.0  # an idle stream is closed after this time
 
 KEYS = sorted({key for key in FILE if key in CHANGEABLE} | {f"c.{name}" for name in KNOWN})
 
 
 @dataclass(frozen=True)
 class Hello:
-    """The first word on a stream."""
+    """The first message on a stream."""
 
     address: str
 
 
 def carry(stream: int, word: Any) -> Carry:
-    """The world's action that sends a word, whatever the word is."""
+    """Returns the simulator's action that sends a message of any type."""
     return Carry(stream, word)
 
 
@@ -61,23 +61,23 @@
     address: str = ""
 
 
-class Observed:
-    """What all members of one play have shown, over their lives."""
+class Observations:
+    """What was observed of all members during one schedule, over all their runs."""
 
     def __init__(self) -> None:
         self.changes: dict[Position, Change] = {}
-        self.problems: list[str] = []
+        self.violations: list[str] = []
         self.events: Counter[str] = Counter()
         self.sent_bytes = 0
 
-    def wrong(self, line: str) -> None:
-        if len(self.problems) < 20:
-            self.problems.append(line)
+    def report(self, line: str) -> None:
+        if len(self.violations) < 20:
+            self.violations.append(line)
 
 
 @dataclass(frozen=True)
 class Program:
-    """What one member runs: the keys that it knows, its number, its file, its clock."""
+    """The program and environment of one member: the keys that it knows, its number, its file and its clock."""
 
     number: int
     known: frozenset[str]
@@ -92,22 +92,22 @@
 
 
 class Member:
-    """One life of one process. ``neighbours`` are the addresses that it is to have streams to."""
+    """One run of one process. ``neighbors`` returns the addresses to which it must keep streams."""
 
     def __init__(
         self,
         address: str,
-        life: int,
+        run_number: int,
         program: Program,
-        neighbours: Callable[[], list[str]],
-        observed: Observed,
+        neighbors: Callable[[], list[str]],
+        observations: Observations,
         now: float,
         saved: SavedState | None = None,
         earlier: Version | None = None,
     ) -> None:
-        self.address, self.program, self._neighbours, self._observed = address, program, neighbours, observed
+        self.address, self.program, self._neighbors, self._observations = address, program, neighbors, observations
         self.replica = ConfigurationReplica(
-            f"{address}/{life}",
+            f"{address}/{run_number}",
             program.file,
             rules(program.known, program.number),
             CHANGEABLE,
@@ -117,16 +117,16 @@
         )
         self.events: list[Event] = []
         self._streams: dict[int, _Stream] = {}
-        self._dialling: set[str] = set()
-        self._beaten = now
+        self._opening: set[str] = set()
+        self._last_heartbeat_ms = now
         self._number = 0 if earlier is None else earlier.number
         self._setters: dict[str, Position | None] = {}
-        self._aside: set[Position] = set()
+        self._known_set_aside: set[Position] = set()
         self._only_in_base: set[Position] = set()
         self._checked: tuple[object, ...] = ()
-        self._look()
+        self._record_setters()
 
-    # What is asked of it
+    # Requests of operators
 
     def propose(self, now: float, proposal: Proposal) -> tuple[Receipt, list[Any]]:
         receipt = self.replica.propose(self._clock(now), proposal)
@@ -136,31 +136,31 @@
         receipt = self.replica.rollback(self._clock(now), position, "ann")
         return receipt, self._out()
 
-    # Calls of the world
+    # Calls by the simulator
 
     def tick(self, now: float) -> list[Any]:
         self.replica.tick(self._clock(now))
         actions = self._out()
         for ident, stream in list(self._streams.items()):
-            if now - stream.heard > PATIENCE_MS:
+            if now - stream.heard > STREAM_TIMEOUT_MS:
                 actions += [Close(ident, "silent"), *self.ended(now, ident)]
-        if now - self._beaten >= BEAT_MS:
-            self._beaten = now
+        if now - self._last_heartbeat_ms >= HEARTBEAT_MS:
+            self._last_heartbeat_ms = now
             actions += [carry(ident, self.replica.digest) for ident, stream in self._streams.items() if stream.address]
         connected = {stream.address for stream in self._streams.values()}
-        for address in self._neighbours():
-            if address not in connected and address not in self._dialling:
-                self._dialling.add(address)
+        for address in self._neighbors():
+            if address not in connected and address not in self._opening:
+                self._opening.add(address)
                 actions.append(Dial(address, address))
         return actions
 
     def opened(self, now: float, stream: int, dialled: str | None) -> list[Any]:
-        self._dialling.discard(dialled or "")
+        self._opening.discard(dialled or "")
         self._streams[stream] = _Stream(now)
         return [carry(stream, Hello(self.address))]
 
     def not_opened(self, now: float, dialled: str) -> list[Any]:
-        self._dialling.discard(dialled)
+        self._opening.discard(dialled)
         return []
 
     def ended(self, now: float, stream: int) -> list[Any]:
@@ -182,32 +182,32 @@
             self.replica.received(self._clock(now), stream, word)
         return self._out()
 
-    # What must hold at each step
+    # Invariants checked at each step
 
     def _clock(self, now: float) -> float:
         return now * self.program.clock_rate + self.program.clock_offset_ms
 
     def _out(self) -> list[Any]:
         actions: list[Any] = []
-        told: list[Event] = []
+        new_events: list[Event] = []
         for output in self.replica.take_outputs():
             if isinstance(output, Send):
                 self._measure(output.message)
                 actions.append(carry(output.peer, output.message))
             else:
-                told.append(output)
-        self.events += told
-        self._observed.events.update(type(event).__name__ for event in told)
-        for event in told:
+                new_events.append(output)
+        self.events += new_events
+        self._observations.events.update(type(event).__name__ for event in new_events)
+        for event in new_events:
             if isinstance(event, Diverged):
-                self._observed.wrong(f"{self.address}: told of a divergence")
-        shape = self._shape()
-        if told or actions or shape != self._checked:  # else nothing can have changed since the last step
+                self._observations.report(f"{self.address}: reported a divergence")
+        shape = self._state_fingerprint()
+        if new_events or actions or shape != self._checked:  # otherwise nothing has changed since the last check
             self._checked = shape
-            self._check(told)
+            self._check(new_events)
         return actions
 
-    def _shape(self) -> tuple[object, ...]:
+    def _state_fingerprint(self) -> tuple[object, ...]:
         replica = self.replica
         store, in_force = replica._store, replica._active._in_force
         return replica.version, replica.digest, replica.held, replica.cut, len(store.set_aside), id(in_force)
@@ -218,39 +218,39 @@
         if isinstance(message, Changes):
             size = sum(change.size for change in message.changes)
             if size > self.program.limits.message_bytes and len(message.changes) > 1:
-                self._observed.wrong(f"{self.address}: a message of {size} bytes")
-            self._observed.sent_bytes += size
+                self._observations.report(f"{self.address}: a message of {size} bytes")
+            self._observations.sent_bytes += size
         if isinstance(message, Snapshot) and len(message.fingerprints) > self.program.limits.remembered_fingerprints:
-            self._observed.wrong(f"{self.address}: a snapshot of {len(message.fingerprints)} fingerprints")
+            self._observations.report(f"{self.address}: a snapshot of {len(message.fingerprints)} fingerprints")
 
-    def _check(self, told: list[Event]) -> None:
-        replica, observed = self.replica, self._observed
+    def _check(self, new_events: list[Event]) -> None:
+        replica, observations = self.replica, self._observations
         for entry in replica._timeline.entries:
-            observed.changes.setdefault(entry.position, entry.change)
+            observations.changes.setdefault(entry.position, entry.change)
         if replica.version.number < self._number:
-            observed.wrong(f"{self.address}: version fell from {self._number} to {replica.version.number}")
+            observations.report(f"{self.address}: version fell from {self._number} to {replica.version.number}")
         self._number = replica.version.number
         self._check_in_force()
         self._check_bounds()
-        for position in self._shown_aside() - self._aside:
-            if SetAside(position) not in told:
-                observed.wrong(f"{self.address}: {position} was set aside without a word")
+        for position in self._set_aside_positions() - self._known_set_aside:
+            if SetAside(position) not in new_events:
+                observations.report(f"{self.address}: {position} was set aside without an event")
         earlier, only_in_base = self._setters, self._only_in_base
-        self._look()
+        self._record_setters()
         for key, before in earlier.items():
             if before is not None and before != self._setters[key] and before not in only_in_base:
-                self._check_moved(key, before, self._setters[key], told)
+                self._check_setter_change(key, before, self._setters[key], new_events)
 
     def _check_in_force(self) -> None:
         values = dict(self.replica.configuration)
-        strange = [key for key in values if key.removeprefix("c.") not in self.program.known]
-        if strange:
-            self._observed.wrong(f"{self.address}: {strange} in force, which it doesn't know")
-        # Its own file may break its own limits until the fleet's configuration comes: nobody has changed it here.
+        unknown = [key for key in values if key.removeprefix("c.") not in self.program.known]
+        if unknown:
+            self._observations.report(f"{self.address}: {unknown} in force, which the program doesn't know")
+        # The file itself may violate the placer's own limits, until a configuration of the fleet arrives.
         ruled_out = set(ProblemKind) if self.replica.version.number else {ProblemKind.INVALID}
         for problem in rules(KNOWN, self.program.number)(values):
             if problem.kind in ruled_out and values != {k: v for k, v in self.program.file.items() if k in CHANGEABLE}:
-                self._observed.wrong(f"{self.address}: in force, and {problem.reason}")
+                self._observations.report(f"{self.address}: in force, and {problem.reason}")
 
     def _check_bounds(self) -> None:
         replica, limits = self.replica, self.program.limits
@@ -268,31 +268,31 @@
         }
         for name, (count, most) in bounds.items():
             if count > most:
-                self._observed.wrong(f"{self.address}: {count} {name}, {most} at most")
+                self._observations.report(f"{self.address}: {count} {name}, {most} at most")
 
-    def _check_moved(self, key: str, before: Position, after: Position | None, told: list[Event]) -> None:
-        """The agreed value of a key has another origin: in sight of its author, or with an event."""
-        if any(isinstance(event, (Refused, SetAside)) and event.position == before for event in told):
+    def _check_setter_change(self, key: str, before: Position, after: Position | None, new_events: list[Event]) -> None:
+        """The agreed value of a key has another setter: its author must have seen the old value, or an event reports it."""
+        if any(isinstance(event, (Refused, SetAside)) and event.position == before for event in new_events):
             return
-        if any(isinstance(event, Overwritten) and (event.position, event.key) == (before, key) for event in told):
+        if any(isinstance(event, Overwritten) and (event.position, event.key) == (before, key) for event in new_events):
             return
         if self.replica.cut >= (after or before):
-            return  # it came with a base
+            return  # it was part of a base
         if after is None or after < before:
-            self._observed.wrong(f"{self.address}: {key} went back from {before} to {after} without a word")
-        elif not saw(self._observed.changes, after, before, key):
-            self._observed.wrong(f"{self.address}: {key} of {before} was overwritten by {after} without a word")
+            self._observations.report(f"{self.address}: {key} went back from {before} to {after} without an event")
+        elif not author_saw(self._observations.changes, after, before, key):
+            self._observations.report(f"{self.address}: {key} of {before} was overwritten by {after} without an event")
 
-    def _look(self) -> None:
+    def _record_setters(self) -> None:
         self._setters = {key: self.replica.setter(key) for key in KEYS}
-        self._aside = self._shown_aside()
+        self._known_set_aside = self._set_aside_positions()
         store = self.replica._store
-        # Of these the replica never saw the changes: that they were set aside is told when the changes themselves come.
+        # The replica never received these changes; it reports them as set aside when they arrive.
         self._only_in_base = {
             setter
             for setter in self._setters.values()
             if setter is not None and setter <= self.replica.cut and setter not in store.archive
         }
 
-    def _shown_aside(self) -> set[Position]:
+    def _set_aside_positions(self) -> set[Position]:
         return {entry.change.position for entry in self.replica._store.set_aside}
--- a/tests/configuration/oracle.py
+++ b/tests/configuration/oracle.py
@@ -1,4 +1,4 @@
-"""An independent fold of changes, by the words of docs/configuration.md, to compare replicas with."""
+"""An independent implementation of the fold described in docs/configuration.md, to compare replicas with."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @dataclass
-class Folded:
-    """The agreed values, and each change's state."""
+class FoldResult:
+    """The agreed values and the state of each change."""
 
     values: dict[str, Value] = field(default_factory=dict)
     states: dict[Position, ChangeState] = field(default_factory=dict)
@@ -23,9 +23,9 @@
     return not any(problem.kind is ProblemKind.INVALID for problem in rules()(values))
 
 
-def fold(changes: Iterable[Change]) -> Folded:
-    """All changes from the first on, in their order."""
-    result = Folded()
+def fold(changes: Iterable[Change]) -> FoldResult:
+    """Folds all changes, from the first on, in their total order."""
+    result = FoldResult()
     setters: dict[str, Position] = {}
     accepted: list[Change] = []
     for change in sorted(changes, key=lambda each: each.position):
@@ -57,8 +57,8 @@
     return result
 
 
-def saw(changes: dict[Position, Change], after: Position, before: Position, key: str) -> bool:
-    """Whether the author of ``after`` saw ``before`` as the value of ``key``, at first hand or through others."""
+def author_saw(changes: dict[Position, Change], after: Position, before: Position, key: str) -> bool:
+    """Whether the author of ``after`` had seen the value of ``key`` set by ``before``, directly or through other changes."""
     latest: Position | None = after
     while latest is not None and latest > before and latest in changes:
         edit = next((each for each in changes[latest].edits if each.key == key), None)
--- a/tests/configuration/schedules.py
+++ b/tests/configuration/schedules.py
@@ -1,6 +1,6 @@
-"""Schedules drawn from a seed, played with configuration replicas alone, and what must hold after the last fault.
+"""Random schedules of faults and requests, run with simulated configuration replicas.
 
-``problems(seed)`` plays one and returns what broke, a line each; the same seed plays the same schedule.
+``violations_of(seed)`` runs one and returns the violated guarantees, a line each; a seed always gives the same schedule.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from sprucepost.configuration.document import Value
 from sprucepost.configuration.messages import Held
 from sprucepost.play import Process, World
-from tests.configuration.member import TICK_MS, Member, Observed, Program
+from tests.configuration.member import TICK_MS, Member, Observations, Program
 from tests.configuration.oracle import fold
 from tests.configuration.support import FILE, KNOWN
 
-SETTLED_MS = 10_000.0  # promised: after that, all that live and reach each other hold the same
+CONVERGENCE_MS = 10_000.0  # guaranteed: time after the last fault in which all connected replicas converge
 
-USUAL = Limits()
-TINY = Limits(
+DEFAULT_LIMITS = Limits()
+SMALL_LIMITS = Limits(
     horizon_ms=40_000.0, live_changes=12, live_bytes=6000, archived_changes=400, set_aside_changes=100,
     message_bytes=500, flush_bytes=700, remembered_fingerprints=200, known_versions=8,
 )  # fmt: skip
@@ -29,32 +29,32 @@
 
 @dataclass(frozen=True)
 class Accepted:
-    """A change that an operator was told is accepted, and by which life."""
+    """A change whose acceptance was reported to an operator, and the run that accepted it."""
 
     receipt: Receipt
-    life: int
+    run_number: int
     proposal: Proposal | None
 
 
 class Fleet:
-    """Members in a world, each with a program of its own that it keeps over its lives."""
+    """Simulated members. Each has a program of its own, which it keeps over its runs."""
 
     def __init__(self, world: World, rng: random.Random, limits: Limits) -> None:
         self.world, self.rng, self.limits = world, rng, limits
-        self.observed = Observed()
+        self.observations = Observations()
         self.regions = rng.choice((1, 2, 2, 3))
         self.programs: dict[str, Program] = {}
         self.processes: dict[str, Process] = {}
         self.accepted: list[Accepted] = []
         self.refusals: list[tuple[Proposal, str]] = []
-        self.stateless: set[int] = set()  # lives of which nothing, or not all, was kept
-        self._lives: dict[str, list[int]] = {}
-        self._life = 0
+        self.lost_state_runs: set[int] = set()  # runs whose state was lost or saved only in part
+        self._runs_by_address: dict[str, list[int]] = {}
+        self._last_run_number = 0
 
     def add(self, address: str, knows_all: bool) -> None:
         file = dict(FILE)
         if self.rng.random() < 0.2:
-            file.update({"c.a": self.rng.randint(1, 5), "c.low": self.rng.randint(0, 25)})  # an old file
+            file.update({"c.a": self.rng.randint(1, 5), "c.low": self.rng.randint(0, 25)})  # an outdated file
         self.programs[address] = Program(
             number=self.rng.randint(0, 8) if self.rng.random() < 0.3 else 0,
             known=KNOWN if knows_all else KNOWN - {"new"},
@@ -65,17 +65,17 @@
         )
 
     def start(self, address: str, saved: SavedState | None = None, earlier: Version | None = None) -> None:
-        self._life += 1
-        self._lives.setdefault(address, []).append(self._life)
+        self._last_run_number += 1
+        self._runs_by_address.setdefault(address, []).append(self._last_run_number)
         member = Member(
-            address, self._life, self.programs[address], lambda: self.neighbours(address), self.observed,
+            address, self._last_run_number, self.programs[address], lambda: self.neighbors(address), self.observations,
             self.world.now, saved, earlier,
         )  # fmt: skip
         region = f"r{int(address[1:]) % self.regions}"
         self.processes[address] = self.world.start(address, member, region)
 
-    def neighbours(self, address: str) -> list[str]:
-        """The next two among the living, and one from afar: as a view of the fleet would have it."""
+    def neighbors(self, address: str) -> list[str]:
+        """Returns the next two running members and a distant one, like the rings of the membership view."""
         living = sorted(each for each, process in self.processes.items() if process.alive)
         place = living.index(address) if address in living else 0
         return sorted({living[(place + step) % len(living)] for step in (1, 2, len(living) // 2)} - {address})
@@ -84,31 +84,31 @@
     def living(self) -> list[Member]:
         return [member_of(process) for process in self.processes.values() if process.alive]
 
-    def lives_of(self, address: str) -> list[int]:
-        return self._lives[address]
+    def runs_of(self, address: str) -> list[int]:
+        return self._runs_by_address[address]
 
     def do(self, address: str, call: Callable[[Member], tuple[Receipt, list[Any]]], proposal: Proposal | None) -> None:
-        """An operator asks something of a member, if it runs."""
+        """Performs an operator's request at a member, if it is running."""
         process = self.processes.get(address)
         if process is None or not process.alive or self.world.now < process.stopped_until:
             return
         receipt, actions = call(member_of(process))
         if receipt.position is not None:
             self._check_accepted(address, receipt)
-            self.accepted.append(Accepted(receipt, self.lives_of(address)[-1], proposal))
+            self.accepted.append(Accepted(receipt, self.runs_of(address)[-1], proposal))
         elif proposal is not None:
             self.refusals.append((proposal, receipt.refusal))
         self.world.do(process, lambda: actions)
 
     def _check_accepted(self, address: str, receipt: Receipt) -> None:
-        """What was accepted is in force at that member at once."""
+        """Checks that an accepted change is in force at that member immediately."""
         replica = member_of(self.processes[address]).replica
         shown = {entry.change.position: entry for entry in replica.history}[receipt.position]  # type: ignore[index]
         if shown.state is not ChangeState.IN_FORCE or shown.superseded_by or replica.held is not None:
-            self.observed.wrong(f"{address}: {receipt.position} was accepted and is {shown.state}")
+            self.observations.report(f"{address}: {receipt.position} was accepted and is {shown.state}")
         for edit in shown.change.edits:
             if replica.configuration.get(edit.key) != (None if edit.removed else edit.value):
-                self.observed.wrong(f"{address}: {edit.key} was accepted and isn't in force")
+                self.observations.report(f"{address}: {edit.key} was accepted and isn't in force")
 
 
 def member_of(process: Process) -> Member:
@@ -116,8 +116,8 @@
     return process.machine
 
 
-def _cut(rng: random.Random, fleet: Fleet) -> Callable[[Process, Process], bool]:
-    """A cut between regions, around one member, or between drawn sides; both ways or one way."""
+def _draw_partition(rng: random.Random, fleet: Fleet) -> Callable[[Process, Process], bool]:
+    """Draws a partition between regions, around one member or between random halves; in one or both directions."""
     addresses = sorted(fleet.programs)
     kind = rng.choice(("region", "region", "halves", "one", "one_way"))
     if kind == "region":
@@ -136,16 +136,16 @@
     return cut
 
 
-class Drawn:
-    """Faults and operators' requests, drawn and put on the world's clock; ``over`` is when the last one is."""
+class ScheduleDriver:
+    """Draws faults and operators' requests and schedules them; ``last_fault_ms`` is the end of the last one."""
 
     def __init__(self, world: World, fleet: Fleet, rng: random.Random, length_ms: float) -> None:
         self.world, self.fleet, self.rng, self.length_ms = world, fleet, rng, length_ms
-        self.over = 0.0
+        self.last_fault_ms = 0.0
 
     def at(self, moment: float, call: Callable[[], None]) -> None:
         self.world.at(moment, call)
-        self.over = max(self.over, moment)
+        self.last_fault_ms = max(self.last_fault_ms, moment)
 
     def fault(self) -> None:
         rng = self.rng
@@ -154,7 +154,7 @@
         address = rng.choice(sorted(self.fleet.programs))
         kind = rng.choice(("cut", "cut", "cut", "reset", "pause", "crash", "crash", "late"))
         if kind == "cut":
-            cut = _cut(rng, self.fleet)
+            cut = _draw_partition(rng, self.fleet)
             self.at(began, lambda: self.world.cuts.append(cut))
             self.at(began + length, lambda: self.world.cuts.remove(cut))
         elif kind == "reset":
@@ -163,33 +163,33 @@
         elif kind == "pause":
             length = min(length, 30_000.0)
             self.at(began, lambda: self._pause(address, length))
-            self.over = max(self.over, began + length)
+            self.last_fault_ms = max(self.last_fault_ms, began + length)
         elif kind == "crash":
-            silently, state = rng.random() < 0.4, rng.choice(("kept", "kept", "lagging", "none"))
+            silently, state = rng.random() < 0.4, rng.choice(("saved", "saved", "lagging", "none"))
             self.at(began, lambda: self._crash(address, silently, state, began + length))
-            self.over = max(self.over, began + length)
+            self.last_fault_ms = max(self.last_fault_ms, began + length)
         else:
-            self.at(began, lambda: self._lag(address, 400.0))
-            self.at(began + length, lambda: self._lag(address, 0.0))
+            self.at(began, lambda: self._set_lag(address, 400.0))
+            self.at(began + length, lambda: self._set_lag(address, 0.0))
 
     def join(self, address: str) -> None:
-        """A late joiner, with whatever file it has."""
+        """Schedules a member that joins late, with its own file."""
         self.at(self.rng.uniform(5000, self.length_ms), lambda: self.fleet.start(address))
 
     def request(self) -> None:
-        """An operator's change, or two operators at once, or a rollback."""
+        """Schedules a change, two concurrent changes, or a rollback."""
         rng, moment = self.rng, self.rng.uniform(1500, self.length_ms)
         addresses = sorted(self.fleet.programs)
         draw = rng.random()
         if draw < 0.1:
             address, pick = rng.choice(addresses), rng.random()
-            self.at(moment, lambda: self._roll_back(address, pick))
+            self.at(moment, lambda: self._rollback(address, pick))
             return
         for _ in range(2 if draw < 0.4 else 1):
-            self._ask(moment, rng.choice(addresses), self._proposal())
+            self._schedule_proposal(moment, rng.choice(addresses), self._proposal())
 
-    def _ask(self, moment: float, address: str, proposal: Proposal) -> None:
-        """A proposal, some of them made against a version that was read before."""
+    def _schedule_proposal(self, moment: float, address: str, proposal: Proposal) -> None:
+        """Schedules a proposal; some of them refer to a version that was read before."""
         rng = self.rng
         if rng.random() < 0.3:
             reader = rng.choice((address, rng.choice(sorted(self.fleet.programs))))
@@ -216,8 +216,8 @@
         )
 
     def _read(self, reader: str, address: str, proposal: Proposal, moment: float) -> None:
-        """An operator reads the version at one member, and names it in a proposal at another later."""
-        if self._runs(reader):
+        """Reads the version at one member, to refer to it in a later proposal at another."""
+        if self._is_running(reader):
             replica = member_of(self.fleet.processes[reader]).replica
             named = replace(proposal, against=replica.version)
             known, cut = {entry.change.position for entry in replica.history}, replica.cut
@@ -228,7 +228,7 @@
     def _propose(
         self, address: str, proposal: Proposal, known: Callable[[Position], bool] = lambda position: True
     ) -> None:
-        if not self._runs(address):
+        if not self._is_running(address):
             return
         replica = member_of(self.fleet.processes[address]).replica
         keys = {edit.key for edit in proposal.edits}
@@ -241,85 +241,87 @@
         accepted = len(self.fleet.accepted)
         self.fleet.do(address, lambda member: member.propose(self.world.now, proposal), proposal)
         if changed and len(self.fleet.accepted) > accepted:
-            self.fleet.observed.wrong(f"{address}: took a change of keys that {changed} have changed since")
+            self.fleet.observations.report(f"{address}: accepted a change of keys that {changed} have changed since")
 
-    def _roll_back(self, address: str, pick: float) -> None:
+    def _rollback(self, address: str, pick: float) -> None:
         def call(member: Member) -> tuple[Receipt, list[Any]]:
             history = member.replica.history
             entry = history[int(pick * len(history))]
             return member.rollback(self.world.now, entry.change.position)
 
-        if self._runs(address) and member_of(self.fleet.processes[address]).replica.history:
+        if self._is_running(address) and member_of(self.fleet.processes[address]).replica.history:
             self.fleet.do(address, call, None)
 
-    def _runs(self, address: str) -> bool:
+    def _is_running(self, address: str) -> bool:
         process = self.fleet.processes.get(address)
         return process is not None and process.alive
 
-    def _crash(self, address: str, silently: bool, state: str, again: float) -> None:
+    def _crash(self, address: str, silently: bool, state: str, restart_ms: float) -> None:
         process = self.fleet.processes.get(address)
         if process is None or not process.alive:
             return
         replica = member_of(process).replica
         saved, earlier = replica.saved_state(), replica.version
-        if state != "kept":
-            self.fleet.stateless.update(self.fleet.lives_of(address))
+        if state != "saved":
+            self.fleet.lost_state_runs.update(self.fleet.runs_of(address))
         self.world.kill(process, silently)
-        if state == "kept":
-            self.world.at(again, lambda: self.fleet.start(address, saved, earlier))
-        elif state == "lagging":  # what was written down lacks the latest changes
+        if state == "saved":
+            self.world.at(restart_ms, lambda: self.fleet.start(address, saved, earlier))
+        elif state == "lagging":  # the saved state lacks the latest changes
             lagging = SavedState(saved.snapshot, saved.changes[: len(saved.changes) // 2])
-            self.world.at(again, lambda: self.fleet.start(address, lagging))
+            self.world.at(restart_ms, lambda: self.fleet.start(address, lagging))
         else:
-            self.world.at(again, lambda: self.fleet.start(address))
+            self.world.at(restart_ms, lambda: self.fleet.start(address))
 
     def _pause(self, address: str, length_ms: float) -> None:
         if address in self.fleet.processes:
             self.world.stop(self.fleet.processes[address], length_ms)
 
-    def _lag(self, address: str, lag_ms: float) -> None:
+    def _set_lag(self, address: str, lag_ms: float) -> None:
         if address in self.fleet.processes:
             self.fleet.processes[address].lag_ms = lag_ms
 
 
 def play(seed: int) -> Fleet:
-    """Play a drawn schedule to the moment at which all must hold."""
+    """Runs the schedule of a seed up to the time at which all replicas must have converged."""
     rng = random.Random(seed)
     world = World(seed, TICK_MS, rng.choice(((0.2, 2.0), (1.0, 60.0), (5.0, 200.0))))
     world.repeats = rng.choice((0.0, 0.2))
-    fleet = Fleet(world, rng, TINY if rng.random() < 0.4 else USUAL)
+    fleet = Fleet(world, rng, SMALL_LIMITS if rng.random() < 0.4 else DEFAULT_LIMITS)
     members = rng.randint(2, 8)
-    limited = rng.choice((0, 0, 1, 2))
+    limited_count = rng.choice((0, 0, 1, 2))
     length_ms = rng.choice((10_000.0, 40_000.0, 200_000.0))
-    drawn = Drawn(world, fleet, rng, length_ms)
+    driver = ScheduleDriver(world, fleet, rng, length_ms)
     for number in range(members):
-        fleet.add(f"a{number}", number >= limited or number == members - 1)
+        fleet.add(f"a{number}", number >= limited_count or number == members - 1)
     late = {f"a{number}" for number in range(members) if number and rng.random() < 0.15}
     for address in sorted(fleet.programs):
         if address in late:
-            drawn.join(address)
+            driver.join(address)
         else:
             world.at(rng.uniform(0, 500.0), lambda address=address: fleet.start(address))  # type: ignore[misc]
     for _ in range(rng.randint(0, 6)):
-        drawn.fault()
+        driver.fault()
     for _ in range(rng.choice((2, 6, 20, 40))):
-        drawn.request()
-    world.run(drawn.over + SETTLED_MS)
+        driver.request()
+    world.run(driver.last_fault_ms + CONVERGENCE_MS)
     return fleet
 
 
-def problems(seed: int) -> list[str]:
-    """Play a drawn schedule; what broke."""
-    return broken(play(seed))
+def violations_of(seed: int) -> list[str]:
+    """Runs the schedule of a seed and returns the violated guarantees."""
+    return violations(play(seed))
 
 
-def broken(fleet: Fleet) -> list[str]:
-    """What broke in a schedule that was played, a line each."""
-    return fleet.observed.problems + unsettled(fleet) + unlike_the_oracle(fleet) + lost(fleet)
+def violations(fleet: Fleet) -> list[str]:
+    """Returns the guarantees that a completed schedule violated, a line each."""
+    return (
+        fleet.observations.violations + convergence_violations(fleet) + oracle_mismatches(fleet) + lost_changes(fleet)
+    )
 
 
-def unsettled(fleet: Fleet) -> list[str]:
-    """One version, one configuration in force, but for those who can't run with it and say why."""
+def convergence_violations(fleet: Fleet) -> list[str]:
+    """Checks that all have one version and one configuration in force, except those that report why they can't."""
     found = []
     living = fleet.living
     versions = {member.replica.version for member in living}
@@ -327,14 +329,14 @@
         found.append(f"{len(versions)} versions: {sorted(map(str, versions))}")
     agreed = [member.replica.agreed for member in living if member.program.knows_all]
     if any(each != agreed[0] for each in agreed):
-        found.append("unlike agreed configurations")
+        found.append("agreed configurations differ")
     for member in living:
-        found += _not_following(member, agreed[0] if agreed else None)
+        found += _follow_violations(member, agreed[0] if agreed else None)
     return found
 
 
-def _not_following(member: Member, agreed: Any) -> list[str]:
-    """Why this member is neither following nor rightly held."""
+def _follow_violations(member: Member, agreed: Any) -> list[str]:
+    """Returns why this member neither follows the agreed configuration nor is held for a valid reason."""
     replica = member.replica
     if agreed is None:
         return []
@@ -343,17 +345,17 @@
     if replica.held is None:
         return [] if replica.configuration == agreed else [f"{member.address}: not held, and another configuration"]
     if not (too_small or unknown):
-        return [f"{member.address}: held without need: {replica.held.reason}"]
+        return [f"{member.address}: held without a reason: {replica.held.reason}"]
     wanted = {"c.size"} if not unknown else {"c.new", "c.size"}
     if replica.held.key not in wanted:
         return [f"{member.address}: held for {replica.held.key}, not {sorted(wanted)}"]
     if not any(isinstance(event, Held) and event == replica.held for event in member.events):
-        return [f"{member.address}: held without a word"]
+        return [f"{member.address}: held without an event"]
     return []
 
 
-def unlike_the_oracle(fleet: Fleet) -> list[str]:
-    """Where nothing was compacted, all is as an independent fold of the whole history has it."""
+def oracle_mismatches(fleet: Fleet) -> list[str]:
+    """Compares replicas that have compacted nothing with an independent fold of the whole history."""
     found = []
     for member in fleet.living:
         replica = member.replica
@@ -361,34 +363,36 @@
             continue
         folded = fold(entry.change for entry in replica.history)
         if replica.agreed is not None and replica.agreed != folded.values:
-            found.append(f"{member.address}: another configuration than the fold has")
+            found.append(f"{member.address}: configuration differs from the fold")
         for entry in replica.history:
             expected = folded.states[entry.change.position]
             if entry.state is not expected:
                 found.append(f"{member.address}: {entry.change.position} is {entry.state}, not {expected}")
             if entry.state in (ChangeState.IN_FORCE, ChangeState.SUPERSEDED) and not entry.reason:
-                by = folded.superseded_by.get(entry.change.position, {})
-                if dict(entry.superseded_by) != by:
-                    found.append(f"{member.address}: {entry.change.position} superseded by another")
+                superseded_by = folded.superseded_by.get(entry.change.position, {})
+                if dict(entry.superseded_by) != superseded_by:
+                    found.append(f"{member.address}: {entry.change.position} superseded by an unexpected change")
             if entry.state is ChangeState.REFUSED and not entry.reason.startswith("c."):
                 found.append(f"{member.address}: a refusal without a key: {entry.reason!r}")
     return found
 
 
-def lost(fleet: Fleet) -> list[str]:
-    """Accepted changes that are shown nowhere, or not everywhere where no history was compacted."""
+def lost_changes(fleet: Fleet) -> list[str]:
+    """Returns accepted changes missing from all histories, or from any history if nothing was compacted."""
     found = []
     shown = [{entry.change.position for entry in member.replica.history} for member in fleet.living]
     if not shown:
         return []
     compacted = any(member.replica.cut.clock for member in fleet.living)
-    whole = set.union(*shown) if compacted else set.intersection(*shown)
-    cuts = [member.replica.cut for member in fleet.living] if fleet.stateless else []  # whose archive may be lost
+    shown_changes = set.union(*shown) if compacted else set.intersection(*shown)
+    cuts = (
+        [member.replica.cut for member in fleet.living] if fleet.lost_state_runs else []
+    )  # the archive may be lost with the state
     for accepted in fleet.accepted:
         position = accepted.receipt.position
         assert position is not None
         in_base = any(position <= cut for cut in cuts)
-        if accepted.life not in fleet.stateless and position not in whole and not in_base:
+        if accepted.run_number not in fleet.lost_state_runs and position not in shown_changes and not in_base:
             found.append(f"{accepted.receipt.position}: accepted, and not in the history")
     for proposal, refusal in fleet.refusals:
         if "\n" in refusal or not refusal:
--- a/tests/configuration/support.py
+++ b/tests/configuration/support.py
@@ -1,4 +1,4 @@
-"""A small deployment for tests: its file, its rules, and replicas joined without delay."""
+"""A small deployment for tests: its file, its validator, and replicas connected without delay."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 CHANGEABLE = ChangeableKeys(("c",))
 FILE: dict[str, Value] = {"c.low": 10, "c.high": 20, "c.a": 1, "c.b": 1, "c.d": 1, "c.size": 9, "own.number": 3}
 KNOWN = frozenset({"low", "high", "a", "b", "d", "e", "size", "new"})
-TOTAL_MOST = 12  # of a, b and d together: valid changes on two sides may be too much at the heal
+MAX_TOTAL = 12  # of a, b and d together: changes valid on each side of a partition may exceed it after the merge
 
 
 def rules(known: frozenset[str] = KNOWN, number: int = 0) -> Callable[[Settings], list[Problem]]:
-    """The validator of a program that knows these keys, at the placer with this number."""
+    """Returns the validator of a program that knows these keys, at the placer with this number."""
 
     def problems(settings: Settings) -> list[Problem]:
-        expand(settings)  # for its errors
+        expand(settings)  # raises for malformed keys
         values = {key.removeprefix("c."): value for key, value in settings.items()}
         found = [
             Problem(ProblemKind.UNKNOWN_KEY, f"c.{name}", f"c.{name}: unknown key")
@@ -42,8 +42,8 @@
             return found
         if values["low"] >= values["high"]:
             found.append(Problem(ProblemKind.INVALID, "c.low", "c.low: must be below c.high"))
-        if values["a"] + values["b"] + values["d"] > TOTAL_MOST:
-            found.append(Problem(ProblemKind.INVALID, "c.a", f"c.a: a, b and d make more than {TOTAL_MOST}"))
+        if values["a"] + values["b"] + values["d"] > MAX_TOTAL:
+            found.append(Problem(ProblemKind.INVALID, "c.a", f"c.a: a, b and d make more than {MAX_TOTAL}"))
         if number >= values["size"]:
             found.append(Problem(ProblemKind.LOCAL, "c.size", f"c.size: must be above this placer's number {number}"))
         return found
@@ -64,7 +64,7 @@
 
 
 def proposal(author: str = "ann", comment: str = "", **values: Value) -> Proposal:
-    """Keys of ``c`` with their new values."""
+    """Returns a proposal that sets these keys of ``c``."""
     return Proposal(tuple(KeyEdit(f"c.{name}", value) for name, value in values.items()), author, comment)
 
 
@@ -72,8 +72,8 @@
     return Proposal(tuple(KeyEdit(f"c.{name}", removed=True) for name in names), "ann")
 
 
-class Joined:
-    """Replicas, and streams between any two of them that deliver at once until they are cut."""
+class ReplicaNetwork:
+    """Replicas and streams between them, which deliver immediately until they are cut."""
 
     def __init__(self, *replicas: ConfigurationReplica) -> None:
         self.replicas = list(replicas)
@@ -99,7 +99,7 @@
         self.replicas[other].disconnected(self.now, one)
 
     def carry(self) -> None:
-        """Deliver all messages until none is left."""
+        """Delivers messages until none is left."""
         todo = deque(range(len(self.replicas)))
         while todo:
             at = todo.popleft()
@@ -108,12 +108,12 @@
                     self.events[self.replicas[at].origin].append(output)
                 elif frozenset((at, output.peer)) in self.links:
                     self.messages += 1
-                    assert self.messages < 100_000, "messages without end"
+                    assert self.messages < 100_000, "messages do not stop"
                     self.replicas[output.peer].received(self.now, at, output.message)
                     todo.append(output.peer)
 
     def pass_time(self, length_ms: float, step_ms: float = 500.0) -> None:
-        """Ticks and heartbeats."""
+        """Advances time with ticks and heartbeats."""
         until = self.now + length_ms
         while self.now < until:
             self.now += step_ms
--- a/tests/configuration/test_replica.py
+++ b/tests/configuration/test_replica.py
@@ -1,4 +1,4 @@
-"""One replica and few: what a proposal gets, what a merge does, what is held, kept, set aside and bounded."""
+"""Tests of single replicas and small networks: proposals, merges, held configurations, saved state and limits."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
     Summary,
 )
 from tests.configuration.oracle import fold
-from tests.configuration.support import CHANGEABLE, FILE, KNOWN, Joined, proposal, removal, replica
+from tests.configuration.support import CHANGEABLE, FILE, KNOWN, ReplicaNetwork, proposal, removal, replica
 
 
-def test_a_change_is_in_force_at_all_and_the_file_is_its_base() -> None:
-    fleet = Joined(replica("p0"), replica("p1", file={**FILE, "c.a": 7}), replica("p2"))
+def test_the_first_change_makes_its_placers_file_the_baseline_everywhere() -> None:
+    fleet = ReplicaNetwork(replica("p0"), replica("p1", file={**FILE, "c.a": 7}), replica("p2"))
     fleet.join(0, 1)
     fleet.join(1, 2)
     receipt = fleet.replicas[0].propose(0.0, proposal(b=4))
@@ -50,8 +50,8 @@
     assert [entry.state for entry in fleet.replicas[2].history] == [ChangeState.IN_FORCE, ChangeState.IN_FORCE]
 
 
-def test_of_two_operators_the_later_in_the_order_holds_and_the_other_is_told() -> None:
-    fleet = Joined(replica("p0"), replica("p1"))
+def test_of_two_concurrent_changes_the_later_wins_and_the_overwrite_is_reported() -> None:
+    fleet = ReplicaNetwork(replica("p0"), replica("p1"))
     fleet.join(0, 1)
     fleet.replicas[0].propose(0.0, proposal(d=2))
     fleet.carry()
@@ -68,8 +68,8 @@
     assert shown[first].superseded_by == {"c.a": second} and shown[first].state is ChangeState.IN_FORCE
 
 
-def test_what_is_valid_on_each_side_and_invalid_together_is_refused_whole_and_told() -> None:
-    fleet = Joined(replica("p0"), replica("p1"))
+def test_changes_valid_alone_but_invalid_together_are_refused_as_a_whole() -> None:
+    fleet = ReplicaNetwork(replica("p0"), replica("p1"))
     fleet.join(0, 1)
     fleet.replicas[0].propose(0.0, proposal(d=2))
     fleet.carry()
@@ -79,14 +79,14 @@
     assert second is not None and fleet.replicas[1].configuration["c.b"] == 8
     fleet.join(0, 1)
     assert fleet.alike() and fleet.replicas[1].configuration["c.high"] == 20
-    line = "c.a: a, b and d make more than 12"
-    assert Refused(second, line) in fleet.events["p0"] and Refused(second, line) in fleet.events["p1"]
-    assert fleet.replicas[0].refused == [f"{second}: {line}"]
+    reason = "c.a: a, b and d make more than 12"
+    assert Refused(second, reason) in fleet.events["p0"] and Refused(second, reason) in fleet.events["p1"]
+    assert fleet.replicas[0].refused == [f"{second}: {reason}"]
 
 
-def joined(*replicas: ConfigurationReplica) -> Joined:
-    """All joined to all, with one change made, so that there is an agreed configuration."""
-    fleet = Joined(*replicas)
+def joined(*replicas: ConfigurationReplica) -> ReplicaNetwork:
+    """Connects all replicas and makes one change, so that an agreed configuration exists."""
+    fleet = ReplicaNetwork(*replicas)
     fleet.join_all()
     assert fleet.replicas[0].propose(0.0, proposal(d=2)).refusal == ""
     fleet.carry()
@@ -102,7 +102,9 @@
 
 
 @given(CHANGES, st.randoms(use_true_random=False))
-def test_order_repeats_and_batches_make_no_difference(drawn: dict[Position, dict[str, object]], rng: Random) -> None:
+def test_the_result_is_independent_of_order_repetition_and_batching(
+    drawn: dict[Position, dict[str, object]], rng: Random
+) -> None:
     baseline = tuple(Edit(key, value) for key, value in FILE.items() if key.startswith("c."))
     changes = [Change(Position(1, "x"), "ann", "", 0.0, baseline, True)]
     for position, values in drawn.items():
@@ -125,10 +127,10 @@
     assert len(seen) == 1
 
 
-def test_what_the_door_refuses_is_one_line_with_the_key() -> None:
+def test_a_refused_proposal_returns_one_line_that_names_the_key() -> None:
     one = replica(number=3)
     one.propose(0.0, proposal(d=2))
-    lines = {
+    refused = {
         "own.number": Proposal((KeyEdit("own.number", 1),), "ann"),
         "c.low": proposal(low=20),
         "c.size": proposal(size=3),
@@ -140,8 +142,8 @@
         "c.high": removal("high"),
     }
     before = one.version
-    for key, asked in lines.items():
-        receipt = one.propose(0.0, asked)
+    for key, refused_proposal in refused.items():
+        receipt = one.propose(0.0, refused_proposal)
         assert receipt.position is None and receipt.refusal.startswith(f"{key}: "), receipt
         assert "\n" not in receipt.refusal
     assert one.propose(0.0, Proposal((), "ann")).refusal == "no key is changed"
@@ -150,14 +152,14 @@
     assert one.version == before and not [each for each in one.take_outputs() if isinstance(each, Refused)]
 
 
-def test_changes_a_second_are_bounded_at_the_door() -> None:
+def test_the_rate_of_proposals_is_limited() -> None:
     one = replica(limits=Limits(proposals_burst=3, proposals_per_s=2))
     refusals = [one.propose(0.0, proposal(a=number)).refusal for number in range(2, 7)]
     assert refusals[:3] == ["", "", ""] and all("too many changes" in each for each in refusals[3:])
     assert one.propose(1000.0, proposal(a=8)).refusal == ""
 
 
-def test_a_named_version_is_compared_by_key() -> None:
+def test_a_proposal_against_a_version_is_refused_only_if_its_keys_changed() -> None:
     fleet = joined(replica("p0"), replica("p1"))
     read = fleet.replicas[0].version
     assert fleet.replicas[1].propose(0.0, proposal(a=2)).refusal == ""
@@ -183,7 +185,7 @@
     assert one.rollback(0.0, receipt.position, "ann").refusal == "no key is changed"
 
 
-def test_a_file_that_cannot_be_is_no_baseline() -> None:
+def test_an_invalid_file_cannot_become_the_baseline() -> None:
     one = replica(file={**FILE, "c.low": 30})
     refusal = one.propose(0.0, proposal(low=1)).refusal
     assert refusal == (
@@ -192,7 +194,7 @@
     assert one.version == Version(0, 0)
 
 
-def test_who_has_not_heard_its_peers_yet_takes_no_proposal() -> None:
+def test_a_replica_that_has_not_synchronized_refuses_proposals() -> None:
     one = replica()
     one.connected(0.0, 1)
     assert "not caught up" in one.propose(0.0, proposal(a=2)).refusal
@@ -200,16 +202,16 @@
     assert one.propose(0.0, proposal(a=2)).refusal == ""
 
 
-def test_a_key_that_half_of_the_programs_do_not_know() -> None:
+def test_a_key_unknown_to_half_of_the_programs_is_relayed_but_held_there() -> None:
     old = KNOWN - {"new"}
-    fleet = Joined(replica("p0"), replica("p1", old), replica("p2"), replica("p3", old))
+    fleet = ReplicaNetwork(replica("p0"), replica("p1", old), replica("p2"), replica("p3", old))
     for number in (0, 1, 2):
         fleet.join(number, number + 1)
     fleet.replicas[0].propose(0.0, proposal(a=2))
     fleet.carry()
     fleet.replicas[0].propose(0.0, proposal(new=1, b=3))
     fleet.carry()
-    assert fleet.replicas[2].configuration["c.b"] == 3, "an old program relays what it doesn't know"
+    assert fleet.replicas[2].configuration["c.b"] == 3, "an old program relays changes of unknown keys"
     for held in (fleet.replicas[1], fleet.replicas[3]):
         assert held.held == Held("c.new", "c.new: unknown key")
         assert (held.configuration["c.a"], held.configuration["c.b"]) == (2, 1)
@@ -224,14 +226,14 @@
     assert fleet.alike()
 
 
-def test_a_guess_that_was_wrong_is_put_right_by_the_verdicts_of_others() -> None:
+def test_verdicts_of_a_peer_correct_an_unchecked_change() -> None:
     old = KNOWN - {"new"}
     fleet = joined(replica("p0"), replica("p1"), replica("p2", old))
     fleet.cut(0, 1)
     fleet.replicas[0].propose(0.0, proposal(a=9))
     fleet.cut(0, 2)
     fleet.carry()
-    late = fleet.replicas[1].propose(0.0, proposal(b=9, new=1))  # together with a=9 it is too much
+    late = fleet.replicas[1].propose(0.0, proposal(b=9, new=1))  # exceeds the total together with a=9
     assert late.position is not None
     fleet.join(0, 1)
     fleet.pass_time(5000.0)
@@ -240,7 +242,7 @@
     assert "refused by a placer that knows it" in fleet.replicas[2].refused[0]
 
 
-def test_own_limits_hold_the_last_configuration_whole() -> None:
+def test_local_limits_hold_the_last_configuration_as_a_whole() -> None:
     fleet = joined(replica("p0"), replica("p1", number=6), replica("p2"))
     fleet.replicas[0].propose(0.0, proposal(size=5, a=3))
     fleet.carry()
@@ -253,7 +255,7 @@
     assert fleet.alike() and held.held is None
 
 
-def test_programs_with_unlike_rules_are_told_of_it() -> None:
+def test_programs_with_different_validators_report_a_divergence() -> None:
     strict = ConfigurationReplica(
         "p1",
         FILE,
@@ -261,7 +263,7 @@
         CHANGEABLE,
         0.0,
     )
-    fleet = Joined(replica("p0"), strict)
+    fleet = ReplicaNetwork(replica("p0"), strict)
     fleet.join_all()
     fleet.replicas[0].propose(0.0, proposal(a=3))
     fleet.carry()
@@ -270,8 +272,8 @@
     assert strict.configuration["c.a"] == 1 and strict.refused == [f"{fleet.replicas[0].setter('c.a')}: c.a: odd"]
 
 
-def test_who_was_started_with_an_old_file_comes_to_the_newest() -> None:
-    fleet = Joined(replica("p0"), replica("p1"), replica("p2", file={**FILE, "c.a": 5, "c.e": 1}))
+def test_a_replica_started_with_an_old_file_gets_the_latest_configuration() -> None:
+    fleet = ReplicaNetwork(replica("p0"), replica("p1"), replica("p2", file={**FILE, "c.a": 5, "c.e": 1}))
     fleet.join(0, 1)
     for number in range(2, 9):
         fleet.replicas[0].propose(0.0, proposal(a=number))
@@ -280,11 +282,11 @@
     assert fleet.alike() and "c.e" not in fleet.replicas[2].configuration
 
 
-SHORT = Limits(horizon_ms=10_000.0)
+SHORT_HORIZON = Limits(horizon_ms=10_000.0)
 
 
-def test_who_comes_back_after_the_horizon_has_its_changes_set_aside() -> None:
-    fleet = joined(replica("p0", limits=SHORT), replica("p1", limits=SHORT))
+def test_changes_from_before_the_horizon_are_set_aside_after_a_partition() -> None:
+    fleet = joined(replica("p0", limits=SHORT_HORIZON), replica("p1", limits=SHORT_HORIZON))
     fleet.cut(0, 1)
     lost = fleet.replicas[1].propose(0.0, proposal(a=5)).position
     assert lost is not None
@@ -304,34 +306,34 @@
     assert fleet.replicas[1].refused[0].startswith(f"{lost}: c.a: ")
 
 
-def test_a_next_life_goes_on_where_the_last_one_was() -> None:
-    one = replica("p0/1", limits=SHORT)
+def test_a_restarted_replica_resumes_from_its_saved_state() -> None:
+    one = replica("p0/1", limits=SHORT_HORIZON)
     for number in range(2, 6):
         one.propose(0.0, proposal(a=number))
     one.tick(20_000.0)
     one.propose(20_000.0, proposal(b=2))
-    two = replica("p0/2", limits=SHORT, saved=one.saved_state(), now=30_000.0)
+    two = replica("p0/2", limits=SHORT_HORIZON, saved=one.saved_state(), now=30_000.0)
     assert (two.version, two.configuration, two.history) == (one.version, one.configuration, one.history)
     receipt = two.propose(30_000.0, proposal(b=3))
     assert receipt.position == Position(one.version.number + 1, "p0/2")
 
 
-def test_a_quiet_fleet_sends_nothing() -> None:
+def test_an_idle_fleet_sends_nothing() -> None:
     fleet = joined(replica("p0"), replica("p1"), replica("p2"))
     before = fleet.messages
     fleet.pass_time(60_000.0)
     assert fleet.messages == before
 
 
-def test_what_a_stream_lost_is_found_by_digests() -> None:
+def test_messages_lost_with_a_stream_are_recovered_by_digests() -> None:
     fleet = joined(replica("p0"), replica("p1"))
     fleet.replicas[0].propose(0.0, proposal(a=2))
-    fleet.replicas[0].take_outputs()  # lost with its stream, which nobody saw break
+    fleet.replicas[0].take_outputs()  # messages lost without a disconnect
     fleet.pass_time(5000.0)
     assert fleet.alike()
 
 
-def test_a_long_history_is_bounded_and_still_leads_a_newcomer_to_the_newest() -> None:
+def test_a_long_history_is_bounded_and_a_new_replica_still_catches_up() -> None:
     limits = Limits(live_changes=16, archived_changes=20, remembered_fingerprints=30, proposals_burst=1000)
     fleet = joined(replica("p0", limits=limits), replica("p1", limits=limits))
     for number in range(200):
@@ -346,7 +348,7 @@
     assert fleet.alike() and fleet.replicas[2].configuration["c.e"] == 199
 
 
-def test_messages_are_cut_to_size() -> None:
+def test_changes_are_split_into_messages_within_the_limits() -> None:
     limits = Limits(message_bytes=1000, flush_bytes=3000, proposals_burst=1000)
     one = replica(limits=limits)
     for number in range(60):
@@ -367,7 +369,7 @@
     assert arrived == sorted(arrived) and len(arrived) == 61
 
 
-def test_what_cannot_be_a_change_is_not_taken() -> None:
+def test_implausible_changes_are_rejected() -> None:
     one = replica()
     one.connected(0.0, 1)
     bad = [
@@ -383,7 +385,7 @@
     assert one.counters["from_strangers"] == 1
 
 
-def test_a_key_of_a_placers_own_is_never_applied_wherever_it_comes_from() -> None:
+def test_a_change_of_a_placers_own_key_is_never_applied() -> None:
     fleet = joined(replica("p0"), replica("p1"))
     rogue = Change(Position(9, "x"), "ann", "", 0.0, (Edit("own.number", 7), Edit("c.a", 3)))
     fleet.replicas[0].received(0.0, 1, Changes((rogue,)))
@@ -393,7 +395,7 @@
         assert each.held is not None and each.held.key == "own.number"
 
 
-def test_the_history_leads_back_as_far_when_it_is_compacted() -> None:
+def test_a_rollback_can_reach_compacted_changes() -> None:
     one = replica(limits=Limits(proposals_burst=1000))
     for number in range(2, 40):
         one.propose(0.0, removal("e") if "c.e" in one.configuration else proposal(e=number, high=20 + number))
--- a/tests/configuration/test_schedules.py
+++ b/tests/configuration/test_schedules.py
@@ -1,43 +1,43 @@
-"""Drawn schedules keep the promises of docs/configuration.md, and find every planted defect."""
+"""Random schedules uphold the guarantees of docs/configuration.md, and detect every injected defect."""
 
 from __future__ import annotations
 
 import pytest
 
-from tests.configuration.defects import DEFECTS, planted
-from tests.configuration.schedules import problems
-
-# Where a defect shows first, as a search over `problems(seed)` from 0 found; the others show in the first ten.
-SHOWS_AT = {
-    "a_limited_program_never_asks_for_verdicts": 287,
-    "a_limited_program_trusts_its_guess": 54,
-    "a_refused_change_keeps_some_edits": 49,
-    "an_invalid_result_is_accepted": 19,
-    "every_baseline_counts": 19,
-    "what_a_later_base_holds_again_is_shown_no_more": 12642,
-    "what_a_program_does_not_know_is_not_relayed": 132,
-    "what_is_older_than_the_base_is_dropped": 58,
-    "what_one_flush_cannot_hold_is_lost": 83,
-    "what_was_confirmed_is_never_doubted": 54,
+from tests.configuration.defects import DEFECTS, with_defect
+from tests.configuration.schedules import violations_of
+
+# The first seed, searched from 0, whose schedule detects the defect; the first ten seeds detect the others.
+FIRST_FAILING_SEED = {
+    "verdicts_never_sent": 287,
+    "unchecked_changes_treated_as_confirmed": 54,
+    "refused_change_partially_applied": 49,
+    "invalid_result_accepted": 19,
+    "every_baseline_applied": 19,
+    "changes_in_a_later_base_missing_from_history": 12642,
+    "unchecked_changes_not_relayed": 132,
+    "changes_before_the_cut_dropped": 58,
+    "changes_above_the_flush_limit_lost": 83,
+    "confirmation_never_withdrawn": 54,
 }
 
 
-FOUND = (287, 5978, 8358, 9909, 12642, 15605)  # which broke a promise, or a check, of an earlier version
+REGRESSION_SEEDS = (287, 5978, 8358, 9909, 12642, 15605)  # violated a guarantee or a check in an earlier version
 
 
-@pytest.mark.parametrize("seed", FOUND)
-def test_schedules_that_once_found_something_keep_the_promises(seed: int) -> None:
-    assert problems(seed) == []
+@pytest.mark.parametrize("seed", REGRESSION_SEEDS)
+def test_schedules_that_once_failed_uphold_the_guarantees(seed: int) -> None:
+    assert violations_of(seed) == []
 
 
 @pytest.mark.parametrize("first", range(0, 200, 10))
-def test_drawn_schedules_keep_the_promises(first: int) -> None:
-    broken = {seed: problems(seed) for seed in range(first, first + 10)}
-    assert not {seed: found for seed, found in broken.items() if found}
+def test_random_schedules_uphold_the_guarantees(first: int) -> None:
+    failures = {seed: violations_of(seed) for seed in range(first, first + 10)}
+    assert not {seed: found for seed, found in failures.items() if found}
 
 
 @pytest.mark.parametrize("name", sorted(DEFECTS))
-def test_a_planted_defect_is_found(name: str) -> None:
-    seeds = [SHOWS_AT[name]] if name in SHOWS_AT else range(10)
-    with planted(name):
-        assert any(problems(seed) for seed in seeds)
+def test_an_injected_defect_is_detected(name: str) -> None:
+    seeds = [FIRST_FAILING_SEED[name]] if name in FIRST_FAILING_SEED else range(10)
+    with with_defect(name):
+        assert any(violations_of(seed) for seed in seeds)
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -1,4 +1,4 @@
-"""Words as frames: back as they were, and one error for whatever is none."""
+"""Tests that messages of the view survive encoding, and that malformed frames raise one type of error."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 TEXT = st.text(min_size=1, max_size=20)
 BIG = st.integers(0, 2**63)
 TIMES = st.floats(0, 1e13)
-RUNS = st.builds(
+GENERATIONS = st.builds(
     Generation, st.integers(0, 2**31), st.integers(0, 2**31), st.integers(0, 2**31), TIMES, st.floats(1, 1e13),
     st.booleans(), st.booleans(), st.none() | TIMES,
 )  # fmt: skip
 RECORDS = st.builds(
     record, st.integers(0, 350), incarnation=BIG, version=BIG, life=TEXT, name=TEXT, address=st.text(max_size=20),
     roles=st.lists(TEXT, max_size=3).map(tuple), sees=st.lists(st.tuples(TEXT, TEXT), max_size=4).map(tuple),
-    left=st.booleans(), generation=RUNS, status=st.text(max_size=20),
+    left=st.booleans(), generation=GENERATIONS, status=st.text(max_size=20),
 )  # fmt: skip
-WORDS = st.one_of(
+MESSAGES = st.one_of(
     st.builds(Hello, st.text(max_size=9), st.text(max_size=9), RECORDS),
     st.builds(Beat, st.integers(0, 2**64 - 1)),
     st.builds(News, st.lists(RECORDS, max_size=3).map(tuple)),
@@ -35,18 +35,18 @@
 )
 
 
-@given(WORDS)
-def test_words_come_back_as_they_were(word: Word) -> None:
-    assert decode(encode(word)) == word
+@given(MESSAGES)
+def test_decoding_returns_the_encoded_message(message: Word) -> None:
+    assert decode(encode(message)) == message
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_word_or_one_error(data: bytes) -> None:
+def test_any_bytes_decode_or_raise_one_error(data: bytes) -> None:
     with contextlib.suppress(MalformedMessageError):
         decode(data)
 
 
-def test_unknown_fields_and_words_of_a_later_version_are_passed_over() -> None:
+def test_unknown_fields_and_messages_of_a_later_version_are_ignored() -> None:
     beat = encode(Beat(7))
     assert decode(beat + b"\xfa\x01\x03abc") == Beat(7)
     assert decode(b"\xfa\x01\x03abc") is None
@@ -61,6 +61,6 @@
         pb.PeerFrame(summary=pb.PeerSummary(ages=[pb.PeerAge(name="p")] * (MEMBERS_MOST + 1))),
     ],
 )
-def test_what_is_too_much_or_nobody_is_refused(frame: pb.PeerFrame) -> None:
+def test_oversized_or_anonymous_records_are_rejected(frame: pb.PeerFrame) -> None:
     with pytest.raises(MalformedMessageError):
         decode(frame.SerializeToString())
--- a/tests/peers/test_configuration_codec.py
+++ b/tests/peers/test_configuration_codec.py
@@ -1,4 +1,4 @@
-"""Messages about the configuration as frames: back as they were, one error for what is none, nothing to older members."""
+"""Tests that configuration messages survive encoding, are ignored by older members, and that malformed ones raise."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def earlier_frame() -> Any:
-    """The frame of a member whose program knows nothing of a configuration."""
+    """Returns the frame class of a program version without configuration messages."""
     file = descriptor_pb2.FileDescriptorProto()
     pb.DESCRIPTOR.CopyToProto(file)
     file.package, file.name = "earlier", "earlier.proto"
@@ -72,40 +72,40 @@
 
 
 @given(MESSAGES)
-def test_messages_come_back_as_they_were_and_are_no_words(message: Message) -> None:
+def test_decoding_returns_the_encoded_message_and_no_view_message(message: Message) -> None:
     frame = parse(encode_message(message))
     assert configuration_message_of(frame) == message
     assert view_message_of(frame) is None
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_one_error(data: bytes) -> None:
+def test_any_bytes_decode_or_raise_one_error(data: bytes) -> None:
     with contextlib.suppress(MalformedMessageError):
         configuration_message_of(
             pb.PeerFrame(configuration=pb.ConfigurationMessage.FromString(parse(data).SerializeToString()))
         )
 
 
-def test_a_heartbeat_carries_the_digest_only_where_it_is_given() -> None:
+def test_a_heartbeat_carries_the_digest_only_if_given() -> None:
     assert configuration_message_of(parse(encode(Beat(7)))) is None
     frame = parse(encode(Beat(7), encode_digest(Digest(1, 2))))
     assert configuration_message_of(frame) == Digest(1, 2)
     assert view_message_of(frame) == Beat(7)
 
 
-def test_an_earlier_version_passes_over_messages_and_reads_heartbeats() -> None:
+def test_an_earlier_version_ignores_messages_and_reads_heartbeats() -> None:
     frame = earlier_frame()
     beat = frame.FromString(encode(Beat(7), encode_digest(Digest(1, 2))))
     assert beat.WhichOneof("word") == "beat" and beat.beat.digest == 7
     assert frame.FromString(encode_message(SnapshotRequest())).WhichOneof("word") is None
 
 
-def test_a_message_of_a_later_version_is_passed_over() -> None:
+def test_a_message_of_a_later_version_is_ignored() -> None:
     assert configuration_message_of(pb.PeerFrame(configuration=pb.ConfigurationMessage())) is None
 
 
 @pytest.mark.parametrize("value", ["", "{", "NaN", "1e999", "-Infinity", '"\\ud800"', "[" * 100_000])
-def test_a_value_that_is_no_json_is_refused(value: str) -> None:
+def test_a_value_that_is_not_json_is_rejected(value: str) -> None:
     edits = [pb.ConfigurationEdit(key="cluster.max_attempts", value=value)]
     changes = pb.ConfigurationChanges(changes=[pb.ConfigurationChange(edits=edits)])
     with pytest.raises(MalformedMessageError):
@@ -122,7 +122,7 @@
         pb.ConfigurationChange(position=pb.ConfigurationPosition(origin="o" * 300)),
     ],
 )
-def test_what_is_too_much_or_cannot_be_is_refused(change: pb.ConfigurationChange) -> None:
+def test_oversized_or_invalid_changes_are_rejected(change: pb.ConfigurationChange) -> None:
     changes = pb.ConfigurationChanges(changes=[change])
     with pytest.raises(MalformedMessageError):
         configuration_message_of(pb.PeerFrame(configuration=pb.ConfigurationMessage(changes=changes)))
--- a/tests/peers/test_configuration_transport.py
+++ b/tests/peers/test_configuration_transport.py
@@ -1,4 +1,4 @@
-"""A replica's messages on streams: only to peers that carry a configuration too, and in the order in which they arose."""
+"""Tests that a replica's messages go only to peers that replicate a configuration, and in the order of their creation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Member:
-    """A carrier whose frames are kept for the test to deliver."""
+    """A transport whose frames are collected for the test to deliver."""
 
     def __init__(self, name: str) -> None:
         settings = {"cluster.max_attempts": 3}
@@ -23,8 +23,8 @@
         self.frames: list[bytes] = []
         self.transport.transmit = lambda stream, data: self.frames.append(data)
 
-    def take(self, other: Member) -> None:
-        """Hear all that the other has sent so far."""
+    def receive_from(self, other: Member) -> None:
+        """Receives all that the other member has sent so far."""
         frames, other.frames = other.frames, []
         for data in frames:
             message = configuration_message_of(parse(data))
@@ -32,7 +32,7 @@
             self.transport.handle_message(STREAM, message)
 
 
-def test_nothing_is_sent_to_a_peer_that_has_shown_no_digest() -> None:
+def test_nothing_is_sent_to_a_peer_that_has_sent_no_digest() -> None:
     member = Member("a")
     member.transport.handle_message(STREAM, SnapshotRequest())
     assert member.transport.propose(CHANGE).refusal == ""
@@ -40,19 +40,19 @@
     assert member.frames == [] and member.transport.connected_streams == 0
 
 
-def test_a_change_goes_to_a_peer_that_has_shown_its_digest() -> None:
+def test_a_change_is_sent_to_a_peer_that_has_sent_its_digest() -> None:
     one, other = Member("a"), Member("b")
     one.transport.handle_message(STREAM, other.transport.replica.digest)
     other.transport.handle_message(STREAM, one.transport.replica.digest)
-    one.take(other)
-    other.take(one)
+    one.receive_from(other)
+    other.receive_from(one)
     assert one.transport.propose(CHANGE).refusal == ""
-    other.take(one)
+    other.receive_from(one)
     assert other.transport.replica.configuration == {"cluster.max_attempts": 4}
     assert other.transport.replica.version == one.transport.replica.version
 
 
-def test_nothing_is_sent_on_a_stream_that_is_over() -> None:
+def test_nothing_is_sent_on_a_closed_stream() -> None:
     member = Member("a")
     member.transport.handle_message(STREAM, Digest(0, 0))
     assert member.transport.connected_streams == 1
@@ -62,8 +62,8 @@
     assert member.frames == [] and member.transport.connected_streams == 0
 
 
-def test_what_a_send_gives_rise_to_waits_its_turn() -> None:
-    """A stream may end while something is sent on another one."""
+def test_outputs_that_result_from_a_send_are_queued() -> None:
+    """Sending on one stream may close another: its outputs must follow the current ones."""
     member = Member("a")
     for stream in (1, 2, 3):
         member.transport.handle_message(stream, Digest(0, 0))
