--- a/sprucepost/peers/codec.py
+++ b/sprucepost/peers/codec.py
@@ -40,7 +40,10 @@
     elif isinstance(message, News):
         frame = pb.PeerFrame(news=pb.PeerNews(records=[_encode_record(record) for record in message.records]))
     else:
-        ages = [pb.PeerAge(name=name, incarnation=life, version=version) for name, life, version in message.ages]
+        ages = [
+            pb.PeerAge(name=name, incarnation=incarnation, version=version)
+            for name, incarnation, version in message.ages
+        ]
         frame = pb.PeerFrame(summary=pb.PeerSummary(ages=ages, answer=message.answer))
     return frame.SerializeToString()
 
@@ -75,7 +78,7 @@
         return News(tuple(_decode_record(record) for record in frame.news.records))
     if kind == "summary":
         if len(frame.summary.ages) > MEMBERS_MOST:
-            raise MalformedMessageError(f"summary of {len(frame.summary.ages)} members")
+            raise MalformedMessageError(f"summary has {len(frame.summary.ages)} members, more than allowed")
         return Summary(
             tuple((age.name, age.incarnation, age.version) for age in frame.summary.ages), frame.summary.answer
         )
--- a/tests/configuration/member.py
+++ b/tests/configuration/member.py
@@ -32,7 +32,7 @@
     Snapshot,
 )
 from sprucepost.view.words import Close, Dial
-from sprucepost.view.words import Send as Carry
+from sprucepost.view.words import Send as SendAction
 from tests.configuration.oracle import author_saw
 from tests.configuration.support import CHANGEABLE, FILE, KNOWN, rules
 
@@ -50,14 +50,14 @@
     address: str
 
 
-def carry(stream: int, word: Any) -> Carry:
+def send_action(stream: int, message: Any) -> SendAction:
     """Returns the simulator's action that sends a message of any type."""
-    return Carry(stream, word)
+    return SendAction(stream, message)
 
 
 @dataclass
 class _Stream:
-    heard: float
+    last_received_ms: float
     address: str = ""
 
 
@@ -142,11 +142,13 @@
         self.replica.tick(self._clock(now))
         actions = self._out()
         for ident, stream in list(self._streams.items()):
-            if now - stream.heard > STREAM_TIMEOUT_MS:
+            if now - stream.last_received_ms > STREAM_TIMEOUT_MS:
                 actions += [Close(ident, "silent"), *self.ended(now, ident)]
         if now - self._last_heartbeat_ms >= HEARTBEAT_MS:
             self._last_heartbeat_ms = now
-            actions += [carry(ident, self.replica.digest) for ident, stream in self._streams.items() if stream.address]
+            actions += [
+                send_action(ident, self.replica.digest) for ident, stream in self._streams.items() if stream.address
+            ]
         connected = {stream.address for stream in self._streams.values()}
         for address in self._neighbors():
             if address not in connected and address not in self._opening:
@@ -157,7 +159,7 @@
     def opened(self, now: float, stream: int, dialled: str | None) -> list[Any]:
         self._opening.discard(dialled or "")
         self._streams[stream] = _Stream(now)
-        return [carry(stream, Hello(self.address))]
+        return [send_action(stream, Hello(self.address))]
 
     def not_opened(self, now: float, dialled: str) -> list[Any]:
         self._opening.discard(dialled)
@@ -169,17 +171,17 @@
             self.replica.disconnected(self._clock(now), stream)
         return self._out()
 
-    def heard(self, now: float, stream: int, word: Any) -> list[Any]:
+    def heard(self, now: float, stream: int, message: Any) -> list[Any]:
         known = self._streams.get(stream)
         if known is None:
             return []
-        known.heard = now
-        if isinstance(word, Hello):
+        known.last_received_ms = now
+        if isinstance(message, Hello):
             if not known.address:
-                known.address = word.address
+                known.address = message.address
                 self.replica.connected(self._clock(now), stream)
         elif known.address:
-            self.replica.received(self._clock(now), stream, word)
+            self.replica.received(self._clock(now), stream, message)
         return self._out()
 
     # Invariants checked at each step
@@ -193,7 +195,7 @@
         for output in self.replica.take_outputs():
             if isinstance(output, Send):
                 self._measure(output.message)
-                actions.append(carry(output.peer, output.message))
+                actions.append(send_action(output.peer, output.message))
             else:
                 new_events.append(output)
         self.events += new_events
@@ -271,7 +273,7 @@
                 self._observations.report(f"{self.address}: {count} {name}, {most} at most")
 
     def _check_setter_change(self, key: str, before: Position, after: Position | None, new_events: list[Event]) -> None:
-        """The agreed value of a key has another setter: its author must have seen the old value, or an event reports it."""
+        """Checks a new setter of a key: its author must have seen the old value, or an event reports the change."""
         if any(isinstance(event, (Refused, SetAside)) and event.position == before for event in new_events):
             return
         if any(isinstance(event, Overwritten) and (event.position, event.key) == (before, key) for event in new_events):
--- a/tests/configuration/oracle.py
+++ b/tests/configuration/oracle.py
@@ -58,7 +58,7 @@
 
 
 def author_saw(changes: dict[Position, Change], after: Position, before: Position, key: str) -> bool:
-    """Whether the author of ``after`` had seen the value of ``key`` set by ``before``, directly or through other changes."""
+    """Whether the author of ``after`` had seen, directly or through others, the value of ``key`` by ``before``."""
     latest: Position | None = after
     while latest is not None and latest > before and latest in changes:
         edit = next((each for each in changes[latest].edits if each.key == key), None)
--- a/tests/configuration/schedules.py
+++ b/tests/configuration/schedules.py
@@ -1,6 +1,7 @@
 """Random schedules of faults and requests, run with simulated configuration replicas.
 
-``violations_of(seed)`` runs one and returns the violated guarantees, a line each; a seed always gives the same schedule.
+``violations_of(seed)`` runs one and returns the violated guarantees, a line each. A seed always gives the same
+schedule.
 """
 
 from __future__ import annotations
@@ -385,9 +386,8 @@
         return []
     compacted = any(member.replica.cut.clock for member in fleet.living)
     shown_changes = set.union(*shown) if compacted else set.intersection(*shown)
-    cuts = (
-        [member.replica.cut for member in fleet.living] if fleet.lost_state_runs else []
-    )  # the archive may be lost with the state
+    # A member whose state was lost may have lost its archive, too.
+    cuts = [member.replica.cut for member in fleet.living] if fleet.lost_state_runs else []
     for accepted in fleet.accepted:
         position = accepted.receipt.position
         assert position is not None
--- a/tests/configuration/support.py
+++ b/tests/configuration/support.py
@@ -86,7 +86,7 @@
         self.links.add(frozenset((one, other)))
         self.replicas[one].connected(self.now, other)
         self.replicas[other].connected(self.now, one)
-        self.carry()
+        self.deliver_all()
 
     def join_all(self) -> None:
         for one in range(len(self.replicas)):
@@ -98,7 +98,7 @@
         self.replicas[one].disconnected(self.now, other)
         self.replicas[other].disconnected(self.now, one)
 
-    def carry(self) -> None:
+    def deliver_all(self) -> None:
         """Delivers messages until none is left."""
         todo = deque(range(len(self.replicas)))
         while todo:
@@ -123,7 +123,7 @@
                     if at in link:
                         (other,) = link - {at}
                         self.replicas[other].received(self.now, at, each.digest)
-            self.carry()
+            self.deliver_all()
 
     def alike(self) -> bool:
         first = self.replicas[0]
--- a/tests/configuration/test_replica.py
+++ b/tests/configuration/test_replica.py
@@ -42,7 +42,7 @@
     fleet.join(0, 1)
     fleet.join(1, 2)
     receipt = fleet.replicas[0].propose(0.0, proposal(b=4))
-    fleet.carry()
+    fleet.deliver_all()
     assert receipt.refusal == "" and receipt.position is not None
     assert fleet.alike()
     assert fleet.replicas[2].configuration == {**{k: v for k, v in FILE.items() if k != "own.number"}, "c.b": 4}
@@ -54,7 +54,7 @@
     fleet = ReplicaNetwork(replica("p0"), replica("p1"))
     fleet.join(0, 1)
     fleet.replicas[0].propose(0.0, proposal(d=2))
-    fleet.carry()
+    fleet.deliver_all()
     fleet.cut(0, 1)
     first = fleet.replicas[0].propose(0.0, proposal(a=2, low=11)).position
     second = fleet.replicas[1].propose(0.0, proposal(a=3, high=30)).position
@@ -72,7 +72,7 @@
     fleet = ReplicaNetwork(replica("p0"), replica("p1"))
     fleet.join(0, 1)
     fleet.replicas[0].propose(0.0, proposal(d=2))
-    fleet.carry()
+    fleet.deliver_all()
     fleet.cut(0, 1)
     fleet.replicas[0].propose(0.0, proposal(a=8))
     second = fleet.replicas[1].propose(0.0, proposal(b=8, high=40)).position
@@ -89,7 +89,7 @@
     fleet = ReplicaNetwork(*replicas)
     fleet.join_all()
     assert fleet.replicas[0].propose(0.0, proposal(d=2)).refusal == ""
-    fleet.carry()
+    fleet.deliver_all()
     assert fleet.alike()
     return fleet
 
@@ -102,7 +102,7 @@
 
 
 @given(CHANGES, st.randoms(use_true_random=False))
-def test_the_result_is_independent_of_order_repetition_and_batching(
+def test_order_repetition_and_batching_do_not_change_the_result(
     drawn: dict[Position, dict[str, object]], rng: Random
 ) -> None:
     baseline = tuple(Edit(key, value) for key, value in FILE.items() if key.startswith("c."))
@@ -163,7 +163,7 @@
     fleet = joined(replica("p0"), replica("p1"))
     read = fleet.replicas[0].version
     assert fleet.replicas[1].propose(0.0, proposal(a=2)).refusal == ""
-    fleet.carry()
+    fleet.deliver_all()
     assert fleet.replicas[0].propose(0.0, replace(proposal(b=2), against=read)).refusal == ""
     refused = fleet.replicas[0].propose(0.0, replace(proposal(a=3, b=3), against=read)).refusal
     assert refused == f"c.a: has changed since version {read}"
@@ -208,9 +208,9 @@
     for number in (0, 1, 2):
         fleet.join(number, number + 1)
     fleet.replicas[0].propose(0.0, proposal(a=2))
-    fleet.carry()
+    fleet.deliver_all()
     fleet.replicas[0].propose(0.0, proposal(new=1, b=3))
-    fleet.carry()
+    fleet.deliver_all()
     assert fleet.replicas[2].configuration["c.b"] == 3, "an old program relays changes of unknown keys"
     for held in (fleet.replicas[1], fleet.replicas[3]):
         assert held.held == Held("c.new", "c.new: unknown key")
@@ -218,11 +218,11 @@
         assert "c.new" in held.propose(0.0, proposal(a=3)).refusal
     assert Held("c.new", "c.new: unknown key") in fleet.events["p1"]
     fleet.replicas[2].propose(0.0, removal("new"))
-    fleet.carry()
+    fleet.deliver_all()
     fleet.pass_time(5000.0)
     assert fleet.alike() and fleet.replicas[1].held is None
     assert fleet.replicas[1].propose(0.0, proposal(a=4)).refusal == ""
-    fleet.carry()
+    fleet.deliver_all()
     assert fleet.alike()
 
 
@@ -232,7 +232,7 @@
     fleet.cut(0, 1)
     fleet.replicas[0].propose(0.0, proposal(a=9))
     fleet.cut(0, 2)
-    fleet.carry()
+    fleet.deliver_all()
     late = fleet.replicas[1].propose(0.0, proposal(b=9, new=1))  # exceeds the total together with a=9
     assert late.position is not None
     fleet.join(0, 1)
@@ -245,13 +245,13 @@
 def test_local_limits_hold_the_last_configuration_as_a_whole() -> None:
     fleet = joined(replica("p0"), replica("p1", number=6), replica("p2"))
     fleet.replicas[0].propose(0.0, proposal(size=5, a=3))
-    fleet.carry()
+    fleet.deliver_all()
     held = fleet.replicas[1]
     assert held.held == Held("c.size", "c.size: must be above this placer's number 6")
     assert (held.configuration["c.size"], held.configuration["c.a"]) == (9, 1)
     assert fleet.replicas[2].configuration["c.size"] == 5
     fleet.replicas[2].propose(0.0, proposal(size=8))
-    fleet.carry()
+    fleet.deliver_all()
     assert fleet.alike() and held.held is None
 
 
@@ -266,7 +266,7 @@
     fleet = ReplicaNetwork(replica("p0"), strict)
     fleet.join_all()
     fleet.replicas[0].propose(0.0, proposal(a=3))
-    fleet.carry()
+    fleet.deliver_all()
     fleet.pass_time(1000.0)
     assert any(isinstance(event, Diverged) for event in fleet.events["p0"])
     assert strict.configuration["c.a"] == 1 and strict.refused == [f"{fleet.replicas[0].setter('c.a')}: c.a: odd"]
@@ -277,7 +277,7 @@
     fleet.join(0, 1)
     for number in range(2, 9):
         fleet.replicas[0].propose(0.0, proposal(a=number))
-    fleet.carry()
+    fleet.deliver_all()
     fleet.join(1, 2)
     assert fleet.alike() and "c.e" not in fleet.replicas[2].configuration
 
@@ -338,7 +338,7 @@
     fleet = joined(replica("p0", limits=limits), replica("p1", limits=limits))
     for number in range(200):
         assert fleet.replicas[number % 2].propose(0.0, proposal(e=number)).refusal == ""
-        fleet.carry()
+        fleet.deliver_all()
     fleet.pass_time(1000.0)
     for each in fleet.replicas:
         assert len(each.history) <= 16 + 20 and each.cut.clock > 150
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -1,4 +1,4 @@
-"""Several placers of the program, each a process, that keep a view of the fleet together."""
+"""Starts and observes several placer processes that maintain a membership view together."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Fleet:
-    """Placers by number; those that were started and not ended are ``processes``."""
+    """Placers by number; ``processes`` are those that are running."""
 
     def __init__(
         self,
@@ -60,7 +60,10 @@
             process.wait()
 
     def file(self, number: int, **changes: Any) -> Path:
-        """The settings of one placer; ``deployment``: what is other than usual in the part that all share."""
+        """Writes the settings of one placer; returns the path.
+
+        ``deployment`` replaces values of the deployment-wide part, other arguments replace options of the placer.
+        """
         deployment = cluster(**changes.pop("deployment", {}))
         configuration = changes.pop("configuration", self.configuration)
         options = PlacerOptions(
@@ -78,7 +81,7 @@
         return path
 
     def start(self, *numbers: int, **changes: Any) -> None:
-        """At once; they need not listen yet when this returns."""
+        """Starts placers without waiting until they listen."""
         command = changes.pop("command", "placer")
         for number in numbers:
             log = (self.folder / f"{self.name}-{number}.log").open("a")
@@ -101,50 +104,50 @@
             return bytes(answer.read())
 
     def text(self, number: int, path: str) -> str:
-        """A page, whatever its status."""
+        """Returns the text of a page, whatever its HTTP status."""
         try:
             return self.page(number, path).decode()
         except urllib.error.HTTPError as error:
             return error.read().decode()
 
     def logged(self, number: int, event: str) -> list[dict[str, Any]]:
-        """The lines of that event that a placer has written in all its lives."""
+        """Returns the log lines of that event that a placer has written in all its runs."""
         lines = (self.folder / f"{self.name}-{number}.log").read_text().splitlines()
         found = [json.loads(line) for line in lines if line.startswith("{") and f'"event": "{event}"' in line]
         return [line for line in found if line["event"] == event]
 
     def runs(self, number: int) -> set[tuple[int, int]]:
-        """The generations and sizes under which all run that a placer sees here."""
+        """Returns the generations and sizes of all members that a placer sees as here."""
         members = [member for member in self.seen(number)["members"] if member["condition"] == "here"]
         return {(member["generation"], member["size"]) for member in members}
 
     def ends(self) -> set[float | None]:
-        """The ends that the change has, as the first one that runs sees it of all."""
+        """Returns the ends of the fleet change of all members, as the first running placer sees them."""
         return {member["over_ms"] for member in self.seen(min(self.processes))["members"]}
 
     def step_clock(self, number: int, by_ms: float) -> None:
-        """The wall clock of its host is off by so much, where it is started by the command ``host``."""
+        """Shifts the wall clock of a placer that is started by the command ``host``."""
         (self.folder / f"{self.name}-{number}.clock").write_text(f"{by_ms}")
 
     def configuration_of(self, number: int) -> dict[str, Any]:
-        """What a placer shows of the deployment's configuration."""
+        """Returns the configuration page of a placer."""
         document: dict[str, Any] = json.loads(self.page(number, "/config"))
         return document
 
     def seen(self, number: int) -> dict[str, Any]:
-        """What a placer shows of its view."""
+        """Returns the membership view of a placer."""
         document: dict[str, Any] = json.loads(self.page(number, "/members"))
         return document
 
     def status_of(self, name: str, number: int) -> str:
-        """The state of a member's life as a placer shows it; empty where it does not know of the member."""
+        """Returns the status of a member as a placer shows it; empty if the placer doesn't know the member."""
         return next((str(member["status"]) for member in self.seen(number)["members"] if member["name"] == name), "")
 
     def by_condition(self, number: int, condition: str) -> set[str]:
         return {member["name"] for member in self.seen(number)["members"] if member["condition"] == condition}
 
     def settled(self, away: set[str] = frozenset(), left: set[str] = frozenset()) -> bool:  # type: ignore[assignment]
-        """Whether all that run show the same, and just themselves as here."""
+        """Whether all running placers show the same view, with exactly the running members as here."""
         names = {f"p{number}" for number in self.processes}
         digests = set()
         for number in self.processes:
@@ -156,19 +159,19 @@
         return len(digests) == 1
 
     def wait(self, done: Callable[[], bool], limit_s: float = 40.0) -> float:
-        """Until that holds; the seconds it took."""
+        """Waits until the condition holds; returns the seconds that took."""
         began = time.monotonic()
         while time.monotonic() - began < limit_s:
             try:
                 if done():
                     return time.monotonic() - began
             except OSError:
-                pass  # one of them does not listen yet
+                pass  # a placer does not listen yet
             time.sleep(0.1)
-        shown = {number: self._told(number) for number in self.processes}
+        shown = {number: self._summary(number) for number in self.processes}
         raise AssertionError(f"not within {limit_s} s: {json.dumps(shown, indent=1)[:3000]}")
 
-    def _told(self, number: int) -> Any:
+    def _summary(self, number: int) -> Any:
         try:
             shown = self.seen(number)
         except OSError as error:
--- a/tests/peers/test_configuration_transport.py
+++ b/tests/peers/test_configuration_transport.py
@@ -1,4 +1,4 @@
-"""Tests that a replica's messages go only to peers that replicate a configuration, and in the order of their creation."""
+"""Tests that a replica's messages go only to peers that replicate a configuration, in the order of their creation."""
 
 from __future__ import annotations
 
--- a/tests/peers/test_processes.py
+++ b/tests/peers/test_processes.py
@@ -1,6 +1,6 @@
-"""Processes of the program that keep a view together, with faults thrown at them.
+"""Tests the membership view of placer processes under injected faults.
 
-How long things take is measured elsewhere, on a quiet machine: here the verdicts must be the same on a busy one.
+Durations are measured elsewhere, on an idle machine; these tests must also pass on a busy one.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
         fleet.wait(fleet.settled)
         assert b"sprucepost_view_here 7.0" in fleet.page(4, "/metrics")
 
-        fleet.end(3)  # a crash, then the same name again
+        fleet.end(3)  # a crash, followed by a restart under the same name
         fleet.wait(lambda: fleet.settled(away={"p3"}))
         first = next(m["incarnation"] for m in fleet.seen(0)["members"] if m["name"] == "p3")
         fleet.start(3)
         fleet.wait(fleet.settled)
         assert next(m["incarnation"] for m in fleet.seen(0)["members"] if m["name"] == "p3") > first
 
-        for number in (0, 1, 2):  # all the seeds at once
+        for number in (0, 1, 2):  # all seeds at the same time
             fleet.end(number)
         fleet.wait(lambda: fleet.settled(away={"p0", "p1", "p2"}))
         fleet.start(1)
@@ -43,19 +43,19 @@
         fleet.wait(lambda: fleet.settled(away={"p0", "p2"}, left={"p5"}))
 
 
-def test_two_fleets_with_the_same_seeds_stay_two_and_one_number_twice_is_seen(tmp_path: Path) -> None:
+def test_two_fleets_with_the_same_seeds_stay_separate_and_a_duplicate_number_is_detected(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet, Fleet(tmp_path, 2, "other", fleet.ports[:3]) as other:
         fleet.start(0, 1, 2)
         other.start(0, 1)
         fleet.wait(fleet.settled)
-        time.sleep(2.0)  # the others try those seeds all the time
+        time.sleep(2.0)  # the other fleet keeps trying those seeds
         assert fleet.settled() and all("p2" not in other.by_condition(n, "here") for n in (0, 1))
         fleet.end(2)
         fleet.start(2, its_number=1)
         fleet.wait(lambda: all(fleet.seen(n)["conflicts"] == {"1": ["p1", "p2"]} for n in (0, 1, 2)))
 
 
-def test_a_new_size_told_to_one_is_shown_by_all(tmp_path: Path) -> None:
+def test_a_new_size_set_at_one_placer_is_shown_by_all(tmp_path: Path) -> None:
     with Fleet(tmp_path, 4) as fleet:
         fleet.start(0, 1, 2, 3)
         fleet.wait(fleet.settled)
@@ -71,7 +71,7 @@
     )
 
 
-def test_the_commands_show_a_view_or_say_in_one_line_why_there_is_none(tmp_path: Path) -> None:
+def test_the_commands_show_the_view_or_one_line_why_there_is_none(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet:
         fleet.start(0, 1)
         fleet.start(2, peers=None)
@@ -99,7 +99,7 @@
                 watching.kill()
 
 
-def test_a_generation_told_to_one_placer_reaches_all_and_ends_when_it_is_over(tmp_path: Path) -> None:
+def test_a_generation_set_at_one_placer_reaches_all_and_ends(tmp_path: Path) -> None:
     with Fleet(tmp_path, 5) as fleet:
         old = {"instances": 3, "generation": GenerationOptions(1)}
         fleet.start(0, 1, 2, **old)
@@ -111,14 +111,14 @@
         fleet.wait(lambda: all(fleet.runs(n) == {(2, 5)} for n in range(3)))
         fleet.start(3, 4, instances=5, generation=change)
         fleet.wait(fleet.settled)
-        # The overlap is an hour. All numbers are here, so an end is settled, one moment for all.
+        # The overlap is an hour, but all numbers are here, so the members agree on one earlier end.
         fleet.wait(lambda: len(fleet.ends()) == 1 and None not in fleet.ends())
         assert begins < (fleet.ends().pop() or 0.0) < time.time() * 1000 + 20_000
         fleet.wait(lambda: all(fleet.logged(n, "seat")[-1]["phase"] == "done" for n in range(5)))
         assert sorted(fleet.logged(n, "seat")[-1]["seat"] for n in range(5)) == list(range(5))
         assert all(fleet.logged(n, "seat")[-1]["seats"] == 5 for n in range(5))
 
-        fleet.end(2)  # back with its old file: the fleet's generation counts, not the file's
+        fleet.end(2)  # restarted with its old file: the fleet's generation takes precedence
         fleet.start(2, **old)
         fleet.wait(lambda: fleet.runs(2) == {(2, 5)} and fleet.logged(2, "seat")[-1]["seats"] == 5)
         assert b"generation_kept" not in (tmp_path / "test-2.log").read_bytes()
@@ -128,15 +128,15 @@
         assert fleet.runs(2) == {(2, 5)}
 
 
-def test_the_younger_of_two_with_one_number_leaves_ready_and_comes_back(tmp_path: Path) -> None:
+def test_the_later_of_two_with_the_same_number_is_unready_until_the_first_leaves(tmp_path: Path) -> None:
     with Fleet(tmp_path, 4) as fleet:
         fleet.start(0, 1, 2)
         fleet.wait(fleet.settled)
         fleet.start(3, its_number=1)
         fleet.wait(lambda: fleet.logged(3, "number_shared") != [] and "conflict" in fleet.status_of("p3", 0), 20.0)
         assert "has number 1" in fleet.text(3, "/readyz")
-        assert not fleet.logged(1, "number_shared"), "who was there first goes on"
-        fleet.wait(fleet.settled)  # until then another placer may know of the conflict and not see the younger as here
+        assert not fleet.logged(1, "number_shared"), "the first holder of the number stays ready"
+        fleet.wait(fleet.settled)  # before that, a placer may know of the conflict but not see the later one as here
         done = command("status", f"127.0.0.1:{fleet.ports[4]}")
         assert done.returncode == 1 and "number 1 is held by p1, p3" in done.stdout
         fleet.end(1, signal.SIGTERM)
@@ -144,7 +144,7 @@
         assert "view: 3 here, 0 away" in fleet.text(3, "/readyz")
 
 
-def test_a_name_that_comes_back_with_its_clock_set_back_outbids_its_predecessor(tmp_path: Path) -> None:
+def test_a_member_restarted_with_its_clock_set_back_raises_its_incarnation(tmp_path: Path) -> None:
     with Fleet(tmp_path, 3) as fleet:
         fleet.start(0, 1, 2)
         fleet.wait(fleet.settled)
