--- a/sprucepost/wire/call.py
+++ b/sprucepost/wire/call.py
@@ -8,8 +8,8 @@
 
 from sprucepost.loop import Co, Loop, Task, Timer, Transport, park
 from sprucepost.loop.task import Undo
-from sprucepost.wire.framing import Decoder, encode
 from sprucepost.wire.http2 import Http2
+from sprucepost.wire.message_framing import Decoder, encode
 from sprucepost.wire.status import Code, RpcError
 
 HELD_MOST = 65_536  # bytes of messages waiting for receive() over which the peer's window is not opened again
--- a/sprucepost/wire/connection.py
+++ b/sprucepost/wire/connection.py
@@ -8,10 +8,10 @@
 
 from sprucepost.loop import Loop, Timer, Transport
 from sprucepost.wire.call import Call
-from sprucepost.wire.guard import PingPolicy
 from sprucepost.wire.http2 import Broken, Http2
 from sprucepost.wire.http2 import Code as H2Code
 from sprucepost.wire.metadata import Headers
+from sprucepost.wire.rate_limits import PingPolicy
 from sprucepost.wire.status import Code, RpcError
 
 LINGER_MS = 1000.0  # for the peer to read our last word
--- a/sprucepost/wire/http2.py
+++ b/sprucepost/wire/http2.py
@@ -41,8 +41,8 @@
     WINDOW_UPDATE,
     WITH_PRIORITY,
 )
-from sprucepost.wire.guard import Budget, PingPolicy
 from sprucepost.wire.metadata import Headers
+from sprucepost.wire.rate_limits import Budget, PingPolicy
 
 _TWO = struct.Struct(">II")
 Code = h2.errors.ErrorCodes
--- a/tests/wire/test_conformance.py
+++ b/tests/wire/test_conformance.py
@@ -12,7 +12,7 @@
 from sprucepost.wire.client import ClientConnection
 from sprucepost.wire.connection import Options
 from sprucepost.wire.frames import DATA, GOAWAY, HEADERS, PING, RST_STREAM, SETTINGS, encode
-from sprucepost.wire.framing import encode as message
+from sprucepost.wire.message_framing import encode as message
 from sprucepost.wire.server import Method, Server, ServerCall
 from sprucepost.wire.status import Code, RpcError
 from tests.wire import conformance as c
--- a/tests/wire/test_hostile.py
+++ b/tests/wire/test_hostile.py
@@ -29,7 +29,7 @@
     SETTINGS,
     WINDOW_UPDATE,
 )
-from sprucepost.wire.framing import encode
+from sprucepost.wire.message_framing import encode
 from sprucepost.wire.server import Method, Server, ServerCall
 from sprucepost.wire.status import Code, RpcError
 from tests.wire.support import peer, serve, wait_for
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -14,10 +14,10 @@
 from sprucepost.wire.client import open_client
 from sprucepost.wire.connection import Options
 from sprucepost.wire.frames import PREFACE
-from sprucepost.wire.framing import Decoder, encode
-from sprucepost.wire.guard import Budget
 from sprucepost.wire.http2 import Broken, Http2
+from sprucepost.wire.message_framing import Decoder, encode
 from sprucepost.wire.metadata import Headers, decode_metadata, encode_metadata, format_timeout, parse_timeout
+from sprucepost.wire.rate_limits import Budget
 from sprucepost.wire.server import Method, Server, ServerCall
 from sprucepost.wire.status import Code, RpcError, percent_decode, percent_encode
 from tests.wire.support import echo, serve, wait_for
