--- a/benchmarks/echo_servers.py
+++ b/benchmarks/echo_servers.py
@@ -24,7 +24,7 @@
 
     def main(scope: Scope) -> Co[None]:
         methods = {"/b.B/Stream": Method(attach=_echo), "/b.B/Unary": Method(attach=_echo)}
-        address = Server(loop, scope, methods, Options(streams=1000)).listen(("127.0.0.1", 0))
+        address = Server(loop, scope, methods, Options(max_streams=1000)).listen(("127.0.0.1", 0))
         print(address[1], flush=True)
         yield from sleep(600_000)
 
--- a/benchmarks/list_storm.py
+++ b/benchmarks/list_storm.py
@@ -29,13 +29,13 @@
         counts["calls"] += 1
         counts["open"] += 1
         counts["most_open"] = max(counts["most_open"], counts["open"])
-        over = call.on_over
+        over = call.on_done
 
         def on_over(status: Any) -> None:
             counts["open"] -= 1
             over(status)
 
-        call.on_over = on_over
+        call.on_done = on_over
         calls(listing, call, answer)
 
     listing._admit = admit  # type: ignore[method-assign]
--- a/sprucepost/cli/configuration.py
+++ b/sprucepost/cli/configuration.py
@@ -242,7 +242,7 @@
     host, _, port = address.rpartition(":")
 
     def body() -> Generator[Any, Any, bytes]:
-        connection = yield from open_client(loop, (host, int(port)), ASK_MS, Options(message_most=MESSAGE_MOST))
+        connection = yield from open_client(loop, (host, int(port)), ASK_MS, Options(max_message_bytes=MESSAGE_MOST))
         try:
             return (yield from connection.unary(path, request, timeout_ms=ASK_MS))
         finally:
--- a/sprucepost/peers/peers.py
+++ b/sprucepost/peers/peers.py
@@ -107,7 +107,7 @@
             self.counters["turned_away"] += 1
             call.finish(RpcError(Code.RESOURCE_EXHAUSTED, "too many peers"))
             return
-        call.send_initial()
+        call.send_initial_metadata()
         self._add(_Link(call, None), None)
 
     def _dial(self, dial: Dial) -> Co[None]:
@@ -115,7 +115,7 @@
         try:
             host, _, port = dial.address.rpartition(":")
             address: Address = (host, int(port))
-            options = Options(message_most=MESSAGE_MOST)
+            options = Options(max_message_bytes=MESSAGE_MOST)
             connection = yield from open_client(self._loop, address, CONNECT_MS, options, self._source)
             try:
                 call = connection.call(PATH)
@@ -135,7 +135,7 @@
         self._links[number] = link
         link.call.on_message = lambda data: self._heard(number, data)
         link.call.on_end = lambda: self._over(number)
-        link.call.on_over = lambda status: self._over(number)
+        link.call.on_done = lambda status: self._over(number)
         self._carry(self.view.opened(self._loop.now(), number, dialled))
 
     def _heard(self, number: int, data: bytes) -> None:
@@ -195,9 +195,9 @@
     def _transmit(self, number: int, data: bytes) -> None:
         """Send a frame; a peer that leaves too much unread loses the stream."""
         link = self._links.get(number)
-        if link is None or link.call.over is not None:
+        if link is None or link.call.end_status is not None:
             return
-        if link.call.out_bytes > BEHIND_MOST:
+        if link.call.unsent_bytes > BEHIND_MOST:
             self.counters["behind"] += 1
             self._loop.call_soon(lambda: self._over(number))
             return
--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -29,7 +29,7 @@
 from sprucepost.view.words import Changed
 from sprucepost.wire.connection import Options
 from sprucepost.wire.health import NOT_SERVING, SERVING, Health
-from sprucepost.wire.http1 import Http1
+from sprucepost.wire.http1 import Http1Server
 from sprucepost.wire.reflection import Reflection
 from sprucepost.wire.server import Server
 from sprucepost.wire.status import Code, RpcError
@@ -118,7 +118,7 @@
             loop,
             scope,
             methods,
-            Options(message_most=limits.message_bytes, connections=limits.connections),
+            Options(max_message_bytes=limits.message_bytes, max_connections=limits.connections),
             lambda path, error: self.log.error("handler", path=path, error=f"{type(error).__name__}: {error}"),
         )
         self.notifier = notifier or Notifier(loop, {}, 0)
@@ -135,7 +135,7 @@
         self._stop_at: float | None = None
         self._hurry = self._nudged = False
         self.listen: Address = ""
-        self.http: Http1 | None = None
+        self.http: Http1Server | None = None
 
     def _peers(self) -> Peers | None:
         """The carrier of the fleet's own view, where the settings ask for one."""
@@ -300,7 +300,7 @@
         else:
             self.listen = self.server.listen(address_of(self.file.placer.listen))
         http = passed.get("http") or passed.get("1") or address_of(self.file.placer.http)
-        self.http = Http1(self.loop, http, pages(self))
+        self.http = Http1Server(self.loop, http, pages(self))
         for service in ("", SERVICE):
             self.health.set(service, NOT_SERVING)
         self.engine.on_change = self.nudge
--- a/sprucepost/placer/discovery.py
+++ b/sprucepost/placer/discovery.py
@@ -16,7 +16,7 @@
 CONNECT_MS = 2000.0
 ANSWER_MS = 5000.0  # for the first update of a watch
 SLOW_LIST_FACTOR = 8  # times that, once a call was not answered by then
-KEEPALIVE = Options(keepalive_ms=10_000.0, keepalive_wait_ms=5000.0)  # more pings than that are taken for a flood
+KEEPALIVE = Options(keepalive_ms=10_000.0, keepalive_timeout_ms=5000.0)  # more pings than that are taken for a flood
 MISSED_HEARTBEATS = 3  # of silence after which a watch counts as broken: one may be late, two tell nothing of the cause
 
 
--- a/sprucepost/placer/links.py
+++ b/sprucepost/placer/links.py
@@ -105,14 +105,14 @@
     def give_up_buffered(self) -> None:
         """What lies in our own buffers must not go out any more. Without the connection it is void; whatever else is owed
         goes out after the next attach."""
-        if self.call is not None and self.call.behind:
+        if self.call is not None and self.call.send_blocked:
             self._links.counters["link_behind"] += 1
             self.call.connection.abort("the machine has not read its offers in time")
 
     def send(self, frame: pb.ToMachine) -> None:
         """A numbered frame; it goes out now or after the next attach."""
         try:
-            frame.seq = self._session.number(frame)
+            frame.seq = self._session.assign_seq(frame)
         except SessionBroken as error:
             self._links.counters["link_unacknowledged"] += 1
             self._restart(str(error))
@@ -123,7 +123,7 @@
 
     def _write_offers(self) -> None:
         # Not into a stream that is behind: an offer there waits with a time that runs out unseen.
-        while self._queue and self.call is not None and not self.call.behind:
+        while self._queue and self.call is not None and not self.call.send_blocked:
             key = next(iter(self._queue))
             del self._queue[key]
             offer = self._links.receiver.write(key, self.machine_incarnation)
@@ -149,8 +149,8 @@
             call.cancel(error.code, error.message)
             return
         try:
-            self._session.take_ack(frame.ack)
-            fresh = bool(frame.seq) and self._session.take(frame.seq)
+            self._session.receive_ack(frame.ack)
+            fresh = bool(frame.seq) and self._session.accept(frame.seq)
         except SessionBroken as error:
             self._links.counters["link_numbering"] += 1
             self._restart(str(error))
@@ -164,7 +164,7 @@
 
     def _ack(self) -> None:
         self._ack_timer = None
-        if self.call is not None and self._session.owes_ack:
+        if self.call is not None and self._session.ack_due:
             self.call.send(pb.ToMachine(ack=self._session.ack()).SerializeToString())
 
     # The stream's life
@@ -185,7 +185,7 @@
                 finally:
                     self._links.gate.leave()
                 wait = AGAIN_FIRST_MS
-                yield from call.wait_over()
+                yield from call.wait_done()
             except Cancelled:
                 if connection is not None:
                     connection.close()
@@ -214,7 +214,7 @@
             number=self._links.number,
             incarnation=self._links.incarnation,
             session=self._token,
-            last_seen=self._session.seen,
+            last_seen=self._session.last_received,
         )
         call.send(pb.ToMachine(hello=hello).SerializeToString())
         data = yield from within((yield from current()), ATTACH_MS, call.receive())
@@ -227,9 +227,9 @@
         new_life = self.machine_incarnation not in (0, attached.life)
         self.machine_incarnation = attached.life
         if attached.resumed:
-            self._session.replace(self._still_wanted)
+            self._session.update_unacknowledged(self._still_wanted)
             try:
-                again = self._session.again(attached.last_seen)
+                again = self._session.resume(attached.last_seen)
             except SessionBroken as error:
                 self._restart(str(error))
                 raise RpcError(Code.ABORTED, str(error)) from None
@@ -244,7 +244,7 @@
             self._links.receiver.resumed(self.machine, attached)
         else:
             self._links.receiver.attached(self.machine, attached, new_life)
-        call.deliver(lambda data: self._frame(call, data))  # some may have come in one read with the first
+        call.deliver_to(lambda data: self._frame(call, data))  # some may have come in one read with the first
         self._links.counters["link_resumed" if attached.resumed else "link_attached"] += 1
         self._write_offers()
         return call
@@ -285,7 +285,7 @@
         self.on_newer, self.on_taken = on_newer, on_taken
         self.suspended = False  # no link attaches
         # Offers in a stream tell the time that is left of them: what a pause kept from going out is void.
-        self.options = Options(keepalive_ms=10_000.0, keepalive_wait_ms=5000.0, stale_ms=stale_ms)
+        self.options = Options(keepalive_ms=10_000.0, keepalive_timeout_ms=5000.0, max_send_delay_ms=stale_ms)
         self.counters: Counter[str] = Counter()
         self.rng: Rng = loop.rng()
         self.gate = Gate(dials)
--- a/sprucepost/placer/owners.py
+++ b/sprucepost/placer/owners.py
@@ -73,12 +73,12 @@
         if pause_ms <= 0:
             return
         self._owners.counters["owner_unread"] += 1
-        call.hold_reading(True)
+        call.hold_window(True)
 
         def on() -> None:
             # What was asked meanwhile has waited at the owner, whose library may have written its time left before.
             self._unread, self._stale = None, (loop.now() + pause_ms, pause_ms)
-            call.hold_reading(False)
+            call.hold_window(False)
 
         self._unread = loop.call_later(pause_ms, on)
 
@@ -106,7 +106,7 @@
 
     def _send(self, frame: pb.PlacerFrame) -> None:
         try:
-            frame.seq = self.session.number(frame)
+            frame.seq = self.session.assign_seq(frame)
         except SessionBroken as error:
             self._owners.counters["owner_unacknowledged"] += 1
             self._owners.end(self, RpcError(Code.RESOURCE_EXHAUSTED, str(error)))
@@ -121,7 +121,7 @@
         call.send(frame.SerializeToString())
         if told:
             self.released(frame.task, 1)
-        if call.out_bytes > BEHIND:
+        if call.unsent_bytes > BEHIND:
             self._owners.counters["owner_behind"] += 1
             call.finish(RpcError(Code.RESOURCE_EXHAUSTED, "reads too slowly; resume the session"))
 
@@ -157,7 +157,7 @@
 
     def _ack(self) -> None:
         self._ack_timer = None
-        if self.call is not None and self.session.owes_ack:
+        if self.call is not None and self.session.ack_due:
             self.call.send(pb.PlacerFrame(ack=self.session.ack()).SerializeToString())
 
 
@@ -216,7 +216,7 @@
             session = self._enter(call, hello.owner)
         else:
             try:
-                again = session.session.again(hello.last_seen)
+                again = session.session.resume(hello.last_seen)
             except SessionBroken as error:
                 raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
             self.counters["owner_resumed"] += 1
@@ -231,11 +231,11 @@
         session.credit, session.told = hello.credit, 0
         call.on_message = lambda data: self._frame(taken, call, data)
         call.on_end = lambda: taken.on_half_close(call)
-        call.on_over = lambda status: self._left(taken, call)
+        call.on_done = lambda status: self._left(taken, call)
         welcome = pb.Welcome(
             session=session.token,
             resumed=resumed,
-            last_seen=session.session.seen,
+            last_seen=session.session.last_received,
             resume_ms=self._resume_ms,
             number=self._number,
             incarnation=self.incarnation,
@@ -277,8 +277,8 @@
             return
         frame = self._parse(data)
         try:
-            session.session.take_ack(frame.ack)
-            fresh = bool(frame.seq) and session.session.take(frame.seq)
+            session.session.receive_ack(frame.ack)
+            fresh = bool(frame.seq) and session.session.accept(frame.seq)
         except SessionBroken as error:
             self.counters["owner_numbering"] += 1
             raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
--- a/sprucepost/rules/streams.py
+++ b/sprucepost/rules/streams.py
@@ -11,7 +11,7 @@
 
 import hpack
 
-from sprucepost.wire.capture import CLOSED, FROM_CLIENT, OPENED, Record
+from sprucepost.wire.capture import CLOSED, FROM_CLIENT, OPENED, CaptureRecord
 
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 DATA, HEADERS, RST_STREAM, CONTINUATION = 0, 1, 3, 9
@@ -108,7 +108,7 @@
     paths: dict[int, str]
 
 
-def messages(records: Iterator[Record]) -> Iterator[Message | Closed]:
+def messages(records: Iterator[CaptureRecord]) -> Iterator[Message | Closed]:
     """Every message and every connection's end, in the capture's order."""
     import json
 
@@ -124,7 +124,7 @@
             continue
         if record.kind == CLOSED:
             order += 1
-            yield Closed(record.at, order, record.connection, connection.client, connection.target)
+            yield Closed(record.at_ms, order, record.connection, connection.client, connection.target)
             del connections[record.connection]
             continue
         half = connection.up if record.kind == FROM_CLIENT else connection.down
@@ -137,7 +137,7 @@
                 for data in half.complete(stream, payload):
                     order += 1
                     yield Message(
-                        record.at,
+                        record.at_ms,
                         order,
                         record.connection,
                         connection.client,
@@ -146,5 +146,5 @@
                         stream,
                         half.from_client,
                         data,
-                        record.late,
+                        record.max_delay_ms,
                     )
--- a/sprucepost/rules/trace.py
+++ b/sprucepost/rules/trace.py
@@ -17,7 +17,7 @@
 
 from sprucepost.rules.streams import Closed, Message, messages
 from sprucepost.v1 import common_pb2, fleet_pb2, machine_pb2, placer_pb2
-from sprucepost.wire.capture import Record
+from sprucepost.wire.capture import CaptureRecord
 
 SUBMIT = "/sprucepost.v1.Placer/Submit"
 OFFERS = "/sprucepost.v1.Machine/Offers"
@@ -297,7 +297,7 @@
             yield MachineListed(at, placer, entry.name, entry.state, entry.zone, entry.cell, entry.started_ms, until)
 
 
-def trace(records: Iterator[Record]) -> Iterator[Event]:
+def trace(records: Iterator[CaptureRecord]) -> Iterator[Event]:
     """The events of a capture, in order."""
     return traced(list(messages(records)))
 
--- a/sprucepost/standin/listing.py
+++ b/sprucepost/standin/listing.py
@@ -118,7 +118,7 @@
             return
         cost = (CALL_LINES + len(self._entries)) / self._lines_per_s * 1000.0
         self._free_at = now + wait + cost
-        self.loop.call_later(wait + cost, lambda: answer() if call.over is None else None)
+        self.loop.call_later(wait + cost, lambda: answer() if call.end_status is None else None)
 
     def _watch(self, call: ServerCall) -> None:
         def answer() -> None:
@@ -129,7 +129,7 @@
             self._watchers.pop(call, None)
 
         call.on_message = lambda data: self._admit(call, answer)
-        call.on_over = left
+        call.on_done = left
 
     def _fetch(self, call: ServerCall) -> None:
         def answer() -> None:
--- a/sprucepost/standin/machines.py
+++ b/sprucepost/standin/machines.py
@@ -134,19 +134,19 @@
         if link.forget is not None:
             link.forget.cancel()
         try:
-            again = link.session.again(hello.last_seen) if resumed else []
+            again = link.session.resume(hello.last_seen) if resumed else []
         except SessionBroken as error:
             call.finish(RpcError(Code.INVALID_ARGUMENT, str(error)))
             return
         link.call = call
         call.on_message = lambda data: self._frame(link, call, data)
         call.on_end = call.finish
-        call.on_over = lambda status: self._left(link, call)
+        call.on_done = lambda status: self._left(link, call)
         reply = Frame(load=self._load(), ack=link.session.ack())
         attached = reply.attached
         attached.machine, attached.life, attached.session = self.model.model.name, self.life, link.token
         attached.started_ms = self.model.started
-        attached.resumed, attached.last_seen, attached.resume_ms = resumed, link.session.seen, RESUME_MS
+        attached.resumed, attached.last_seen, attached.resume_ms = resumed, link.session.last_received, RESUME_MS
         for task in self.model.held(hello.number):
             attached.held.append(_held(task))
         call.send(reply.SerializeToString())
@@ -167,8 +167,8 @@
     def _frame(self, link: Link, call: ServerCall, data: bytes) -> None:
         frame = _parse(data)
         try:
-            link.session.take_ack(frame.ack)
-            if not frame.seq or not link.session.take(frame.seq):
+            link.session.receive_ack(frame.ack)
+            if not frame.seq or not link.session.accept(frame.seq):
                 return
         except SessionBroken as error:
             call.finish(RpcError(Code.INVALID_ARGUMENT, str(error)))
@@ -225,7 +225,7 @@
 
             def tell() -> None:
                 link.ack_due = False
-                if link.call is not None and link.session.owes_ack:
+                if link.call is not None and link.session.ack_due:
                     link.call.send(Frame(ack=link.session.ack()).SerializeToString())
 
             self.loop.call_later(ACK_MS, tell)
@@ -296,7 +296,7 @@
     def _send(self, link: Link, attempt_id: m.AttemptId, **body: Any) -> None:
         frame = Frame(request=attempt_id.request, attempt=attempt_id.attempt, load=self._load(), **body)
         try:
-            frame.seq = link.session.number(frame)
+            frame.seq = link.session.assign_seq(frame)
         except SessionBroken:
             self._forget(link)
             if link.call is not None:
@@ -400,7 +400,7 @@
                 connection = yield from open_client(self.loop, self._list_at, 2000.0)
                 call: ClientCall = connection.call(REPORT_PATH)
                 self._changed = {name: host for name, host in self.hosts.items() if host.public}
-                while call.over is None:
+                while call.end_status is None:
                     if self._changed:
                         changed, self._changed = self._changed, {}
                         entries = [host.entry() for host in changed.values()]
--- a/sprucepost/standin/owner_link.py
+++ b/sprucepost/standin/owner_link.py
@@ -56,7 +56,7 @@
         keepalive_ms: float = KEEPALIVE_MS,
     ) -> None:
         """``keepalive_ms``: silence after which it pings; a placer ends idle sessions that ping sooner than each 10 s."""
-        self._options = Options(keepalive_ms=keepalive_ms, keepalive_wait_ms=KEEPALIVE_MS)
+        self._options = Options(keepalive_ms=keepalive_ms, keepalive_timeout_ms=KEEPALIVE_MS)
         self.loop, self.scope, self.address, self.owner, self._source = loop, scope, address, owner, source
         self._on_frame, self._on_session, self._on_down = on_frame, on_session, on_down
         self.session: Session[pb.OwnerFrame] = Session()
@@ -165,7 +165,7 @@
         self._send(pb.OwnerFrame(task=name, hand_over=pb.HandOver(task=task, machine=machine)))
 
     def _send(self, frame: pb.OwnerFrame) -> int:
-        frame.seq = self.session.number(frame)
+        frame.seq = self.session.assign_seq(frame)
         if self.call is not None:
             frame.ack = self.session.ack()
             self.call.send(frame.SerializeToString())
@@ -190,10 +190,10 @@
             self._release()
             return
         try:
-            self.session.take_ack(frame.ack)
+            self.session.receive_ack(frame.ack)
             while self._due and (first := next(iter(self._due))) <= frame.ack:
                 del self._due[first]
-            if not frame.seq or not self.session.take(frame.seq):
+            if not frame.seq or not self.session.accept(frame.seq):
                 return
         except SessionBroken as error:
             call.cancel(Code.INTERNAL, str(error))
@@ -217,7 +217,7 @@
 
     def _ack(self) -> None:
         self._ack_due = False
-        if self.call is not None and self.session.owes_ack and not self.hold_acks:
+        if self.call is not None and self.session.ack_due and not self.hold_acks:
             self.call.send(pb.OwnerFrame(ack=self.session.ack()).SerializeToString())
 
     def _keep(self) -> Co[None]:
@@ -234,7 +234,7 @@
                 )
                 call = yield from self._attach(connection)
                 wait = 30.0
-                yield from call.wait_over()
+                yield from call.wait_done()
             except Cancelled:
                 if connection is not None:
                     connection.close()
@@ -254,7 +254,7 @@
         call = connection.call(PATH)
         hello = pb.OwnerHello(
             session=self._token,
-            last_seen=self.session.seen,
+            last_seen=self.session.last_received,
             owner=self.owner,
             batches=self.batches,
             credit=self.takes_credit,
@@ -265,7 +265,7 @@
             raise RpcError(Code.UNAVAILABLE, "no welcome")
         welcome = pb.PlacerFrame.FromString(data).welcome
         if welcome.resumed:
-            again = self.session.again(welcome.last_seen)
+            again = self.session.resume(welcome.last_seen)
         else:
             again, self.session, self._token = [], Session(), welcome.session
             # No outcome of what was asked will come in the new session, and the owner settles what is held along with it.
@@ -277,7 +277,7 @@
         for seq, frame in again:
             self._send_again(call, seq, frame)
         self.credit = 0  # a bound holds for one stream; the next word on it comes with this one
-        call.deliver(lambda data: self._frame(call, data))
+        call.deliver_to(lambda data: self._frame(call, data))
         self._on_session(welcome.resumed)
         self._release()
         return call
--- a/sprucepost/wire/call.py
+++ b/sprucepost/wire/call.py
@@ -8,19 +8,21 @@
 
 from sprucepost.loop import Co, Loop, Task, Timer, Transport, park
 from sprucepost.loop.task import Undo
-from sprucepost.wire.http2 import Http2
-from sprucepost.wire.message_framing import Decoder, encode
+from sprucepost.wire.http2 import Http2Endpoint
+from sprucepost.wire.message_framing import MessageDecoder, encode_message
 from sprucepost.wire.status import Code, RpcError
 
-HELD_MOST = 65_536  # bytes of messages waiting for receive() over which the peer's window is not opened again
-OUT_MOST = 262_144  # bytes that may wait on one call before a sender has to wait, or a callback sender sees it full
+MAX_UNREAD_BYTES = 65_536  # bytes of messages waiting for receive() over which the peer's window is not opened again
+MAX_UNSENT_BYTES = (
+    262_144  # bytes that may wait on one call before a sender has to wait, or a callback sender sees it full
+)
 
 
-class Carrier(Protocol):
+class CallConnection(Protocol):
     """What a call needs of the connection that it is on."""
 
     loop: Loop
-    http2: Http2
+    http2: Http2Endpoint
     transport: Transport
     calls: dict[int, Call]
 
@@ -28,12 +30,12 @@
         """The peer may send so many more bytes."""
         ...
 
-    def dirty(self, call: Call) -> None:
+    def schedule_send(self, call: Call) -> None:
         """The call has something to send."""
         ...
 
-    def behind(self, call: Call) -> bool: ...
-    def call_over(self) -> None: ...
+    def send_blocked(self, call: Call) -> bool: ...
+    def call_done(self) -> None: ...
     def flush_soon(self) -> None: ...
     def abort(self, text: str) -> None: ...
 
@@ -42,128 +44,128 @@
     """The part of a call that both ends share.
 
     Messages arrive through ``on_message`` where it is set; else they are kept, within the stream's window, for
-    :meth:`receive`. ``on_end`` tells that the peer sends no more, ``on_over`` that the call has ended, with its status;
+    :meth:`receive`. ``on_end`` tells that the peer sends no more, ``on_done`` that the call has ended, with its status;
     nothing is called after that. Set the callbacks before the next turn of the loop.
     """
 
-    def __init__(self, connection: Carrier, message_most: int) -> None:
+    def __init__(self, connection: CallConnection, max_message_bytes: int) -> None:
         self.connection = connection
         self.stream = 0
         self.on_message: Callable[[bytes], None] | None = None
         self.on_end: Callable[[], None] | None = None
-        self.on_over: Callable[[RpcError], None] | None = None
-        self.decoder = Decoder(message_most)
+        self.on_done: Callable[[RpcError], None] | None = None
+        self.decoder = MessageDecoder(max_message_bytes)
         self.gzip_out = False
         self.last_compressed = False
-        self.over: RpcError | None = None  # the status once the call has ended, OK included
+        self.end_status: RpcError | None = None  # the status once the call has ended, OK included
         self.timer: Timer | None = None
-        self._waiting: deque[tuple[bytes, bool]] = deque()  # message, and whether it came compressed
-        self._held = 0  # bytes of those
-        self._owed = 0  # bytes received whose window the peer does not get back yet
-        self._unread = False  # the peer gets no window back, see hold_reading
-        self._ended = False  # the peer sends no more
-        self._out: list[bytes] = []
-        self.out_bytes = 0
-        self._end_due = False
+        self._received: deque[tuple[bytes, bool]] = deque()  # message, and whether it came compressed
+        self._unread_bytes = 0  # bytes of those
+        self._withheld_window = 0  # bytes received whose window the peer does not get back yet
+        self._window_held = False  # the peer gets no window back, see hold_window
+        self._peer_ended = False  # the peer sends no more
+        self._unsent: list[bytes] = []
+        self.unsent_bytes = 0
+        self._end_requested = False
         self.end_sent = False
-        self._closing: Callable[[], None] | None = None  # what to send once the buffer is out
-        self._receiver: Task[Any] | None = None
-        self._sender: list[Task[Any]] = []
+        self._after_flush: Callable[[], None] | None = None  # what to send once the buffer is out
+        self._waiting_receiver: Task[Any] | None = None
+        self._waiting_senders: list[Task[Any]] = []
 
     # Receiving
 
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """DATA from the peer; RpcError where it breaks framing or limits."""
         messages = self.decoder.feed(data)
         if self.on_message is not None:
-            if self._unread:
-                self._owed += len(data)
+            if self._window_held:
+                self._withheld_window += len(data)
             else:
                 self.connection.consumed(self, len(data))
             for message in messages:
-                if self.over is None and self.on_message is not None:
+                if self.end_status is None and self.on_message is not None:
                     self.last_compressed = self.decoder.compressed
                     self.on_message(message)
             return
         for message in messages:
-            self._waiting.append((message, self.decoder.compressed))
-            self._held += len(message)
+            self._received.append((message, self.decoder.compressed))
+            self._unread_bytes += len(message)
         # Bytes of a message that is not whole count as taken, else one larger than the window would never end.
-        if self._held <= HELD_MOST:
+        if self._unread_bytes <= MAX_UNREAD_BYTES:
             self.connection.consumed(self, len(data))
         else:
-            self._owed += len(data)
+            self._withheld_window += len(data)
         if messages:
             self._wake_receiver()
 
-    def take_end(self) -> None:
+    def handle_end(self) -> None:
         """The peer sends no more messages."""
-        if self._ended:
+        if self._peer_ended:
             return
-        self._ended = True
+        self._peer_ended = True
         if self.on_end is not None:
             self.on_end()
         self._wake_receiver()
 
     def receive(self) -> Co[bytes | None]:
         """The next message, or None at the peer's end. RpcError where the call ended otherwise."""
-        while not self._waiting:
-            if self.over is not None and self.over.code is not Code.OK:
-                raise self.over
-            if self._ended or self.over is not None:
+        while not self._received:
+            if self.end_status is not None and self.end_status.code is not Code.OK:
+                raise self.end_status
+            if self._peer_ended or self.end_status is not None:
                 return None
 
             def trap(task: Task[Any]) -> Undo:
-                assert self._receiver is None, "two receivers on one call"
-                self._receiver = task
+                assert self._waiting_receiver is None, "two receivers on one call"
+                self._waiting_receiver = task
 
                 def undo() -> None:
-                    self._receiver = None
+                    self._waiting_receiver = None
 
                 return undo
 
             yield trap
-        message, self.last_compressed = self._waiting.popleft()
-        self._held -= len(message)
-        if self._owed and self._held <= HELD_MOST:
-            owed, self._owed = self._owed, 0
+        message, self.last_compressed = self._received.popleft()
+        self._unread_bytes -= len(message)
+        if self._withheld_window and self._unread_bytes <= MAX_UNREAD_BYTES:
+            owed, self._withheld_window = self._withheld_window, 0
             self.connection.consumed(self, owed)
         return message
 
-    def deliver(self, on_message: Callable[[bytes], None]) -> None:
+    def deliver_to(self, on_message: Callable[[bytes], None]) -> None:
         """From now on give messages to a callback, first those that wait for :meth:`receive`."""
-        while self._waiting:
-            message, self.last_compressed = self._waiting.popleft()
-            self._held -= len(message)
+        while self._received:
+            message, self.last_compressed = self._received.popleft()
+            self._unread_bytes -= len(message)
             on_message(message)
         self.on_message = on_message
-        owed, self._owed = self._owed, 0
+        owed, self._withheld_window = self._withheld_window, 0
         self.connection.consumed(self, owed)
 
-    def hold_reading(self, held: bool) -> None:
+    def hold_window(self, held: bool) -> None:
         """Give this stream's window back no more, until told otherwise: once it is used up the peer has to wait, and other
         streams of its connection do not. What has arrived is still delivered: it could not be answered in time later."""
-        self._unread = held
-        if not held and self.over is None and self.on_message is not None:
-            owed, self._owed = self._owed, 0
+        self._window_held = held
+        if not held and self.end_status is None and self.on_message is not None:
+            owed, self._withheld_window = self._withheld_window, 0
             self.connection.consumed(self, owed)
 
     def _wake_receiver(self) -> None:
-        if self._receiver is not None:
-            task, self._receiver = self._receiver, None
+        if self._waiting_receiver is not None:
+            task, self._waiting_receiver = self._waiting_receiver, None
             task.wake()
 
     # Sending
 
     def send(self, message: bytes, compress: bool | None = None) -> None:
         """Send a message; it waits in this call's buffer where the peer's window or the socket is full."""
-        if self.over is not None or self._end_due or self.end_sent or self._closing is not None:
+        if self.end_status is not None or self._end_requested or self.end_sent or self._after_flush is not None:
             return
-        data = encode(message, self.gzip_out if compress is None else compress and self.gzip_out)
+        data = encode_message(message, self.gzip_out if compress is None else compress and self.gzip_out)
         self.start_sending()
-        self._out.append(data)
-        self.out_bytes += len(data)
-        self.connection.dirty(self)
+        self._unsent.append(data)
+        self.unsent_bytes += len(data)
+        self.connection.schedule_send(self)
 
     def start_sending(self) -> None:
         """What has to go before the first message."""
@@ -171,85 +173,85 @@
     @property
     def full(self) -> bool:
         """Whether more waits than a careful sender adds to."""
-        return self.out_bytes >= OUT_MOST
+        return self.unsent_bytes >= MAX_UNSENT_BYTES
 
     @property
-    def behind(self) -> bool:
+    def send_blocked(self) -> bool:
         """Whether bytes of this call wait for the peer, beyond what this turn wrote."""
-        return self.over is None and self.connection.behind(self)
+        return self.end_status is None and self.connection.send_blocked(self)
 
     def send_wait(self, message: bytes, compress: bool | None = None) -> Co[None]:
         """Send a message and wait while the buffer is full. RpcError where the call has ended."""
-        if self.over is not None:
-            raise self.over
+        if self.end_status is not None:
+            raise self.end_status
         self.send(message, compress)
         while self.full:
 
             def trap(task: Task[Any]) -> Undo:
-                self._sender.append(task)
-                return lambda: self._sender.remove(task)
+                self._waiting_senders.append(task)
+                return lambda: self._waiting_senders.remove(task)
 
             yield from park(trap)
-            if self.over is not None:
-                raise self.over
+            if self.end_status is not None:
+                raise self.end_status
 
-    def pump(self) -> bool:
+    def flush(self) -> bool:
         """Move what the windows let out to the connection; whether anything is left."""
         http2 = self.connection.http2
-        if self._out:
-            room = http2.may_send(self.stream)
+        if self._unsent:
+            room = http2.send_window(self.stream)
             if room <= 0:
                 return True
-            data: bytes | memoryview = b"".join(self._out) if len(self._out) > 1 else self._out[0]
-            self._out.clear()
+            data: bytes | memoryview = b"".join(self._unsent) if len(self._unsent) > 1 else self._unsent[0]
+            self._unsent.clear()
             if len(data) > room:
-                self._out.append(bytes(memoryview(data)[room:]))
+                self._unsent.append(bytes(memoryview(data)[room:]))
                 data = memoryview(data)[:room]
             http2.send_data(self.stream, data)
-            self.out_bytes -= len(data)
-            if not self.full and self._sender:
-                senders, self._sender = self._sender, []
+            self.unsent_bytes -= len(data)
+            if not self.full and self._waiting_senders:
+                senders, self._waiting_senders = self._waiting_senders, []
                 for task in senders:
                     task.wake()
-            if self._out:
+            if self._unsent:
                 return True
-        if self._end_due:
-            self._end_due, self.end_sent = False, True
-            http2.end(self.stream)
-        if self._closing is not None:
-            closing, self._closing = self._closing, None
+        if self._end_requested:
+            self._end_requested, self.end_sent = False, True
+            http2.end_stream(self.stream)
+        if self._after_flush is not None:
+            closing, self._after_flush = self._after_flush, None
             closing()
         return False
 
-    def wait_over(self) -> Co[None]:
-        """Wait until the call has ended. Takes the place of ``on_over``."""
+    def wait_done(self) -> Co[None]:
+        """Wait until the call has ended. Takes the place of ``on_done``."""
 
         def trap(task: Task[Any]) -> Undo:
-            self.on_over = lambda status: task.wake()
+            self.on_done = lambda status: task.wake()
 
             def undo() -> None:
-                self.on_over = None
+                self.on_done = None
 
             return undo
 
-        if self.over is None:
+        if self.end_status is None:
             yield from park(trap)
 
-    def finish_over(self, status: RpcError) -> None:
+    def mark_done(self, status: RpcError) -> None:
         """The call has ended; called once by the connection or by this end itself."""
-        if self.over is not None:
+        if self.end_status is not None:
             return
-        self.over = status
+        self.end_status = status
         if self.timer is not None:
             self.timer.cancel()
-        self._out.clear()
-        self.out_bytes = 0
+        self._unsent.clear()
+        self.unsent_bytes = 0
         self.connection.calls.pop(self.stream, None)
         self._wake_receiver()
-        senders, self._sender = self._sender, []
+        senders, self._waiting_senders = self._waiting_senders, []
         for task in senders:
             task.wake()
-        on_over, self.on_over, self.on_message, self.on_end = self.on_over, None, None, None
-        if on_over is not None:
-            on_over(status)
-        self.connection.call_over()
+        on_done, self.on_done, self.on_message, self.on_end = self.on_done, None, None, None
+        if on_done is not None:
+            on_done(status)
+        self.connection.call_done()
--- a/sprucepost/wire/client.py
+++ b/sprucepost/wire/client.py
@@ -8,42 +8,50 @@
 
 from sprucepost.loop import Address, Co, Loop, Task, Transport, connect, current, park
 from sprucepost.loop.task import Undo
-from sprucepost.wire.call import Call, Carrier
+from sprucepost.wire.call import Call, CallConnection
 from sprucepost.wire.connection import Connection, Options
-from sprucepost.wire.http2 import Broken
 from sprucepost.wire.http2 import Code as H2Code
+from sprucepost.wire.http2 import Http2Error
 from sprucepost.wire.metadata import Headers, Metadata, decode_metadata, encode_metadata, format_timeout
-from sprucepost.wire.status import H2_TO_CODE, HTTP_TO_CODE, REFUSED_STREAM, Code, RpcError, code_of, percent_decode
+from sprucepost.wire.status import (
+    H2_TO_CODE,
+    HTTP_TO_CODE,
+    REFUSED_STREAM,
+    Code,
+    RpcError,
+    parse_code,
+    percent_decode,
+)
 
 
 class ClientCall(Call):
-    """A call that this client makes. ``on_initial(metadata)`` comes before the first message, ``over`` at the end."""
+    """A call that this client makes. ``on_initial_metadata`` is called before the first message."""
 
-    def __init__(self, connection: Carrier, message_most: int) -> None:
-        super().__init__(connection, message_most)
-        self.on_initial: Callable[[Metadata], None] | None = None
-        self.initial: Metadata | None = None
-        self.trailing: Metadata = ()
+    def __init__(self, connection: CallConnection, max_message_bytes: int) -> None:
+        super().__init__(connection, max_message_bytes)
+        self.on_initial_metadata: Callable[[Metadata], None] | None = None
+        self.initial_metadata: Metadata | None = None
+        self.trailing_metadata: Metadata = ()
         self._initial_waiter: Task[Any] | None = None
 
     def end(self) -> None:
         """No more messages from us; said once, however often it is asked for: a second END_STREAM is a protocol error."""
-        if self.over is None and not self.end_sent:
-            self._end_due = True
-            self.connection.dirty(self)
+        if self.end_status is None and not self.end_sent:
+            self._end_requested = True
+            self.connection.schedule_send(self)
 
     def cancel(self, code: Code = Code.CANCELLED, message: str = "cancelled by the caller") -> None:
         """End the call now; the peer is told by a reset."""
-        if self.over is None:
+        if self.end_status is None:
             self.connection.http2.reset(self.stream, H2Code.CANCEL)
             self.connection.flush_soon()
-            self.finish_over(RpcError(code, message))
+            self.mark_done(RpcError(code, message))
 
-    def wait_initial(self) -> Co[Metadata]:
+    def wait_initial_metadata(self) -> Co[Metadata]:
         """The server's initial metadata. RpcError where the call ended without."""
-        while self.initial is None:
-            if self.over is not None:
-                raise self.over
+        while self.initial_metadata is None:
+            if self.end_status is not None:
+                raise self.end_status
 
             def trap(task: Task[Any]) -> Undo:
                 self._initial_waiter = task
@@ -54,23 +62,23 @@
                 return undo
 
             yield from park(trap)
-        return self.initial
+        return self.initial_metadata
 
     def _wake_initial(self) -> None:
         if self._initial_waiter is not None:
             task, self._initial_waiter = self._initial_waiter, None
             task.wake()
 
-    def finish_over(self, status: RpcError) -> None:
-        super().finish_over(status)
+    def mark_done(self, status: RpcError) -> None:
+        super().mark_done(status)
         self._wake_initial()
 
     def result(self) -> Co[None]:
         """Read to the end of the call, dropping what comes; RpcError unless it ended OK."""
         while (yield from self.receive()) is not None:
             pass
-        if self.over is not None and self.over.code is not Code.OK:
-            raise self.over
+        if self.end_status is not None and self.end_status.code is not Code.OK:
+            raise self.end_status
 
 
 class ClientConnection(Connection):
@@ -79,12 +87,12 @@
     def __init__(self, loop: Loop, transport: Transport, authority: str, options: Options) -> None:
         self.authority = authority
         self._ready_waiters: list[Task[Any]] = []
-        self.peer_streams_known = False
+        self.settings_received = False
         super().__init__(loop, transport, True, options, Counter())
 
     def ready(self) -> Co[None]:
         """Wait for the server's settings; RpcError where the connection ends first."""
-        while not self.peer_streams_known:
+        while not self.settings_received:
             if self.closed:
                 raise RpcError(Code.UNAVAILABLE, "connection lost before it was ready", unprocessed=True)
 
@@ -100,18 +108,18 @@
             task.wake()
 
     def on_window(self) -> None:
-        if not self.peer_streams_known:
-            self.peer_streams_known = True
+        if not self.settings_received:
+            self.settings_received = True
             self._wake_ready()
         super().on_window()
 
-    def call_over(self) -> None:
-        super().call_over()
+    def call_done(self) -> None:
+        super().call_done()
         if self.draining and not self.calls:
             self.close("the last call before a GOAWAY has ended")
 
-    def lost(self, text: str) -> None:
-        super().lost(text)
+    def handle_lost(self, text: str) -> None:
+        super().handle_lost(text)
         self._wake_ready()
 
     def call(
@@ -124,7 +132,7 @@
         """Begin a call; RpcError UNAVAILABLE (unprocessed) where the connection takes none."""
         if self.closed or self.draining:
             raise RpcError(Code.UNAVAILABLE, "the connection takes no more calls", unprocessed=True)
-        if not self.http2.may_open():
+        if not self.http2.can_open_stream():
             raise RpcError(Code.RESOURCE_EXHAUSTED, "the server allows no more streams", unprocessed=True)
         headers: Headers = [
             (b":method", b"POST"),
@@ -140,11 +148,11 @@
             headers.append((b"grpc-timeout", format_timeout(timeout_ms)))
         if gzip:
             headers.append((b"grpc-encoding", b"gzip"))
-        call = ClientCall(self, self.options.message_most)
+        call = ClientCall(self, self.options.max_message_bytes)
         call.gzip_out = gzip
         try:
-            call.stream = self.http2.open(headers + encode_metadata(metadata))
-        except Broken as broken:
+            call.stream = self.http2.open_stream(headers + encode_metadata(metadata))
+        except Http2Error as broken:
             self.draining = True
             raise RpcError(Code.UNAVAILABLE, str(broken), unprocessed=True) from None
         self.calls[call.stream] = call
@@ -186,7 +194,7 @@
         if status is not None and not end:
             content = fields.get(b"content-type", b"")
             if status != b"200" or not content.startswith(b"application/grpc"):
-                self._end_call(call, _http_status(status, content))
+                self._end_call(call, _status_from_http(status, content))
                 self.http2.reset(stream, H2Code.CANCEL)
                 return
             encoding = fields.get(b"grpc-encoding", b"identity")
@@ -194,37 +202,37 @@
                 self.fail_call(call, RpcError(Code.INTERNAL, f"unknown grpc-encoding {encoding!r}"))
                 return
             call.decoder._gzip = encoding == b"gzip"
-            call.initial = decode_metadata(headers)
-            if call.on_initial is not None:
-                call.on_initial(call.initial)
+            call.initial_metadata = decode_metadata(headers)
+            if call.on_initial_metadata is not None:
+                call.on_initial_metadata(call.initial_metadata)
             call._wake_initial()
             return
         if not end:
             self.fail_call(call, RpcError(Code.INTERNAL, "headers in the middle of a response"))
             return
         if b"grpc-status" in fields:
-            code = code_of(fields[b"grpc-status"].decode("latin-1"))
+            code = parse_code(fields[b"grpc-status"].decode("latin-1"))
             error = RpcError(code, percent_decode(fields.get(b"grpc-message", b"").decode("latin-1")))
         elif status is not None:
-            error = _http_status(status, fields.get(b"content-type", b""))
+            error = _status_from_http(status, fields.get(b"content-type", b""))
         else:
             error = RpcError(Code.UNKNOWN, "the response has no grpc-status")
-        call.trailing = decode_metadata(headers)
-        if error.code is Code.OK and call.decoder.held:
+        call.trailing_metadata = decode_metadata(headers)
+        if error.code is Code.OK and call.decoder.buffered_bytes:
             error = RpcError(Code.INTERNAL, "the response ends inside a message")
         self._end_call(call, error)
 
     def _end_call(self, call: ClientCall, status: RpcError) -> None:
-        call.take_end()
+        call.handle_end()
         if not call.end_sent:  # the server ended first: our half is dropped
             self.http2.reset(call.stream, H2Code.NO_ERROR)
-        call.finish_over(status)
+        call.mark_done(status)
 
     def on_data(self, stream: int, data: bytes, end: bool) -> None:
         super().on_data(stream, data, end)
         call = self.calls.get(stream)
         if end and call is not None:
-            call.finish_over(RpcError(Code.INTERNAL, "the response ends without trailers"))
+            call.mark_done(RpcError(Code.INTERNAL, "the response ends without trailers"))
 
     def fail_call(self, call: Call, error: RpcError) -> None:
         assert isinstance(call, ClientCall)
@@ -234,17 +242,17 @@
         call = self.calls.get(stream)
         if call is not None:
             status = H2_TO_CODE.get(code, Code.INTERNAL)
-            call.finish_over(RpcError(status, f"reset by the server ({code})", unprocessed=code == REFUSED_STREAM))
+            call.mark_done(RpcError(status, f"reset by the server ({code})", unprocessed=code == REFUSED_STREAM))
 
     def on_goaway(self, code: int, last: int, text: bytes) -> None:
         self.draining = True
         word = f"the server is leaving ({code}{': ' + text.decode('latin-1') if text else ''})"
         for call in list(self.calls.values()):
             if call.stream > last:
-                call.finish_over(RpcError(Code.UNAVAILABLE, word, unprocessed=True))
+                call.mark_done(RpcError(Code.UNAVAILABLE, word, unprocessed=True))
 
 
-def _http_status(status: bytes, content: bytes) -> RpcError:
+def _status_from_http(status: bytes, content: bytes) -> RpcError:
     number = int(status) if status.isdigit() else 0
     if number == 200:
         return RpcError(Code.UNKNOWN, f"not a gRPC response: content-type {content.decode('latin-1')!r}")
--- a/sprucepost/wire/connection.py
+++ b/sprucepost/wire/connection.py
@@ -8,8 +8,8 @@
 
 from sprucepost.loop import Loop, Timer, Transport
 from sprucepost.wire.call import Call
-from sprucepost.wire.http2 import Broken, Http2
 from sprucepost.wire.http2 import Code as H2Code
+from sprucepost.wire.http2 import Http2Endpoint, Http2Error
 from sprucepost.wire.metadata import Headers
 from sprucepost.wire.rate_limits import PingPolicy
 from sprucepost.wire.status import Code, RpcError
@@ -21,20 +21,20 @@
 class Options:
     """Limits of one end; sizes in bytes, times in ms."""
 
-    message_most: int = 4 * 1024 * 1024
-    header_bytes: int = 16_384
-    streams: int = 100
+    max_message_bytes: int = 4 * 1024 * 1024
+    max_header_bytes: int = 16_384
+    max_streams: int = 100
     stream_window: int = 262_144
     connection_window: int = 1_048_576
-    connections: int = 4096
+    max_connections: int = 4096
     keepalive_ms: float = 20_000.0
-    keepalive_wait_ms: float = 10_000.0
-    first_ms: float = 10_000.0  # an accepted connection must have sent its preface and settings by then
-    idle_ms: float = 300_000.0  # a server closes a connection without calls after this
-    stall_ms: float = 30_000.0  # a call whose data the peer has not let out for so long is ended
-    transport_most: int = 1_048_576  # bytes waiting for the socket before calls have to wait
-    ping_least_ms: float = 10_000.0
-    stale_ms: float | None = (
+    keepalive_timeout_ms: float = 10_000.0
+    handshake_timeout_ms: float = 10_000.0  # an accepted connection must have sent its preface and settings by then
+    idle_timeout_ms: float = 300_000.0  # a server closes a connection without calls after this
+    stall_timeout_ms: float = 30_000.0  # a call whose data the peer has not let out for so long is ended
+    max_transport_bytes: int = 1_048_576  # bytes waiting for the socket before calls have to wait
+    min_ping_interval_ms: float = 10_000.0
+    max_send_delay_ms: float | None = (
         None  # messages that could not go out so soon after they were sent are not to go out at all
     )
 
@@ -49,63 +49,63 @@
         self.transport = transport
         self.peer = transport.peer
         self.calls: dict[int, Call] = {}
-        self.http2 = Http2(
+        self.http2 = Http2Endpoint(
             self,
             client,
             loop.now(),
-            options.streams,
+            options.max_streams,
             options.stream_window,
             options.connection_window,
-            options.header_bytes,
-            None if client else PingPolicy(options.ping_least_ms),
+            options.max_header_bytes,
+            None if client else PingPolicy(options.min_ping_interval_ms),
         )
         self.on_closed: Callable[[], None] = lambda: None
         self.closed = False
         self.draining = False
-        self.heard = False  # anything valid came from the peer
-        self._dirty: dict[Call, None] = {}
-        self._stuck: dict[Call, float] = {}  # calls that wait for the peer's window, since when
-        self._pump_due = False
-        self._last_read = loop.now()
-        self._ping_sent: float | None = None
-        self._timer: Timer = loop.call_later(self._look_every(), self._look)
-        self._born = loop.now()
-        self._calls_until = loop.now()  # when the last call ended
+        self.received_valid = False  # anything valid came from the peer
+        self._calls_to_flush: dict[Call, None] = {}
+        self._blocked_calls: dict[Call, float] = {}  # calls that wait for the peer's window, since when
+        self._flush_scheduled = False
+        self._last_read_ms = loop.now()
+        self._ping_sent_ms: float | None = None
+        self._timer: Timer = loop.call_later(self._check_interval_ms(), self._check_timeouts)
+        self._opened_ms = loop.now()
+        self._last_call_ended_ms = loop.now()  # when the last call ended
         self.transport.on_data = self._on_bytes
         self.transport.on_end = self._on_end
-        self.transport.on_lost = lambda error: self.lost(str(error) if error else "connection lost")
-        self.transport.on_drained = self._on_room
-        self._dirty_since = 0.0
-        if options.stale_ms is not None:
-            self.transport.may_send = self._fresh
+        self.transport.on_lost = lambda error: self.handle_lost(str(error) if error else "connection lost")
+        self.transport.on_drained = self._on_drained
+        self._unsent_since_ms = 0.0
+        if options.max_send_delay_ms is not None:
+            self.transport.may_send = self._within_send_delay
         self.transport.start()
         self._flush()
 
     # From the transport
 
     def _on_bytes(self, data: bytes) -> None:
-        self._last_read = self.loop.now()
-        self._ping_sent = None
+        self._last_read_ms = self.loop.now()
+        self._ping_sent_ms = None
         try:
-            self.http2.receive(data, self._last_read)
-            self.heard = True
-        except Broken as broken:
+            self.http2.receive(data, self._last_read_ms)
+            self.received_valid = True
+        except Http2Error as broken:
             self.counters[broken.name] += 1
-            self.refuse_broken(broken)
+            self.reply_to_invalid_peer(broken)
             self._linger()
-            self.lost(f"{broken.name}: {broken}")
+            self.handle_lost(f"{broken.name}: {broken}")
             return
         self.flush_soon()
 
     def _on_end(self) -> None:
         self.transport.close()
-        self.lost("the peer closed the connection")
+        self.handle_lost("the peer closed the connection")
 
-    def refuse_broken(self, broken: Broken) -> None:
+    def reply_to_invalid_peer(self, broken: Http2Error) -> None:
         """A word for a peer that speaks something else."""
 
-    def _on_room(self) -> None:
-        if self._dirty:
+    def _on_drained(self) -> None:
+        if self._calls_to_flush:
             self.flush_soon()
 
     # From the state machine
@@ -119,13 +119,13 @@
             return
         try:
             if data:
-                call.take_data(data)
+                call.handle_data(data)
         except RpcError as error:
             self.counters["message"] += 1
             self.fail_call(call, error)
             return
         if end:
-            call.take_end()
+            call.handle_end()
 
     def fail_call(self, call: Call, error: RpcError) -> None:
         raise NotImplementedError
@@ -139,9 +139,9 @@
         self.on_reset(stream, code)
 
     def on_window(self) -> None:
-        for call in self._stuck:
-            self._dirty[call] = None
-        self._stuck.clear()
+        for call in self._blocked_calls:
+            self._calls_to_flush[call] = None
+        self._blocked_calls.clear()
         self.flush_soon()
 
     def on_goaway(self, code: int, last: int, text: bytes) -> None:
@@ -157,88 +157,91 @@
         self.http2.consumed(call.stream, size)
         self.flush_soon()
 
-    def dirty(self, call: Call) -> None:
-        if not self._dirty:
-            self._dirty_since = self.loop.now()
-        self._dirty[call] = None
+    def schedule_send(self, call: Call) -> None:
+        if not self._calls_to_flush:
+            self._unsent_since_ms = self.loop.now()
+        self._calls_to_flush[call] = None
         self.flush_soon()
 
-    def behind(self, call: Call) -> bool:
+    def send_blocked(self, call: Call) -> bool:
         """Whether the peer's window or the socket holds the call's bytes back."""
-        return call in self._stuck or self.transport.blocked
+        return call in self._blocked_calls or self.transport.blocked
 
-    def _fresh(self) -> bool:
+    def _within_send_delay(self) -> bool:
         """A process that was stopped in the midst of a turn sends its messages when it goes on, and they are then as old as
         the pause was long."""
-        late = self.loop.now() - self._dirty_since if self._dirty_since else 0.0
-        self._dirty_since = 0.0
-        if late <= (self.options.stale_ms or 0.0):
+        late = self.loop.now() - self._unsent_since_ms if self._unsent_since_ms else 0.0
+        self._unsent_since_ms = 0.0
+        if late <= (self.options.max_send_delay_ms or 0.0):
             return True
         self.counters["stale"] += 1
         return False
 
-    def call_over(self) -> None:
-        self._calls_until = self.loop.now()
+    def call_done(self) -> None:
+        self._last_call_ended_ms = self.loop.now()
 
     def flush_soon(self) -> None:
         """Once at the end of this turn: many messages, one pass through the calls, one write."""
-        if not self._pump_due and not self.closed:
-            self._pump_due = True
+        if not self._flush_scheduled and not self.closed:
+            self._flush_scheduled = True
             self.loop.at_turn_end(self._flush)
 
     def _flush(self) -> None:
-        self._pump_due = False
+        self._flush_scheduled = False
         if self.closed:
             return
-        if self._dirty and self.transport.buffered < self.options.transport_most:
-            dirty, self._dirty = self._dirty, {}
+        if self._calls_to_flush and self.transport.buffered < self.options.max_transport_bytes:
+            dirty, self._calls_to_flush = self._calls_to_flush, {}
             for call in dirty:
-                before = call.out_bytes
-                if call.over is not None or not call.pump():
-                    self._stuck.pop(call, None)
-                elif call not in self._stuck or call.out_bytes < before:
-                    self._stuck[call] = self.loop.now()
+                before = call.unsent_bytes
+                if call.end_status is not None or not call.flush():
+                    self._blocked_calls.pop(call, None)
+                elif call not in self._blocked_calls or call.unsent_bytes < before:
+                    self._blocked_calls[call] = self.loop.now()
         data = self.http2.outgoing()
         if (
             not data
         ):  # what was sent waits for the peer's window: that is no pause of ours, and not a later write's fault
-            self._dirty_since = 0.0
+            self._unsent_since_ms = 0.0
         self.transport.write(data)
 
     # Time
 
-    def _look_every(self) -> float:
-        return min(self.options.keepalive_ms, self.options.first_ms, self.options.stall_ms) / 2
+    def _check_interval_ms(self) -> float:
+        return min(self.options.keepalive_ms, self.options.handshake_timeout_ms, self.options.stall_timeout_ms) / 2
 
-    def _look(self) -> None:
+    def _check_timeouts(self) -> None:
         """Now and then: keepalive, stalled calls, idle and mute connections."""
         if self.closed:
             return
         now, options = self.loop.now(), self.options
-        self._timer = self.loop.call_later(self._look_every(), self._look)
-        for call, since in list(self._stuck.items()):
-            if call.over is not None:
-                del self._stuck[call]
-            elif now - since > options.stall_ms:
+        self._timer = self.loop.call_later(self._check_interval_ms(), self._check_timeouts)
+        for call, since in list(self._blocked_calls.items()):
+            if call.end_status is not None:
+                del self._blocked_calls[call]
+            elif now - since > options.stall_timeout_ms:
                 self.counters["stalled"] += 1
-                del self._stuck[call]
+                del self._blocked_calls[call]
                 self.fail_call(call, RpcError(Code.RESOURCE_EXHAUSTED, "the peer takes no data"))
-        if self.transport.buffered >= options.transport_most and now - self._last_read > 2 * options.stall_ms:
+        if (
+            self.transport.buffered >= options.max_transport_bytes
+            and now - self._last_read_ms > 2 * options.stall_timeout_ms
+        ):
             self.counters["stalled"] += 1
             self.abort("the peer reads nothing")
             return
-        if self._ping_sent is not None:
-            if now - self._ping_sent > options.keepalive_wait_ms:
+        if self._ping_sent_ms is not None:
+            if now - self._ping_sent_ms > options.keepalive_timeout_ms:
                 self.counters["keepalive"] += 1
                 self.abort("no answer to a keepalive ping")
                 return
-        elif now - self._last_read >= options.keepalive_ms and (self.calls or self.heard):
-            self._ping_sent = now
+        elif now - self._last_read_ms >= options.keepalive_ms and (self.calls or self.received_valid):
+            self._ping_sent_ms = now
             self.http2.ping(b"alive\0\0\0")
-        self.look(now)
+        self.check_idle(now)
         self.flush_soon()
 
-    def look(self, now: float) -> None:
+    def check_idle(self, now: float) -> None:
         """What a role adds to the look."""
 
     # The end
@@ -248,7 +251,7 @@
         if not self.closed:
             self.http2.close(H2Code.NO_ERROR, text.encode())
             self._linger()
-            self.lost(text or "closed")
+            self.handle_lost(text or "closed")
 
     def _linger(self) -> None:
         """Send what is left and wait a moment for the peer's end: closing with bytes unread would reset the
@@ -265,16 +268,16 @@
     def abort(self, text: str) -> None:
         if not self.closed:
             self.transport.abort()
-            self.lost(text)
+            self.handle_lost(text)
 
-    def lost(self, text: str) -> None:
+    def handle_lost(self, text: str) -> None:
         """The connection is no more: every call on it ends."""
         if self.closed:
             return
         self.closed = True
         self._timer.cancel()
         for call in list(self.calls.values()):
-            call.finish_over(RpcError(Code.UNAVAILABLE, text))
-        self._dirty.clear()
-        self._stuck.clear()
+            call.mark_done(RpcError(Code.UNAVAILABLE, text))
+        self._calls_to_flush.clear()
+        self._blocked_calls.clear()
         self.on_closed()
--- a/sprucepost/wire/fields.py
+++ b/sprucepost/wire/fields.py
@@ -20,27 +20,27 @@
 _BAD_VALUE = re.compile(rb"[\0\n\r]|\A[ \t]|[ \t]\Z")
 _STATUS = re.compile(rb"[1-9][0-9][0-9]")
 _DIGITS = re.compile(rb"[0-9]{1,18}")
-_OF_A_CONNECTION = frozenset(
+_CONNECTION_FIELDS = frozenset(
     (b"connection", b"proxy-connection", b"keep-alive", b"transfer-encoding", b"upgrade")
 )  # 8.2.2
-_OF_A_REQUEST = frozenset((b":method", b":scheme", b":path", b":authority"))
+_REQUEST_PSEUDO_FIELDS = frozenset((b":method", b":scheme", b":path", b":authority"))
 
 
-class Kind(Enum):
+class SectionKind(Enum):
     REQUEST = "request"
     RESPONSE = "response"
     TRAILERS = "trailers"
 
 
-class Decoder(hpack.Decoder):
+class FieldDecoder(hpack.Decoder):
     """Keeps each list as it came (``latest``) and shows h2 the rest of it without what it would judge itself.
 
     The body's length is not h2's to check, since DATA goes around it, and a request's ``:status`` would be taken for
     an interim response.
     """
 
-    def __init__(self, client: bool, most: int) -> None:
-        super().__init__(max_header_list_size=most)
+    def __init__(self, client: bool, max_bytes: int) -> None:
+        super().__init__(max_header_list_size=max_bytes)
         self._hidden = (b"content-length",) if client else (b"content-length", b":status")
         self.latest: Headers = []
 
@@ -50,7 +50,7 @@
         return [field for field in fields if field[0] not in self._hidden]
 
 
-def problem(fields: Headers, kind: Kind) -> str:
+def find_error(fields: Headers, kind: SectionKind) -> str:
     """Why the list is malformed; empty where it is not."""
     pseudo: dict[bytes, bytes] = {}
     host, regular = None, False
@@ -67,23 +67,23 @@
             pseudo[name] = value
             continue
         regular = True
-        if name in _OF_A_CONNECTION or (name == b"te" and value.lower() != b"trailers"):
+        if name in _CONNECTION_FIELDS or (name == b"te" and value.lower() != b"trailers"):
             return f"{name.decode()} does not belong into HTTP/2"
         if name == b"host":
             if host is not None and host != value:
                 return "two hosts"
             host = value
-    if kind is Kind.TRAILERS:
+    if kind is SectionKind.TRAILERS:
         return "pseudo-field in trailers" if pseudo else ""
-    if kind is Kind.RESPONSE:
+    if kind is SectionKind.RESPONSE:
         if pseudo.keys() != {b":status"} or not _STATUS.fullmatch(pseudo[b":status"]):
             return "a response has a :status of three digits and no other pseudo-field"
         return ""
-    return _request(pseudo, host)
+    return _find_request_error(pseudo, host)
 
 
-def _request(pseudo: dict[bytes, bytes], host: bytes | None) -> str:
-    if unknown := [name for name in pseudo if name not in _OF_A_REQUEST]:
+def _find_request_error(pseudo: dict[bytes, bytes], host: bytes | None) -> str:
+    if unknown := [name for name in pseudo if name not in _REQUEST_PSEUDO_FIELDS]:
         return f"pseudo-field {unknown[0].decode()}"
     if not pseudo.get(b":method"):
         return "no :method"
@@ -99,7 +99,7 @@
     return ""
 
 
-def length(fields: Headers) -> int | None:
+def content_length(fields: Headers) -> int | None:
     """The declared length of the body, None without one. ValueError where the fields give none or several."""
     found = {value for name, value in fields if name == b"content-length"}
     if not found:
--- a/sprucepost/wire/frames.py
+++ b/sprucepost/wire/frames.py
@@ -13,11 +13,11 @@
     "CONTINUATION",
 )  # fmt: skip
 END_STREAM, END_HEADERS, ACK, PADDED, WITH_PRIORITY = 1, 4, 1, 8, 0x20
-FRAME_MOST = 16384  # bytes of payload that this side allows, RFC 9113 6.5.2
-LAST_STREAM = 2**31 - 1
-_ON_A_STREAM = frozenset((DATA, HEADERS, PRIORITY, RST_STREAM, PUSH_PROMISE, CONTINUATION))
-_ON_THE_CONNECTION = frozenset((SETTINGS, PING, GOAWAY))
-_SIZES = {RST_STREAM: 4, PING: 8, WINDOW_UPDATE: 4}
+MAX_FRAME_BYTES = 16384  # bytes of payload that this side allows, RFC 9113 6.5.2
+MAX_UINT31 = 2**31 - 1
+_STREAM_FRAMES = frozenset((DATA, HEADERS, PRIORITY, RST_STREAM, PUSH_PROMISE, CONTINUATION))
+_CONNECTION_FRAMES = frozenset((SETTINGS, PING, GOAWAY))
+_FIXED_SIZES = {RST_STREAM: 4, PING: 8, WINDOW_UPDATE: 4}
 
 
 def encode(kind: int, flags: int, stream: int, payload: bytes = b"") -> bytes:
@@ -29,17 +29,17 @@
     return struct.pack(">IBII", 4 << 8 | WINDOW_UPDATE, 0, stream, size)
 
 
-def problem(kind: int, flags: int, stream: int, size: int) -> tuple[Code, str] | None:
+def find_header_error(kind: int, flags: int, stream: int, size: int) -> tuple[Code, str] | None:
     """What ends the connection in a frame's head: its code and text, or None. RFC 9113 section 6, kind by kind.
 
     A wrong size is FRAME_SIZE_ERROR even where a parser would call it a protocol error.
     """
     name = NAMES[kind] if kind < len(NAMES) else ""
-    if kind in _ON_A_STREAM and not stream:
+    if kind in _STREAM_FRAMES and not stream:
         return Code.PROTOCOL_ERROR, f"{name} on stream 0"
-    if kind in _ON_THE_CONNECTION and stream:
+    if kind in _CONNECTION_FRAMES and stream:
         return Code.PROTOCOL_ERROR, f"{name} on stream {stream}"
-    if size != _SIZES.get(kind, size):
+    if size != _FIXED_SIZES.get(kind, size):
         return Code.FRAME_SIZE_ERROR, f"{name} of {size} bytes"
     if kind == SETTINGS and (size if flags & ACK else size % 6):
         return Code.FRAME_SIZE_ERROR, f"SETTINGS of {size} bytes"
--- a/sprucepost/wire/health.py
+++ b/sprucepost/wire/health.py
@@ -50,7 +50,7 @@
             call.send(pb.HealthCheckResponse(status=status).SerializeToString())
 
         call.on_message = begin
-        call.on_over = lambda status: self._forget(call)
+        call.on_done = lambda status: self._forget(call)
 
     def _forget(self, call: ServerCall) -> None:
         self._watchers.pop(call, None)
--- a/sprucepost/wire/server.py
+++ b/sprucepost/wire/server.py
@@ -10,8 +10,8 @@
 from sprucepost.loop import Acceptor, Address, Cancelled, Co, Listener, Loop, Scope, Sock, Task, Transport, sleep
 from sprucepost.wire.call import Call
 from sprucepost.wire.connection import Connection, Options
-from sprucepost.wire.http2 import Broken
 from sprucepost.wire.http2 import Code as H2Code
+from sprucepost.wire.http2 import Http2Error
 from sprucepost.wire.metadata import Headers, Metadata, decode_metadata, encode_metadata, parse_timeout
 from sprucepost.wire.status import Code, RpcError, percent_encode
 
@@ -25,24 +25,24 @@
 class ServerCall(Call):
     """A call that this server answers."""
 
-    def __init__(self, connection: ServerConnection, message_most: int) -> None:
-        super().__init__(connection, message_most)
+    def __init__(self, connection: ServerConnection, max_message_bytes: int) -> None:
+        super().__init__(connection, max_message_bytes)
         self.path = ""
         self.metadata: Metadata = ()
         self.deadline: float | None = None  # on the loop's clock
-        self.trailing: list[tuple[str, str | bytes]] = []
+        self.trailing_metadata: list[tuple[str, str | bytes]] = []
         self._initial: list[tuple[str, str | bytes]] = []
         self._started = False
         self.accepts_gzip = False
         self.finishing = False
 
-    def left_ms(self) -> float | None:
+    def remaining_ms(self) -> float | None:
         """Time until the caller gives up, None where it set no limit."""
         return None if self.deadline is None else max(0.0, self.deadline - self.connection.loop.now())
 
-    def send_initial(self, metadata: Iterable[tuple[str, str | bytes]] = (), compress: bool = False) -> None:
+    def send_initial_metadata(self, metadata: Iterable[tuple[str, str | bytes]] = (), compress: bool = False) -> None:
         """Headers before the first message; ``compress`` where the caller accepts it."""
-        if self._started or self.over is not None or self.finishing:
+        if self._started or self.end_status is not None or self.finishing:
             return
         self._initial.extend(metadata)
         self._started = True
@@ -55,17 +55,17 @@
         self.connection.flush_soon()
 
     def start_sending(self) -> None:
-        self.send_initial()
+        self.send_initial_metadata()
 
     def finish(self, status: RpcError | None = None) -> None:
         """End the call: what is buffered goes first, then the trailers."""
-        if self.over is not None or self.finishing:
+        if self.end_status is not None or self.finishing:
             return
         self.finishing = True
         status = status or RpcError(Code.OK)
         if status.code is not Code.OK:
-            self._out.clear()  # an error does not wait for a peer that reads nothing
-            self.out_bytes = 0
+            self._unsent.clear()  # an error does not wait for a peer that reads nothing
+            self.unsent_bytes = 0
 
         def trailers() -> None:
             fields: Headers = (
@@ -82,14 +82,14 @@
             if status.message:
                 fields.append((b"grpc-message", percent_encode(status.message).encode()))
             http2 = self.connection.http2
-            http2.send_headers(self.stream, fields + encode_metadata(self.trailing), end=True)
-            if not self._ended:
+            http2.send_headers(self.stream, fields + encode_metadata(self.trailing_metadata), end=True)
+            if not self._peer_ended:
                 http2.reset(self.stream, H2Code.NO_ERROR)  # whatever the caller still sends is not wanted
-            self.finish_over(status)
+            self.mark_done(status)
             self.connection.flush_soon()
 
-        self._closing = trailers
-        self.connection.dirty(self)
+        self._after_flush = trailers
+        self.connection.schedule_send(self)
 
 
 Handler = Callable[[ServerCall], Co[None]]
@@ -111,13 +111,13 @@
     """A method with one message each way."""
 
     def handler(call: ServerCall) -> Co[None]:
-        reply = yield from answer(parse((yield from one(call))), call)
+        reply = yield from answer(parse((yield from receive_single(call))), call)
         call.send(reply.SerializeToString())
 
     return Method(handler)
 
 
-def one(call: ServerCall) -> Co[bytes]:
+def receive_single(call: ServerCall) -> Co[bytes]:
     """The only message of a call that has one."""
     message = yield from call.receive()
     if message is None:
@@ -132,7 +132,7 @@
         self.server = server
         super().__init__(server.loop, Transport(server.loop, sock), False, server.options, server.counters)
 
-    def refuse_broken(self, broken: Broken) -> None:
+    def reply_to_invalid_peer(self, broken: Http2Error) -> None:
         if broken.name == "http1":
             self.transport.write(
                 b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 33\r\n"
@@ -142,29 +142,29 @@
     def on_headers(self, stream: int, headers: Headers, end: bool) -> None:
         if stream in self.calls:  # trailers of a request: only their end means something
             if end:
-                self.calls[stream].take_end()
+                self.calls[stream].handle_end()
             return
         if self.draining or self.server.draining:
             self.counters["refused_leaving"] += 1
             self.http2.reset(stream, H2Code.REFUSED_STREAM)
             return
-        call = ServerCall(self, self.options.message_most)
+        call = ServerCall(self, self.options.max_message_bytes)
         call.stream = stream
         self.calls[stream] = call
         try:
-            method = self._read_head(call, headers)
+            method = self._read_request(call, headers)
         except RpcError as error:
             self.counters["request"] += 1
             call.finish(error)
             if end:
-                call.take_end()
+                call.handle_end()
             return
         if end:
-            call._ended = True
+            call._peer_ended = True
         if method is not None:
             self.server.dispatch(method, call)
 
-    def _read_head(self, call: ServerCall, headers: Headers) -> Method | None:
+    def _read_request(self, call: ServerCall, headers: Headers) -> Method | None:
         fields = dict(headers)
         content = fields.get(b"content-type", b"")
         for wrong, status in (
@@ -180,7 +180,7 @@
                 self.counters["request"] += 1
                 self.http2.send_headers(call.stream, [(b":status", status)], end=True)
                 self.http2.reset(call.stream, H2Code.NO_ERROR)
-                call.finish_over(RpcError(Code.INTERNAL, "not a gRPC request"))
+                call.mark_done(RpcError(Code.INTERNAL, "not a gRPC request"))
                 return None
         call.path = fields.get(b":path", b"").decode("latin-1")
         encoding = fields.get(b"grpc-encoding", b"identity")
@@ -207,24 +207,24 @@
     def _expire(self, call: ServerCall) -> None:
         error = RpcError(Code.DEADLINE_EXCEEDED, "deadline exceeded")
         call.finish(error)
-        self.server.ended(call, error)
+        self.server.cancel_handler(call, error)
 
     def fail_call(self, call: Call, error: RpcError) -> None:
         assert isinstance(call, ServerCall)
         call.finish(error)
-        self.server.ended(call, error)
+        self.server.cancel_handler(call, error)
 
     def on_reset(self, stream: int, code: int) -> None:
         call = self.calls.get(stream)
         if call is not None:
             error = RpcError(Code.CANCELLED, f"reset by the caller ({code})")
-            call.finish_over(error)
+            call.mark_done(error)
 
-    def look(self, now: float) -> None:
-        if not self.heard and now - self._born > self.options.first_ms:
+    def check_idle(self, now: float) -> None:
+        if not self.received_valid and now - self._opened_ms > self.options.handshake_timeout_ms:
             self.counters["mute"] += 1
             self.abort("no preface in time")
-        elif not self.calls and now - max(self._calls_until, self._born) > self.options.idle_ms:
+        elif not self.calls and now - max(self._last_call_ended_ms, self._opened_ms) > self.options.idle_timeout_ms:
             self.close("idle")
 
 
@@ -253,11 +253,11 @@
         return self.serve(self.loop.listen(address))
 
     def serve(self, listener: Listener) -> Address:
-        self._acceptors.append(Acceptor(self.loop, listener, self._take))
+        self._acceptors.append(Acceptor(self.loop, listener, self._accept))
         return listener.address
 
-    def _take(self, sock: Sock) -> None:
-        if len(self.connections) >= self.options.connections:
+    def _accept(self, sock: Sock) -> None:
+        if len(self.connections) >= self.options.max_connections:
             self.counters["connections"] += 1
             sock.close(reset=True)
             return
@@ -276,13 +276,13 @@
             except RpcError as error:
                 call.finish(error)
             else:
-                if call._ended and call.on_end is not None:
+                if call._peer_ended and call.on_end is not None:
                     call.on_end()
             return
         assert method.handler is not None
         task = self.scope.spawn(self._run(method.handler, call), call.path)
         self._tasks[call] = task
-        call.on_over = lambda status: self.ended(call, status)
+        call.on_done = lambda status: self.cancel_handler(call, status)
 
     def _run(self, handler: Handler, call: ServerCall) -> Co[None]:
         try:
@@ -300,7 +300,7 @@
         finally:
             self._tasks.pop(call, None)
 
-    def ended(self, call: ServerCall, status: RpcError) -> None:
+    def cancel_handler(self, call: ServerCall, status: RpcError) -> None:
         """A call that ended before its handler did: the handler is cancelled."""
         task = self._tasks.get(call)
         if task is not None and status.code is not Code.OK:
--- a/sprucepost/wire/session.py
+++ b/sprucepost/wire/session.py
@@ -1,8 +1,8 @@
-"""A numbered conversation that outlives its streams; free of I/O. ``docs/protocol.md`` has the rules in words.
+"""A session of numbered frames that continues over several streams. Performs no I/O; ``docs/protocol.md`` has the rules.
 
-Each end numbers what it sends, 1, 2, 3 ..., and keeps it until the other has acknowledged it. When a stream breaks, the
-next one begins with the number last seen at each end; what is later is sent again, and what has been seen is dropped
-here. So every frame takes effect once, in order, for as long as both ends keep the session.
+Each end numbers the frames that it sends from 1 and keeps each until the other end has acknowledged it. When a stream
+breaks, each end tells on the next stream the number of the last frame that it received: later frames are sent again, and
+repeated frames are dropped here. Every frame thus takes effect once and in order as long as both ends keep the session.
 """
 
 from __future__ import annotations
@@ -15,68 +15,69 @@
 
 
 class SessionBroken(Exception):
-    """The other end broke the numbering: the stream cannot go on."""
+    """The other end violated the numbering, or too many frames are unacknowledged: the stream cannot continue."""
 
 
 class Session(Generic[F]):
-    """One end. ``most`` bounds the frames kept for an end that acknowledges nothing."""
+    """One end of a session. ``max_unacknowledged`` bounds the frames kept for a peer that acknowledges nothing."""
 
-    def __init__(self, most: int = 10_000) -> None:
-        self._most = most
-        self._sent = 0  # number of the latest frame numbered here
-        self._kept: deque[tuple[int, F]] = deque()
-        self.seen = 0  # number of the latest frame taken from the other end
-        self._told = 0  # the latest acknowledgement that was written
+    def __init__(self, max_unacknowledged: int = 10_000) -> None:
+        self._max_unacknowledged = max_unacknowledged
+        self._last_sent = 0  # number of the last frame that this end numbered
+        self._unacknowledged: deque[tuple[int, F]] = deque()
+        self.last_received = 0  # number of the last frame that was accepted from the other end
+        self._acked = 0  # the last acknowledgement that was sent
 
     @property
     def unacknowledged(self) -> int:
-        return len(self._kept)
+        """Number of frames that the other end has not acknowledged."""
+        return len(self._unacknowledged)
 
     @property
-    def owes_ack(self) -> bool:
+    def ack_due(self) -> bool:
         """Whether the other end has sent frames that no acknowledgement covers yet."""
-        return self.seen > self._told
+        return self.last_received > self._acked
 
-    def number(self, frame: F) -> int:
-        """The number of a new frame, which is kept until it is acknowledged. SessionBroken where too many are."""
-        if len(self._kept) >= self._most:
-            raise SessionBroken(f"{len(self._kept)} frames without an acknowledgement")
-        self._sent += 1
-        self._kept.append((self._sent, frame))
-        return self._sent
+    def assign_seq(self, frame: F) -> int:
+        """Number a new frame and keep it until it is acknowledged. SessionBroken if too many frames are kept."""
+        if len(self._unacknowledged) >= self._max_unacknowledged:
+            raise SessionBroken(f"{len(self._unacknowledged)} frames without an acknowledgement")
+        self._last_sent += 1
+        self._unacknowledged.append((self._last_sent, frame))
+        return self._last_sent
 
     def ack(self) -> int:
-        """The acknowledgement to write now."""
-        self._told = self.seen
-        return self.seen
-
-    def take_ack(self, ack: int) -> None:
-        """The other end has everything up to ``ack``."""
-        if ack > self._sent:
-            raise SessionBroken(f"acknowledges frame {ack}, the last one sent is {self._sent}")
-        while self._kept and self._kept[0][0] <= ack:
-            self._kept.popleft()
-
-    def take(self, seq: int) -> bool:
-        """Whether the frame with this number is new; False for a repeat. SessionBroken where one is missing."""
-        if seq <= self.seen:
+        """Return the acknowledgement to send now, and count it as sent."""
+        self._acked = self.last_received
+        return self.last_received
+
+    def receive_ack(self, ack: int) -> None:
+        """Drop the frames up to ``ack``, which the other end has received."""
+        if ack > self._last_sent:
+            raise SessionBroken(f"acknowledges frame {ack}, the last one sent is {self._last_sent}")
+        while self._unacknowledged and self._unacknowledged[0][0] <= ack:
+            self._unacknowledged.popleft()
+
+    def accept(self, seq: int) -> bool:
+        """Whether the frame with this number is new; False for a repeat. SessionBroken if a frame is missing."""
+        if seq <= self.last_received:
             return False
-        if seq != self.seen + 1:
-            raise SessionBroken(f"frame {seq} after {self.seen}")
-        self.seen = seq
+        if seq != self.last_received + 1:
+            raise SessionBroken(f"frame {seq} after {self.last_received}")
+        self.last_received = seq
         return True
 
-    def again(self, last_seen: int) -> list[tuple[int, F]]:
-        """What to send again on a new stream to an end that has seen ``last_seen``; that also acknowledges it.
+    def resume(self, last_seen: int) -> list[tuple[int, F]]:
+        """Return the frames to send again on a new stream to an end that has received those up to ``last_seen``.
 
-        The other end cannot have forgotten what it acknowledged: that is SessionBroken.
+        ``last_seen`` also acknowledges these frames. SessionBroken if it lies before an earlier acknowledgement.
         """
-        self.take_ack(last_seen)
-        first = self._kept[0][0] if self._kept else self._sent + 1
+        self.receive_ack(last_seen)
+        first = self._unacknowledged[0][0] if self._unacknowledged else self._last_sent + 1
         if last_seen + 1 < first:
             raise SessionBroken(f"saw {last_seen}, but has acknowledged {first - 1}")
-        return list(self._kept)
+        return list(self._unacknowledged)
 
-    def replace(self, change: Callable[[F], F]) -> None:
-        """Change what is kept, before it is sent again."""
-        self._kept = deque((seq, change(frame)) for seq, frame in self._kept)
+    def update_unacknowledged(self, change: Callable[[F], F]) -> None:
+        """Replace each kept frame by ``change`` of it, before the frames are sent again."""
+        self._unacknowledged = deque((seq, change(frame)) for seq, frame in self._unacknowledged)
--- a/sprucepost/wire/status.py
+++ b/sprucepost/wire/status.py
@@ -62,7 +62,7 @@
 }
 
 
-def code_of(text: str) -> Code:
+def parse_code(text: str) -> Code:
     """The code in a ``grpc-status`` header; UNKNOWN where it is none."""
     return Code(int(text)) if text.isdecimal() and int(text) in Code._value2member_map_ else Code.UNKNOWN
 
--- a/tests/interop/service.py
+++ b/tests/interop/service.py
@@ -15,8 +15,8 @@
     found = dict(call.metadata)
     initial = [(ECHO_INITIAL, found[ECHO_INITIAL])] if ECHO_INITIAL in found else []
     if ECHO_TRAILING in found:
-        call.trailing.append((ECHO_TRAILING, found[ECHO_TRAILING]))
-    call.send_initial(initial, compress)
+        call.trailing_metadata.append((ECHO_TRAILING, found[ECHO_TRAILING]))
+    call.send_initial_metadata(initial, compress)
 
 
 def _check(expected: pb.BoolValue | None, call: ServerCall) -> None:
@@ -52,7 +52,7 @@
     message = yield from call.receive()
     assert message is not None
     request = pb.StreamingOutputCallRequest.FromString(message)
-    call.send_initial(compress=any(wanted.compressed.value for wanted in request.response_parameters))
+    call.send_initial_metadata(compress=any(wanted.compressed.value for wanted in request.response_parameters))
     yield from _output(call, request)
 
 
--- a/tests/interop/serving.py
+++ b/tests/interop/serving.py
@@ -20,7 +20,7 @@
     health = Health()
     health.set("", SERVING)
     methods = {**METHODS, **health.methods(), **Reflection(["grpc.testing.TestService"]).methods()}
-    server = Server(loop, scope, methods, Options(message_most=8 * 1024 * 1024, keepalive_ms=500.0))
+    server = Server(loop, scope, methods, Options(max_message_bytes=8 * 1024 * 1024, keepalive_ms=500.0))
     address = server.listen(("127.0.0.1", 0))
     print(address[1], flush=True)
     yield from sleep(120_000)
--- a/tests/interop/test_our_client.py
+++ b/tests/interop/test_our_client.py
@@ -96,7 +96,7 @@
         loop = EpollLoop(1)
 
         def main() -> Co[Any]:
-            options = Options(message_most=16_000_000)
+            options = Options(max_message_bytes=16_000_000)
             connection = yield from open_client(loop, ("127.0.0.1", port), options=options)
             try:
                 return (yield from within((yield from current()), 20_000, body(connection)))
@@ -163,7 +163,7 @@
         sizes = []
         while (message := (yield from call.receive())) is not None:
             sizes.append(size_of(message))
-        assert call.over is not None and call.over.code is Code.OK
+        assert call.end_status is not None and call.end_status.code is Code.OK
         return sizes
 
     assert run(body) == [31415, 9, 2653, 58979]
@@ -237,9 +237,9 @@
         call = connection.call(f"{SERVICE}/UnaryCall", sent)
         call.send(pb.SimpleRequest(response_size=1).SerializeToString())
         call.end()
-        initial = yield from call.wait_initial()
+        initial = yield from call.wait_initial_metadata()
         yield from call.result()
-        return initial, call.trailing
+        return initial, call.trailing_metadata
 
     initial, trailing = run(body)
     assert sent[0] in initial and sent[1] in trailing
--- a/tests/placer/test_credit.py
+++ b/tests/placer/test_credit.py
@@ -165,7 +165,7 @@
     assert 0 < charged <= interval + 50 and once
 
 
-def test_hold_reading_keeps_the_window_and_gives_it_back() -> None:
+def test_hold_window_keeps_the_window_and_gives_it_back() -> None:
     """A held stream's window is not given back, so that its peer stops; then all that it sent is delivered."""
 
     def body(world: World) -> Co[Any]:
@@ -174,13 +174,13 @@
         yield from wait_for(lambda: owner.up)
         (session,) = placer.owners.sessions.values()
         assert session.call is not None and owner.call is not None
-        session.call.hold_reading(True)
+        session.call.hold_window(True)
         names = [f"{n:04}-" + "x" * 2000 for n in range(1000)]
         for name in names:
             owner.submit(name, task(), 4000)
         yield from sleep(300.0)
-        stuck, submitted = owner.call.out_bytes, placer.engine.counters["submitted"]
-        session.call.hold_reading(False)
+        stuck, submitted = owner.call.unsent_bytes, placer.engine.counters["submitted"]
+        session.call.hold_window(False)
         yield from wait_for(lambda: placer.engine.counters["submitted"] == 1000, 4000)
         return stuck, submitted
 
--- a/tests/placer/test_path.py
+++ b/tests/placer/test_path.py
@@ -509,8 +509,8 @@
         if kind in ("bound", "refused", "failed"):
             got.append(str(kind))
     client.close()
-    assert call.over is not None
-    return got, int(call.over.code)
+    assert call.end_status is not None
+    return got, int(call.end_status.code)
 
 
 def test_a_half_closed_stream_brings_the_outcomes_of_what_it_asked() -> None:
@@ -574,7 +574,7 @@
             owner.submit(f"t{n}", task(), 2000)
         yield from wait_for(lambda: len(followed.frames) == 51 and followed.outcomes("open"))
         waits = {followed.frames[f"t{n}"][0].refused.retry_after_ms for n in range(50)}
-        frames = placer.owners.sessions[owner._token].session._sent
+        frames = placer.owners.sessions[owner._token].session._last_sent
         broken = [found for found in world.check_rules().values() if found]
         return [followed.outcomes(f"t{n}") for n in range(50)], frames, len(waits) > 40, broken
 
@@ -616,7 +616,7 @@
             assert data is not None, "the stream ended"
             got.append(pb.PlacerFrame.FromString(data).WhichOneof("body"))
         yield from sleep(20)
-        over = new.over
+        over = new.end_status
         first.close()
         return over, placer.owners.sessions[token].half_closed
 
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -36,4 +36,4 @@
 
 
 def test_hollow_clients_ping_no_more_often_than_a_placer_allows() -> None:
-    assert Options().ping_least_ms <= KEEPALIVE_MS
+    assert Options().min_ping_interval_ms <= KEEPALIVE_MS
--- a/tests/wire/conformance.py
+++ b/tests/wire/conformance.py
@@ -28,7 +28,7 @@
     WINDOW_UPDATE,
     encode,
 )
-from sprucepost.wire.message_framing import encode as message
+from sprucepost.wire.message_framing import encode_message as message
 
 END, WHOLE, PADDED, WITH_PRIORITY = 1, 4, 8, 0x20
 START = PREFACE + encode(SETTINGS, 0, 0)
--- a/tests/wire/test_conformance.py
+++ b/tests/wire/test_conformance.py
@@ -12,7 +12,7 @@
 from sprucepost.wire.client import ClientConnection
 from sprucepost.wire.connection import Options
 from sprucepost.wire.frames import DATA, GOAWAY, HEADERS, PING, RST_STREAM, SETTINGS, encode
-from sprucepost.wire.message_framing import encode as message
+from sprucepost.wire.message_framing import encode_message as message
 from sprucepost.wire.server import Method, Server, ServerCall
 from sprucepost.wire.status import Code, RpcError
 from tests.wire import conformance as c
@@ -105,19 +105,19 @@
         if isinstance(case.want, c.Goaway):
             yield from raw.until_closed()
             acceptor.close()
-            return verdict(case, list(c.read(bytes(raw.got)[24:])), False, False), call.over, b""
+            return verdict(case, list(c.read(bytes(raw.got)[24:])), False, False), call.end_status, b""
         raw.send(encode(PING, 0, 0, MARK))
         yield from wait_for(lambda: acked(bytes(raw.got)[24:]) or raw.ended)
         got = b""
         if isinstance(case.want, c.Fine):
-            yield from wait_for(lambda: call.over is not None)
+            yield from wait_for(lambda: call.end_status is not None)
             if case.want.echoed is not None:
                 got = (yield from call.receive()) or b""
         wrong = verdict(case._replace(want=c.Fine()) if isinstance(case.want, c.Fine) else case,
                         list(c.read(bytes(raw.got)[24:])), not raw.ended, True)  # fmt: skip
         client.close()
         acceptor.close()
-        return wrong, call.over, got
+        return wrong, call.end_status, got
 
     wrong, over, got = serve(body)
     assert wrong == ""
--- a/tests/wire/test_hostile.py
+++ b/tests/wire/test_hostile.py
@@ -29,7 +29,7 @@
     SETTINGS,
     WINDOW_UPDATE,
 )
-from sprucepost.wire.message_framing import encode
+from sprucepost.wire.message_framing import encode_message
 from sprucepost.wire.server import Method, Server, ServerCall
 from sprucepost.wire.status import Code, RpcError
 from tests.wire.support import peer, serve, wait_for
@@ -168,8 +168,8 @@
         call.send(b"first")
         first = yield from call.receive()
         call.start_sending()
-        call._out.append(b"\x01" + len(packed).to_bytes(4, "big") + packed)
-        client.dirty(call)
+        call._unsent.append(b"\x01" + len(packed).to_bytes(4, "big") + packed)
+        client.schedule_send(call)
         other = client.call("/t.T/Echo")
         try:
             yield from call.result()
@@ -186,8 +186,8 @@
         results = []
         for data in (b"\x07\0\0\0\1x", b"\x01\0\0\0\1x", b"\0\xff\xff\xff\xff"):
             call = client.call("/t.T/Echo")
-            call._out.append(data)
-            client.dirty(call)
+            call._unsent.append(data)
+            client.schedule_send(call)
             try:
                 yield from call.result()
             except RpcError as error:
@@ -203,7 +203,7 @@
     def source(call: ServerCall) -> Co[None]:
         while True:
             yield from call.send_wait(bytes(10_000))
-            most[0] = max(most[0], call.out_bytes)
+            most[0] = max(most[0], call.unsent_bytes)
 
     most = [0]
 
@@ -214,7 +214,7 @@
         yield from wait_for(lambda: server.counters["stalled"])
         return most[0], server.counters["stalled"]
 
-    held, stalled = serve(body, {"/t.T/Echo": Method(source)}, Options(stall_ms=200.0))
+    held, stalled = serve(body, {"/t.T/Echo": Method(source)}, Options(stall_timeout_ms=200.0))
     assert stalled == 1 and held < 300_000
 
 
@@ -223,14 +223,14 @@
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         bad = yield from peer(loop, address)
-        bad.send(zero + frame(DATA, 0, 1, encode(b"hello")))
+        bad.send(zero + frame(DATA, 0, 1, encode_message(b"hello")))
         yield from wait_for(lambda: server.counters["stalled"])
         good = yield from open_client(loop, address)
         call = good.call("/t.T/Echo")
         call.send(b"on")
         return (yield from call.receive())
 
-    assert serve(body, options=Options(stall_ms=200.0)) == b"on"
+    assert serve(body, options=Options(stall_timeout_ms=200.0)) == b"on"
 
 
 def test_mute_connections_are_closed_and_their_number_is_bounded() -> None:
@@ -246,7 +246,7 @@
         call.send(b"on")
         return (yield from call.receive()), server.counters["connections"], server.counters["mute"]
 
-    message, refused, mute = serve(body, options=Options(connections=40, first_ms=300.0))
+    message, refused, mute = serve(body, options=Options(max_connections=40, handshake_timeout_ms=300.0))
     assert (message, refused, mute) == (b"on", 20, 40)
 
 
@@ -261,7 +261,7 @@
             idle = yield from peer(loop, address)
             idle.send(OPEN)
             peers.append(idle)
-        yield from wait_for(lambda: sum(c.heard for c in server.connections) == count)
+        yield from wait_for(lambda: sum(c.received_valid for c in server.connections) == count)
         good = yield from open_client(loop, address)
         call = good.call("/t.T/Echo")
         began, turns = loop.now(), loop.turns
--- a/tests/wire/test_http1.py
+++ b/tests/wire/test_http1.py
@@ -8,7 +8,7 @@
 
 from sprucepost.loop import Address, Co
 from sprucepost.loop.epoll import EpollLoop
-from sprucepost.wire.http1 import Http1
+from sprucepost.wire.http1 import Http1Server
 from sprucepost.wire.server import Server
 from tests.wire.support import peer, serve, wait_for
 
@@ -29,12 +29,12 @@
 )
 def test_one_request(request_bytes: bytes, first: bytes, body: bytes) -> None:
     def run(loop: EpollLoop, server: Server, address: Address) -> Co[bytes]:
-        http = Http1(loop, ("127.0.0.1", 0), PAGES)
+        http = Http1Server(loop, ("127.0.0.1", 0), PAGES)
         caller = yield from peer(loop, http.address)
         caller.send(request_bytes)
         got = yield from caller.until_closed()
         caller.transport.close()
-        yield from wait_for(lambda: not http._open)
+        yield from wait_for(lambda: not http._connections)
         http.close()
         return got
 
--- a/tests/wire/test_session.py
+++ b/tests/wire/test_session.py
@@ -18,39 +18,39 @@
     sent = 0
 
     def resume() -> None:
-        wire[:] = sender.again(receiver.seen)
+        wire[:] = sender.resume(receiver.last_received)
 
     for step in [*steps, "break", *["deliver"] * 200]:
         if step == "send":
             sent += 1
-            wire.append((sender.number(sent), sent))
+            wire.append((sender.assign_seq(sent), sent))
         elif step == "deliver" and wire:
             seq, frame = wire.pop(0)
-            if receiver.take(seq):
+            if receiver.accept(seq):
                 got.append(frame)
         elif step == "ack":
-            sender.take_ack(receiver.ack())
+            sender.receive_ack(receiver.ack())
         elif step == "lose":  # the stream breaks with everything on it; some of it twice
             kept = wire[:1]
             resume()
-            wire[:0] = [pair for pair in kept if pair[0] <= receiver.seen]
+            wire[:0] = [pair for pair in kept if pair[0] <= receiver.last_received]
         elif step == "break":
             resume()
     assert got == list(range(1, sent + 1))
-    sender.take_ack(receiver.ack())
-    assert sender.unacknowledged == 0 and not receiver.owes_ack
+    sender.receive_ack(receiver.ack())
+    assert sender.unacknowledged == 0 and not receiver.ack_due
 
 
 def test_broken_numbering_is_noticed() -> None:
-    session: Session[str] = Session(most=2)
+    session: Session[str] = Session(max_unacknowledged=2)
     with pytest.raises(SessionBroken, match="frame 2 after 0"):
-        session.take(2)
+        session.accept(2)
     with pytest.raises(SessionBroken, match="acknowledges frame 1"):
-        session.take_ack(1)
-    session.number("a")
-    session.number("b")
+        session.receive_ack(1)
+    session.assign_seq("a")
+    session.assign_seq("b")
     with pytest.raises(SessionBroken, match="2 frames without"):
-        session.number("c")
-    session.take_ack(2)
+        session.assign_seq("c")
+    session.receive_ack(2)
     with pytest.raises(SessionBroken, match="saw 1, but has acknowledged 2"):
-        session.again(1)
+        session.resume(1)
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -14,10 +14,10 @@
 from sprucepost.wire.client import open_client
 from sprucepost.wire.connection import Options
 from sprucepost.wire.frames import PREFACE
-from sprucepost.wire.http2 import Broken, Http2
-from sprucepost.wire.message_framing import Decoder, encode
+from sprucepost.wire.http2 import Http2Endpoint, Http2Error
+from sprucepost.wire.message_framing import MessageDecoder, encode_message
 from sprucepost.wire.metadata import Headers, decode_metadata, encode_metadata, format_timeout, parse_timeout
-from sprucepost.wire.rate_limits import Budget
+from sprucepost.wire.rate_limits import FrameBudget
 from sprucepost.wire.server import Method, Server, ServerCall
 from sprucepost.wire.status import Code, RpcError, percent_decode, percent_encode
 from tests.wire.support import echo, serve, wait_for
@@ -55,8 +55,8 @@
         yield from wait_for(lambda: server._tasks)
         client.abort("planted")
         yield from wait_for(lambda: ended)
-        assert call.over is not None
-        return call.over.code
+        assert call.end_status is not None
+        return call.end_status.code
 
     assert serve(body, {"/t.T/Slow": Method(handler)}) is Code.UNAVAILABLE
 
@@ -73,7 +73,7 @@
         call.end()
         call.send(b"b")
         yield from sleep(30)
-        assert call.over is None and not client.closed
+        assert call.end_status is None and not client.closed
         return (yield from client.unary("/t.T/Echo", b"whole"))
 
     held: list[ServerCall] = []
@@ -83,12 +83,12 @@
 
 def test_messages_that_wait_for_the_peer_s_window_do_not_make_a_later_ping_stale() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
-        client = yield from open_client(loop, address, options=Options(stale_ms=100.0))
+        client = yield from open_client(loop, address, options=Options(max_send_delay_ms=100.0))
         call = client.call("/t.T/Hold")
         for _ in range(6):
             call.send(bytes(200_000))  # the server keeps some and opens no more window
         yield from sleep(50)
-        assert call.behind
+        assert call.send_blocked
         call.send(b"waits")  # nothing of it can go out
         yield from sleep(250)
         client.http2.ping(b"12345678")
@@ -137,7 +137,7 @@
 
 def test_a_dead_peer_is_noticed_by_keepalive() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[str]:
-        client = yield from open_client(loop, address, options=Options(keepalive_ms=100, keepalive_wait_ms=100))
+        client = yield from open_client(loop, address, options=Options(keepalive_ms=100, keepalive_timeout_ms=100))
         call = client.call("/t.T/Echo")
         for connection in server.connections:
             connection.transport.pause()  # the peer hangs: the socket stays open, nothing is answered
@@ -162,7 +162,7 @@
         fast.send(b"quick")
         message = yield from fast.receive()
         yield from sleep(50)
-        return message, slow.out_bytes > 9_000_000
+        return message, slow.unsent_bytes > 9_000_000
 
     assert serve(body, {"/t.T/Lazy": Method(lazy), "/t.T/Echo": Method(attach=_echo)}) == (b"quick", True)
 
@@ -172,13 +172,13 @@
 
 
 def test_data_beyond_a_window_is_noticed() -> None:
-    server, client = Http2(Nothing(), client=False, now=0.0), Http2(Nothing(), client=True, now=0.0)
-    stream = client.open([(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/"), (b":authority", b"x")])
+    server, client = Http2Endpoint(Nothing(), client=False, now=0.0), Http2Endpoint(Nothing(), client=True, now=0.0)
+    stream = client.open_stream([(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/"), (b":authority", b"x")])
     server.receive(client.outgoing(), 0.0)
     frame = (16384).to_bytes(3, "big") + b"\0\0" + stream.to_bytes(4, "big") + bytes(16384)
     for _ in range(16):
         server.receive(frame, 0.0)
-    with pytest.raises(Broken) as broken:
+    with pytest.raises(Http2Error) as broken:
         server.receive(frame, 0.0)
     assert broken.value.name == "window" and broken.value.code == 3
 
@@ -205,13 +205,13 @@
     st.lists(st.tuples(st.integers(0, 12), st.integers(0, 255), st.integers(0, 9), st.binary(max_size=60)), max_size=30)
 )
 def test_any_frames_end_in_broken_or_in_nothing(frames: list[tuple[int, int, int, bytes]]) -> None:
-    core = Http2(Nothing(), client=False, now=0.0)
+    core = Http2Endpoint(Nothing(), client=False, now=0.0)
     try:
         core.receive(PREFACE, 0.0)
         for kind, flags, stream, payload in frames:
             head = len(payload).to_bytes(3, "big") + bytes([kind, flags]) + stream.to_bytes(4, "big")
             core.receive(head + payload, 0.0)
-    except Broken as broken:
+    except Http2Error as broken:
         assert broken.name
     assert len(core.outgoing()) < 10_000
 
@@ -219,25 +219,25 @@
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=400), st.booleans())
 def test_any_bytes_end_in_broken_or_in_nothing(data: bytes, client: bool) -> None:
-    core = Http2(Nothing(), client=client, now=0.0)
+    core = Http2Endpoint(Nothing(), client=client, now=0.0)
     try:
         core.receive(data, 0.0)
-    except Broken as broken:
+    except Http2Error as broken:
         assert broken.name
 
 
 @given(st.lists(st.binary(max_size=300), max_size=8), st.booleans(), st.integers(1, 50))
 def test_messages_survive_any_cut(messages: list[bytes], gzip: bool, cut: int) -> None:
-    stream = b"".join(encode(message, gzip) for message in messages)
-    decoder, got = Decoder(1000, gzip), []
+    stream = b"".join(encode_message(message, gzip) for message in messages)
+    decoder, got = MessageDecoder(1000, gzip), []
     for at in range(0, len(stream), cut):
         got += decoder.feed(stream[at : at + cut])
-    assert got == messages and decoder.held == 0
+    assert got == messages and decoder.buffered_bytes == 0
 
 
 @given(st.binary(max_size=200))
 def test_the_decoder_never_raises_anything_else(data: bytes) -> None:
-    decoder = Decoder(100, True)
+    decoder = MessageDecoder(100, True)
     try:
         for message in decoder.feed(data):
             assert len(message) <= 100
@@ -273,9 +273,9 @@
 
 
 def test_a_budget_bounds_floods_and_lets_honest_peers_be() -> None:
-    budget = Budget(0.0)
+    budget = FrameBudget(0.0)
     assert sum(budget.spend(0.0) for _ in range(5000)) == 1000
-    budget = Budget(0.0)
+    budget = FrameBudget(0.0)
     for _ in range(100_000):
-        budget.work()
+        budget.earn()
         assert budget.spend(0.0)
