--- a/tests/node/faulty_system.py
+++ b/tests/node/faulty_system.py
@@ -1,4 +1,4 @@
-"""The node as a process whose system calls fail as their manual pages say: ``python -m tests.node.faulty_system FAULTS``.
+"""Runs a placer whose system calls fail with documented errors: ``python -m tests.node.faulty_system FAULTS``.
 
 ``FAULTS`` is the JSON form of :class:`Faults`. The errors are raised where Python's own wrappers of the calls raise them.
 """
@@ -19,7 +19,7 @@
 
 from tests.node.planted_defects import DEFECTS
 
-PASSING: dict[str, tuple[str, ...]] = {
+TRANSIENT_ERRNOS: dict[str, tuple[str, ...]] = {
     "socket": ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"),
     "accept": (
         "EAGAIN", "ECONNABORTED", "EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTO", "EPERM", "ENETDOWN",
@@ -38,133 +38,139 @@
     "pipe": ("EMFILE", "ENFILE"),
     "open": ("EINTR", "EIO", "EMFILE", "ENFILE", "ENOMEM"),
 }  # fmt: skip
-"""Errors that say nothing of a peer, by call: who waits for an answer gets it all the same."""
+"""Transient errors by call, none of which concerns a peer: every request is answered despite them."""
 
-BREAKING: dict[str, tuple[str, ...]] = {
+CONNECTION_ERRNOS: dict[str, tuple[str, ...]] = {
     "connect": ("ECONNREFUSED", "EHOSTUNREACH", "ETIMEDOUT"),
     "recv": ("ECONNRESET", "EHOSTUNREACH", "ENETUNREACH", "ETIMEDOUT"),
     "send": ("ECONNRESET", "EHOSTUNREACH", "ENETUNREACH", "EPIPE", "ETIMEDOUT"),
 }
-"""Errors of one connection that is over, or of a host that cannot be reached."""
+"""Errors by call that end one connection, or say that a host cannot be reached."""
 
 
 @dataclass
 class Faults:
-    """``errnos``: which errors a call fails with, by call; ``share`` of all calls fail. ``first``: so many of a call's first
-    ones fail, whatever the share. ``apart_s``: the least time between two failures. ``short``: the share of reads and writes
-    that move only a part, down to one byte. ``steps``: by how many seconds the wall clock is off, from so many seconds after
-    the start on. ``defect``: one of :data:`tests.node.planted_defects.DEFECTS`."""
+    """The faults of one run.
+
+    ``errnos``: names of the errors that a call may fail with, by call. ``failure_rate``: the share of these calls that fail.
+    ``initial_failures``: how many of the first calls of each kind fail, whatever the rate. ``min_interval_s``: the least
+    time between two failures, in s. ``partial_io_rate``: the share of reads and writes that move only a part, down to one
+    byte. ``clock_steps``: pairs of a time after the start and the wall clock's offset from then on, both in s. ``defect``:
+    one of :data:`tests.node.planted_defects.DEFECTS`, or empty.
+    """
 
     seed: int
     errnos: dict[str, list[str]] = field(default_factory=dict)
-    share: float = 0.0
-    first: int = 0
-    apart_s: float = 0.0
-    short: float = 0.0
-    steps: list[tuple[float, float]] = field(default_factory=list)
+    failure_rate: float = 0.0
+    initial_failures: int = 0
+    min_interval_s: float = 0.0
+    partial_io_rate: float = 0.0
+    clock_steps: list[tuple[float, float]] = field(default_factory=list)
     defect: str = ""
 
-    def text(self) -> str:
-        """The form for the command line."""
+    def to_json(self) -> str:
+        """Return the JSON form for the command line."""
         return json.dumps(asdict(self))
 
 
-class System:
-    """Decides which calls fail."""
+class FaultySystem:
+    """Decides which system calls fail."""
 
     def __init__(self, faults: Faults) -> None:
         self._faults, self._rng = faults, random.Random(faults.seed)
-        self._made: dict[str, int] = {}
-        self._failed_at = 0.0
-
-    def call(self, name: str) -> None:
-        """Raise what this call is to fail with."""
-        made = self._made[name] = self._made.get(name, 0) + 1
-        names = self._faults.errnos.get(name)
-        if not names or time.monotonic() - self._failed_at < self._faults.apart_s:
+        self._call_counts: dict[str, int] = {}
+        self._last_failure_s = 0.0
+
+    def enter_call(self, name: str) -> None:
+        """Count a call, and raise an error if it is to fail."""
+        call_count = self._call_counts[name] = self._call_counts.get(name, 0) + 1
+        errno_names = self._faults.errnos.get(name)
+        if not errno_names or time.monotonic() - self._last_failure_s < self._faults.min_interval_s:
             return
-        if made <= self._faults.first or self._rng.random() < self._faults.share:
-            self._failed_at = time.monotonic()
-            code = getattr(errno, self._rng.choice(names))
+        if call_count <= self._faults.initial_failures or self._rng.random() < self._faults.failure_rate:
+            self._last_failure_s = time.monotonic()
+            code = getattr(errno, self._rng.choice(errno_names))
             raise OSError(code, os.strerror(code))
 
-    def part(self, size: int) -> int:
-        """How many of so many bytes are moved."""
-        return self._rng.randint(1, size) if size > 1 and self._rng.random() < self._faults.short else size
+    def partial_size(self, size: int) -> int:
+        """Return how many of ``size`` bytes a read or write moves."""
+        return self._rng.randint(1, size) if size > 1 and self._rng.random() < self._faults.partial_io_rate else size
 
 
-def socket_class(system: System) -> type[socket.socket]:
-    """A socket whose calls may fail."""
+def socket_class(system: FaultySystem) -> type[socket.socket]:
+    """Return a socket class whose calls may fail."""
 
     class FaultySocket(socket.socket):
-        def __init__(self, *args: Any, **named: Any) -> None:
-            if "fileno" not in named:
-                system.call("socket")
-            super().__init__(*args, **named)
+        def __init__(self, *args: Any, **kwargs: Any) -> None:
+            if "fileno" not in kwargs:
+                system.enter_call("socket")
+            super().__init__(*args, **kwargs)
 
         def accept(self) -> tuple[socket.socket, Any]:
-            system.call("accept")
-            return super().accept()  # what it makes is of the class that :mod:`socket` holds by then
+            system.enter_call("accept")
+            return (
+                super().accept()
+            )  # it makes an instance of the class that :mod:`socket` then holds, which is this one
 
         def connect(self, address: Any) -> None:
-            system.call("connect")
+            system.enter_call("connect")
             super().connect(address)
 
         def recv(self, size: int, *rest: Any) -> bytes:
-            system.call("recv")
-            return super().recv(system.part(size), *rest)
+            system.enter_call("recv")
+            return super().recv(system.partial_size(size), *rest)
 
         def send(self, data: Any, *rest: Any) -> int:
-            system.call("send")
-            return super().send(memoryview(data)[: system.part(len(data))], *rest)
+            system.enter_call("send")
+            return super().send(memoryview(data)[: system.partial_size(len(data))], *rest)
 
         def setsockopt(self, *args: Any) -> None:
-            system.call("setsockopt")
+            system.enter_call("setsockopt")
             super().setsockopt(*args)
 
         def getsockopt(self, *args: Any) -> Any:
-            system.call("getsockopt")
+            system.enter_call("getsockopt")
             return super().getsockopt(*args)
 
         def shutdown(self, how: int) -> None:
-            system.call("shutdown")
+            system.enter_call("shutdown")
             super().shutdown(how)
 
         def close(self) -> None:
             open_before = self.fileno() >= 0
-            super().close()  # Linux gives the descriptor back whatever close(2) returns
+            super().close()  # Linux releases the descriptor whatever close(2) returns
             if open_before:
-                system.call("close")
+                system.enter_call("close")
 
     return FaultySocket
 
 
-def epoll_class(system: System) -> Any:
-    """What waits on sockets, with calls that may fail; :mod:`select` takes an interrupted wait up again by itself."""
-    real = select.epoll
+def epoll_class(system: FaultySystem) -> Any:
+    """Return an epoll class whose calls may fail; an interrupted wait returns at once, since :mod:`select` retries it."""
+    real_epoll = select.epoll
 
     class FaultyEpoll:
         def __init__(self) -> None:
-            system.call("epoll_create")
-            self._epoll = real()
+            system.enter_call("epoll_create")
+            self._epoll = real_epoll()
 
         def register(self, fd: int, mask: int) -> None:
-            system.call("epoll_ctl")
+            system.enter_call("epoll_ctl")
             self._epoll.register(fd, mask)
 
         def modify(self, fd: int, mask: int) -> None:
-            system.call("epoll_ctl")
+            system.enter_call("epoll_ctl")
             self._epoll.modify(fd, mask)
 
         def unregister(self, fd: int) -> None:
             self._epoll.unregister(fd)
 
-        def poll(self, wait: float, most: int) -> list[tuple[int, int]]:
+        def poll(self, timeout_s: float, max_events: int) -> list[tuple[int, int]]:
             try:
-                system.call("epoll_wait")
+                system.enter_call("epoll_wait")
             except InterruptedError:
-                return self._epoll.poll(0.0, most)
-            return self._epoll.poll(wait, most)
+                return self._epoll.poll(0.0, max_events)
+            return self._epoll.poll(timeout_s, max_events)
 
         def close(self) -> None:
             self._epoll.close()
@@ -172,40 +178,40 @@
     return FaultyEpoll
 
 
-def step_wall_clock(steps: list[tuple[float, float]]) -> None:
-    """The wall clock is off by the last of these steps that is due."""
-    real, began = time.time, time.monotonic()
+def step_wall_clock(clock_steps: list[tuple[float, float]]) -> None:
+    """Offset the wall clock by the latest of these steps that is due."""
+    real_time, started_s = time.time, time.monotonic()
 
-    def stepped() -> float:
-        passed = time.monotonic() - began
-        off = [by for after, by in steps if passed >= after]
-        return real() + (off[-1] if off else 0.0)
+    def stepped_time() -> float:
+        elapsed_s = time.monotonic() - started_s
+        due_offsets_s = [offset_s for after_s, offset_s in clock_steps if elapsed_s >= after_s]
+        return real_time() + (due_offsets_s[-1] if due_offsets_s else 0.0)
 
-    time.time = stepped
+    time.time = stepped_time
 
 
 def install(faults: Faults) -> None:
-    """From now on this process's system calls fail so."""
-    system = System(faults)
-    real_pipe, real_open = os.pipe2, io.open
+    """Make this process's system calls fail from now on."""
+    system = FaultySystem(faults)
+    real_pipe2, real_open = os.pipe2, io.open
 
-    def pipe2(flags: int) -> tuple[int, int]:
-        system.call("pipe")
-        return real_pipe(flags)
+    def faulty_pipe2(flags: int) -> tuple[int, int]:
+        system.enter_call("pipe")
+        return real_pipe2(flags)
 
-    def opened(*args: Any, **named: Any) -> Any:
-        system.call("open")
-        return real_open(*args, **named)
+    def faulty_open(*args: Any, **kwargs: Any) -> Any:
+        system.enter_call("open")
+        return real_open(*args, **kwargs)
 
     socket.socket = socket_class(system)  # type: ignore[misc]
     select.epoll = epoll_class(system)  # type: ignore[misc]
-    os.pipe2, io.open = pipe2, opened
-    if faults.steps:
-        step_wall_clock(faults.steps)
+    os.pipe2, io.open = faulty_pipe2, faulty_open
+    if faults.clock_steps:
+        step_wall_clock(faults.clock_steps)
 
 
 def main() -> int:
-    """Run a placer so."""
+    """Run a placer with the faults that the first argument holds; return its exit status."""
     from sprucepost.node import service
 
     faults = Faults(**json.loads(sys.argv[1]))
--- a/tests/node/test_soak.py
+++ b/tests/node/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak, and defects that it must find; :mod:`tests.node.soak` plays more by hand."""
+"""Short soak runs without and with planted defects; :mod:`tests.node.soak` can be run by hand for longer."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-SECONDS = 6
-AT_ONCE = 4  # soaks side by side: each uses a fifth of a core and waits for most of its time
-SEEDS_EACH = 2  # for a defect: load and answers depend on timing, so that one seed may pass it by
-FOUND_BY = {  # the first of them
+DURATION_S = 6
+PARALLEL_RUNS = 4  # each uses a fifth of a core and waits for most of its time
+SEEDS_PER_DEFECT = 2  # load and answers depend on timing, so one seed may miss a defect
+FIRST_SEED_BY_DEFECT = {  # the first of the seeds run for each planted defect
     "a release forgotten": 1,
     "an answer twice": 2,
     "a cancelled task goes on": 3,
@@ -21,25 +21,25 @@
 }
 
 
-def soak(seed: int, defect: str = "") -> tuple[int, str]:
-    """The exit status, 1 where somebody was not given what was owed, and what was printed."""
-    seeds = SEEDS_EACH if defect else 1
-    done = subprocess.run(
-        [sys.executable, "-m", "tests.node.soak", str(seed), str(seed + seeds), str(SECONDS), defect],
+def run_soak(seed: int, defect: str = "") -> tuple[int, str]:
+    """Run one soak as a process; return its exit status, which is 1 on any violation, and its output."""
+    seed_count = SEEDS_PER_DEFECT if defect else 1
+    completed = subprocess.run(
+        [sys.executable, "-m", "tests.node.soak", str(seed), str(seed + seed_count), str(DURATION_S), defect],
         cwd=ROOT, capture_output=True, text=True, check=False, timeout=120,
     )  # fmt: skip
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-# Guards against whatever several faults at once do: system calls, clock, hosts, list, signals and owners.
-def test_under_drawn_faults_everybody_gets_what_is_owed() -> None:
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        for status, text in pool.map(soak, (1, 2, 3, 4)):
+# Guards against failures under combined faults of system calls, clock, hosts, bulletin, signals and owners.
+def test_owners_and_hosts_get_everything_due_under_random_faults() -> None:
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
+        for status, text in pool.map(run_soak, (1, 2, 3, 4)):
             assert status == 0, text
 
 
-# Guards against a soak that sees nothing.
+# Guards against a soak that detects nothing.
 def test_planted_defects_are_found() -> None:
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        for status, text in pool.map(soak, FOUND_BY.values(), FOUND_BY):
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
+        for status, text in pool.map(run_soak, FIRST_SEED_BY_DEFECT.values(), FIRST_SEED_BY_DEFECT):
             assert status == 1 and "\nbad " in text, text
