--- a/tests/node/test_clients_that_left.py
+++ b/tests/node/test_clients_that_left.py
@@ -1,6 +1,6 @@
-"""Clients that left: no attempt is sent more than 50 ms after the client's bytes lay in our kernel, half of the 100 allowed.
+"""Clients that leave: no attempt is sent later than 50 ms after the kernel received the client's bytes; 100 ms are allowed.
 
-Time is stepped (:mod:`tests.node.stepped_loop`): a decision or a read takes as long as a test says, on any machine.
+Time is simulated (:mod:`tests.node.stepped_loop`): a decision or a read takes as long as the test says, on any machine.
 """
 
 from __future__ import annotations
@@ -25,77 +25,87 @@
 from sprucepost.node.jsonl import MessageType
 from tests.node.platform import Host, Link, Platform, run_on_platform, setup, wait_for_message
 from tests.node.stepped_loop import SteppedLoop, wait_for_buffered_bytes, wait_until_readable
-from tests.node.test_crossings import OTHER, SIDS, Raw, deciding, opened, patient, release, warm
+from tests.node.test_crossings import (
+    OTHER_SERVICE_FIGURES,
+    SIDS,
+    RawOwner,
+    after_each_decision,
+    offered_sids,
+    patient,
+    release,
+    warm,
+)
 from tests.wire.support import wait_for
 
-ALLOWED_MS = 50.0  # between the client's bytes in our kernel and an attempt's bytes
-BUSY_MS = 60.0  # what the placer does meanwhile takes: more than is allowed, and a batch on a third of a core
-LEAVING, STAYING = SIDS[1], SIDS[2]
-WAYS = ["close", "half-close", "reset", "give-up", "give-up on another connection", "give-up on a new connection"]
+MAX_DELAY_MS = 50.0  # from the client's bytes in the placer's kernel to an attempt's bytes
+BUSY_MS = 60.0  # how long the placer is busy meanwhile: over the limit, and as long as a batch on a third of a core
+LEAVING_SID, STAYING_SID = SIDS[1], SIDS[2]
+WAYS_TO_LEAVE = ["close", "half-close", "reset", "cancel", "cancel on another connection", "cancel on a new connection"]
 
 
-class Attempts:
-    """When each attempt's last byte was sent."""
+class AttemptRecorder:
+    """Records when the last byte of each attempt was sent."""
 
     def __init__(self, loop: SteppedLoop, monkeypatch: pytest.MonkeyPatch) -> None:
         self.sent: list[tuple[str, float]] = []
-        real = EpollSock.send
+        original = EpollSock.send
 
         def send(sock: EpollSock, data: bytes | memoryview) -> int:
-            took = real(sock, data)
-            for line in bytes(data[:took]).split(b"\n")[:-1]:
+            written = original(sock, data)
+            for line in bytes(data[:written]).split(b"\n")[:-1]:
                 if line.startswith(b'{"msg":"open"'):
                     [found] = jsonl.Decoder().feed(line + b"\n")
                     self.sent.append((found.sid, loop.time))
-            return took
+            return written
 
         monkeypatch.setattr(EpollSock, "send", send)
 
     def times(self, sid: str) -> list[float]:
+        """Return when each attempt of that task was sent, in ms."""
         return [at for name, at in self.sent if name == sid]
 
     def late(self, sid: str, left_at: float) -> list[float]:
-        """How long after the client had left, where that was too long."""
-        return [at - left_at for at in self.times(sid) if at > left_at + ALLOWED_MS]
+        """Return the delays, in ms, of attempts that were sent too late after the client had left."""
+        return [at - left_at for at in self.times(sid) if at > left_at + MAX_DELAY_MS]
 
 
 class Client:
-    """A client with two connections that have been read, and how it leaves."""
+    """A client with two connections, and the way in which it leaves."""
 
-    def __init__(self, platform: Platform, loop: SteppedLoop, way: str) -> None:
-        self.platform, self.loop, self.way = platform, loop, way
-        self.own, self.other = Raw(platform), Raw(platform)
+    def __init__(self, platform: Platform, loop: SteppedLoop, how: str) -> None:
+        self.platform, self.loop, self.how = platform, loop, how
+        self.own, self.other = RawOwner(platform), RawOwner(platform)
         self.new: socket.socket | None = None
         self.left_at: float | None = None
 
-    def known(self) -> Co[None]:
-        """Both connections have been taken and read."""
+    def connect_and_place(self) -> Co[None]:
+        """Place a task on each connection, so that the placer has accepted and read both."""
         for raw, sid in ((self.own, SIDS[390]), (self.other, SIDS[391])):
-            raw.send(setup(sid, FIGURES=OTHER))
-            assert (yield from raw.message()).kind == Kind.ANSWER
+            raw.send(setup(sid, FIGURES=OTHER_SERVICE_FIGURES))
+            assert (yield from raw.next_message()).kind == Kind.ANSWER
 
-    def ask(self, sid: str = LEAVING) -> None:
+    def send_set_up(self, sid: str = LEAVING_SID) -> None:
         self.own.send(setup(sid))
 
     def leave(self) -> None:
-        """Leave; it lies in the placer's kernel when this returns. What the placer does next takes ``BUSY_MS``."""
+        """Leave; the placer's kernel has received it when this returns, and the placer is then busy for ``BUSY_MS``."""
         owners = self.platform.service.owners
-        fd = self.own.taken(self.platform).transport._sock.fd  # type: ignore[attr-defined]
-        if self.way == "close":
+        fd = self.own.placer_link(self.platform).transport._sock.fd  # type: ignore[attr-defined]
+        if self.how == "close":
             self.own.close()
-        elif self.way == "half-close":
+        elif self.how == "half-close":
             self.own.half_close()
-        elif self.way == "reset":
+        elif self.how == "reset":
             self.own.reset()
-        elif self.way == "give-up":
-            self.own.send(release(LEAVING))
-        elif self.way == "give-up on another connection":
-            fd = self.other.taken(self.platform).transport._sock.fd  # type: ignore[attr-defined]
-            self.other.send(release(LEAVING))
+        elif self.how == "cancel":
+            self.own.send(release(LEAVING_SID))
+        elif self.how == "cancel on another connection":
+            fd = self.other.placer_link(self.platform).transport._sock.fd  # type: ignore[attr-defined]
+            self.other.send(release(LEAVING_SID))
         else:
             fd = owners._acceptor._listener.fd  # type: ignore[attr-defined]
             self.new = socket.create_connection(self.platform.service.config.listen)
-            self.new.send(release(LEAVING))
+            self.new.send(release(LEAVING_SID))
         wait_until_readable(fd)
         self.left_at = self.loop.time
         self.loop.time += BUSY_MS
@@ -106,8 +116,8 @@
                 sock.close()
 
 
-def at_its_offer(platform: Platform, sid: str, number: int, call: Callable[[], None]) -> None:
-    """Call it once the module has decided on the task's ``number``-th attempt, before that is carried out."""
+def call_at_offer(platform: Platform, sid: str, number: int, call: Callable[[], None]) -> None:
+    """Call ``call`` once the scheduler has decided on the task's ``number``-th attempt, before that is sent."""
     seen: list[i.Offer] = []
 
     def act(events: list[i.Event], actions: list[i.Action]) -> None:
@@ -122,235 +132,243 @@
             call()
         seen.extend(mine)
 
-    deciding(platform, act)
+    after_each_decision(platform, act)
 
 
-# Where the request waits when its client leaves; each returns once that has happened
+# States in which the request waits when its client leaves; each function returns once the client has left
 
 
 def first_attempt(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
-    at_its_offer(platform, LEAVING, 1, client.leave)
-    client.ask()
+    call_at_offer(platform, LEAVING_SID, 1, client.leave)
+    client.send_set_up()
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def in_the_queue(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
-    """Behind others, one a batch, each of which costs as much."""
+def queued(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+    """The request is queued behind others, one of which is handled in each batch."""
     monkeypatch.setattr(tasks, "MAX_NEW_TASKS_PER_BATCH", 1)
-    at_its_offer(platform, LEAVING, 1, client.leave)
-    client.other.send(b"".join(setup(sid, FIGURES=OTHER) for sid in SIDS[300:304]))
-    client.ask()
+    call_at_offer(platform, LEAVING_SID, 1, client.leave)
+    client.other.send(b"".join(setup(sid, FIGURES=OTHER_SERVICE_FIGURES) for sid in SIDS[300:304]))
+    client.send_set_up()
     yield from wait_for(lambda: client.left_at is not None)
 
 
 def next_attempt(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
-    """The first one has been refused."""
+    """The first attempt has been refused."""
     host.on_open = lambda link, line: link.send(MessageType.CLOSE, line.sid, code=102)
-    at_its_offer(platform, LEAVING, 2, client.leave)
-    client.ask()
+    call_at_offer(platform, LEAVING_SID, 2, client.leave)
+    client.send_set_up()
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def refused_in_one_wake_up(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
-    """The host's refusal is read first, the client's end lies right behind it."""
+def refused_in_one_turn(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+    """The host's refusal is read first, and the client's leaving in the same turn."""
 
     def refuse(link: Link, line: jsonl.Line) -> None:
         if client.left_at is not None:
             return
         link.send(MessageType.CLOSE, line.sid, code=102)
         link.transport.flush()
-        [ours] = [mine for mine in platform.service.hosts.hosts["s-1"].links if LEAVING in mine.open]
-        wait_until_readable(ours.transport._sock.fd)  # type: ignore[attr-defined]
+        [our_link] = [
+            candidate for candidate in platform.service.hosts.hosts["s-1"].links if LEAVING_SID in candidate.open
+        ]
+        wait_until_readable(our_link.transport._sock.fd)  # type: ignore[attr-defined]
         client.leave()
 
     host.on_open = refuse
-    client.ask()
+    client.send_set_up()
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def at_an_answer(platform: Platform, sid: str, call: Callable[[], None]) -> None:
-    """Call it once a host has answered that task, before what waits for its connection is looked at."""
-    real = platform.service.tasks.handle_answer
+def call_after_answer(platform: Platform, sid: str, call: Callable[[], None]) -> None:
+    """Call ``call`` once a host has answered that task, before requests that wait for its connection are served."""
+    original = platform.service.tasks.handle_answer
 
     def answered(attempt: Attempt, line: jsonl.Line) -> None:
-        real(attempt, line)
+        original(attempt, line)
         if attempt.sid == sid:
             call()
 
     platform.service.tasks.handle_answer = answered  # type: ignore[method-assign]
 
 
-def for_a_connection(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
-    """There may be no more to its host, and on none of them can be written: half a line has come there."""
+def waiting_for_connection(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+    """The host has its maximum of connections, and none can be used: on each, half an answer has arrived."""
     platform.service.hosts._descriptors.guaranteed_share = 2
-    busy, halves = SIDS[310:312], list[tuple[Link, bytes]]()
+    busy, half_answers = SIDS[310:312], list[tuple[Link, bytes]]()
 
-    def half(link: Link, line: jsonl.Line) -> None:
+    def send_half_answer(link: Link, line: jsonl.Line) -> None:
         whole = jsonl.encode(MessageType.READY, line.sid, None, None, jsonl.quoted("x"))
         link.transport.write(whole[:9])
-        halves.append((link, whole[9:]))
+        half_answers.append((link, whole[9:]))
 
-    host.on_open = half
+    host.on_open = send_half_answer
     for sid in busy:
-        client.other.send(setup(sid, FIGURES=OTHER))
-    ours = platform.service.hosts.hosts["s-1"]
-    yield from wait_for(lambda: len(halves) == 2 and all(link.decoder.buffered_bytes for link in ours.links))
+        client.other.send(setup(sid, FIGURES=OTHER_SERVICE_FIGURES))
+    known_host = platform.service.hosts.hosts["s-1"]
+    yield from wait_for(
+        lambda: len(half_answers) == 2 and all(link.decoder.buffered_bytes for link in known_host.links)
+    )
     host.on_open = lambda link, line: None
-    client.ask()
-    yield from wait_for(lambda: len(ours.waiting) == 1)
-    at_an_answer(platform, busy[0], client.leave)
-    for link, rest in halves:
+    client.send_set_up()
+    yield from wait_for(lambda: len(known_host.waiting) == 1)
+    call_after_answer(platform, busy[0], client.leave)
+    for link, rest in half_answers:
         link.transport.write(rest)
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def for_a_descriptor(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
-    """The one connection to its host is taken, and there is no descriptor for another."""
+def waiting_for_descriptor(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+    """The only connection to the host is in use, and there is no descriptor for another."""
     taken: list[tuple[Link, str]] = []
     host.on_open = lambda link, line: taken.append((link, line.sid))
-    client.other.send(setup(SIDS[310], FIGURES=OTHER))
+    client.other.send(setup(SIDS[310], FIGURES=OTHER_SERVICE_FIGURES))
     yield from wait_for(lambda: taken)
     monkeypatch.setattr(platform.service.hosts, "_descriptors", Descriptors(0, lambda: 0))
-    ours = platform.service.hosts.hosts["s-1"]
-    for idle in [link for link in ours.links if not link.open]:
-        platform.service.hosts._end(ours, idle, "idle")
-    client.ask()
-    yield from wait_for(lambda: len(ours.waiting) == 1)
-    at_an_answer(platform, SIDS[310], client.leave)
+    known_host = platform.service.hosts.hosts["s-1"]
+    for idle in [link for link in known_host.links if not link.open]:
+        platform.service.hosts._end(known_host, idle, "idle")
+    client.send_set_up()
+    yield from wait_for(lambda: len(known_host.waiting) == 1)
+    call_after_answer(platform, SIDS[310], client.leave)
     [(link, sid)] = taken
     link.send(MessageType.READY, sid, text="x")
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def for_a_dial(
+def waiting_for_dial(
     platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch, dial_ms: float = 50.0
 ) -> Co[None]:
-    """There is no connection to its host; one comes up, and the client has just left."""
-    ours, real, dial = platform.service.hosts.hosts["s-1"], HostLink, connect
+    """There is no connection to the host; the client leaves just before one is established."""
+    known_host, original, dial = platform.service.hosts.hosts["s-1"], HostLink, connect
 
-    def link_made(*args: Any) -> HostLink:
-        if client.left_at is None and ours.waiting:
+    def make_link(*args: Any) -> HostLink:
+        if client.left_at is None and known_host.waiting:
             client.leave()
-        return real(*args)
+        return original(*args)
 
-    def dialled(*args: Any) -> Co[Transport]:
+    def slow_connect(*args: Any) -> Co[Transport]:
         yield from sleep(dial_ms)
         return (yield from dial(*args))
 
-    monkeypatch.setattr(hosts, "HostLink", link_made)
-    monkeypatch.setattr(hosts, "connect", dialled)
-    for link in list(ours.links):
-        platform.service.hosts._end(ours, link, "idle")
-    client.ask()
+    monkeypatch.setattr(hosts, "HostLink", make_link)
+    monkeypatch.setattr(hosts, "connect", slow_connect)
+    for link in list(known_host.links):
+        platform.service.hosts._end(known_host, link, "idle")
+    client.send_set_up()
     yield from wait_for(lambda: client.left_at is not None)
 
 
-def for_a_late_dial(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
-    """Likewise, half a second later."""
-    yield from for_a_dial(platform, host, client, monkeypatch, dial_ms=500.0)
+def waiting_for_slow_dial(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
+    """Like :func:`waiting_for_dial`, with a dial that takes half a second."""
+    yield from waiting_for_dial(platform, host, client, monkeypatch, dial_ms=500.0)
 
 
-WAITS = [
-    first_attempt, in_the_queue, next_attempt, refused_in_one_wake_up, for_a_connection, for_a_descriptor, for_a_dial,
-    for_a_late_dial,
+WAITING_STATES = [
+    first_attempt, queued, next_attempt, refused_in_one_turn, waiting_for_connection, waiting_for_descriptor,
+    waiting_for_dial, waiting_for_slow_dial,
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("waits", WAITS, ids=lambda waits: waits.__name__)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+@pytest.mark.parametrize("wait_state", WAITING_STATES, ids=lambda wait_state: wait_state.__name__)
 def test_no_attempt_is_sent_for_a_client_that_left(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, waits: Callable[..., Co[None]], way: str
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, wait_state: Callable[..., Co[None]], how: str
 ) -> None:
     loop = SteppedLoop()
-    attempts = Attempts(loop, monkeypatch)
+    attempts = AttemptRecorder(loop, monkeypatch)
 
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start(settings=patient())
         staying = yield from warm(platform, SIDS[0])
-        client = Client(platform, loop, way)
-        yield from client.known()
-        yield from waits(platform, host, client, monkeypatch)
+        client = Client(platform, loop, how)
+        yield from client.connect_and_place()
+        yield from wait_state(platform, host, client, monkeypatch)
         assert client.left_at is not None
         yield from wait_for(lambda: platform.service.counters["given_up"] == 1)
         yield from sleep(300)
-        assert not attempts.late(LEAVING, client.left_at)
+        assert not attempts.late(LEAVING_SID, client.left_at)
         assert not platform.service.hosts.hosts["s-1"].waiting
-        assert not any(LEAVING in link.open for link in platform.service.owners.links)
+        assert not any(LEAVING_SID in link.open for link in platform.service.owners.links)
         host.on_open = lambda link, line: link.send(MessageType.READY, line.sid, text="x")
-        staying.transport.write(setup(STAYING))
-        yield from wait_for_message(staying, STAYING, Kind.ANSWER)
+        staying.transport.write(setup(STAYING_SID))
+        yield from wait_for_message(staying, STAYING_SID, Kind.ANSWER)
         client.close()
 
     run_on_platform(tmp_path, body, loop)
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("waits", [next_attempt, for_a_late_dial], ids=lambda waits: waits.__name__)
-def test_a_process_that_is_to_end_sends_nothing_for_a_client_that_left(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, waits: Callable[..., Co[None]], way: str
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+@pytest.mark.parametrize(
+    "wait_state", [next_attempt, waiting_for_slow_dial], ids=lambda wait_state: wait_state.__name__
+)
+def test_no_attempt_is_sent_during_shutdown_for_a_client_that_left(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, wait_state: Callable[..., Co[None]], how: str
 ) -> None:
     loop = SteppedLoop()
-    attempts = Attempts(loop, monkeypatch)
+    attempts = AttemptRecorder(loop, monkeypatch)
 
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start(settings=patient())
         yield from warm(platform, SIDS[0])
-        client = Client(platform, loop, way)
-        yield from client.known()
+        client = Client(platform, loop, how)
+        yield from client.connect_and_place()
         platform.service.begin_shutdown()
-        yield from waits(platform, host, client, monkeypatch)
+        yield from wait_state(platform, host, client, monkeypatch)
         assert client.left_at is not None
         yield from wait_for(lambda: platform.service.finished, 10_000)
-        assert not attempts.late(LEAVING, client.left_at) and platform.service.counters["given_up"] == 1
+        assert not attempts.late(LEAVING_SID, client.left_at) and platform.service.counters["given_up"] == 1
         client.close()
 
     run_on_platform(tmp_path, body, loop)
 
 
-# What a look must reach
+# What a poll of the sockets must reach
 
 
-def placed_while(
+def run_while_busy(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     busy: Callable[[Platform, Client], None],
     prepare: Callable[[Platform], Co[None]] | None = None,
     sockets: int = 1024,
 ) -> None:
-    """``busy`` happens between the decision on a client's request and the wire, and has the client give it up: nothing may
-    be sent for it, and what comes afterwards is served."""
+    """Call ``busy`` between the decision on a client's request and its sending, and check that no attempt is sent late.
+
+    ``busy`` has the client leave. A request that another client sends afterwards must be served.
+    """
     loop = SteppedLoop()
-    attempts = Attempts(loop, monkeypatch)
+    attempts = AttemptRecorder(loop, monkeypatch)
 
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
         platform.start(settings=patient(), limits={"cores": 1.0, "memory_mb": 64, "sockets": sockets})
         staying = yield from warm(platform, SIDS[0])
-        client = Client(platform, loop, "give-up on another connection")
-        yield from client.known()
+        client = Client(platform, loop, "cancel on another connection")
+        yield from client.connect_and_place()
         if prepare is not None:
             yield from prepare(platform)
-        at_its_offer(platform, LEAVING, 1, lambda: busy(platform, client))
-        client.ask()
+        call_at_offer(platform, LEAVING_SID, 1, lambda: busy(platform, client))
+        client.send_set_up()
         yield from wait_for(lambda: platform.service.counters["given_up"] == 1)
         yield from sleep(300)
-        assert client.left_at is not None and not attempts.late(LEAVING, client.left_at)
-        staying.transport.write(setup(STAYING))
-        yield from wait_for_message(staying, STAYING, Kind.ANSWER)
+        assert client.left_at is not None and not attempts.late(LEAVING_SID, client.left_at)
+        staying.transport.write(setup(STAYING_SID))
+        yield from wait_for_message(staying, STAYING_SID, Kind.ANSWER)
         client.close()
 
     run_on_platform(tmp_path, body, loop)
 
 
-def test_a_give_up_behind_two_thousand_readable_sockets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """One wait of the system's names 1,023 sockets unless it is asked for more."""
-    others: list[Raw] = []
+def test_a_cancellation_behind_two_thousand_readable_sockets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """One epoll_wait reports at most 1,023 sockets unless the caller asks for more."""
+    others: list[RawOwner] = []
 
     def prepare(platform: Platform) -> Co[None]:
         for _ in range(40):
-            others.extend(Raw(platform) for _ in range(50))
+            others.extend(RawOwner(platform) for _ in range(50))
             yield from sleep(2)
         yield from wait_for(lambda: len(platform.service.owners.links) > 2000)
 
@@ -359,53 +377,55 @@
             raw.send(binary.encode(Kind.TEST, f"{n:016x}", [(Code.CAUSE, b"\0")]))
         client.leave()
 
-    placed_while(tmp_path, monkeypatch, busy, prepare, sockets=8192)
+    run_while_busy(tmp_path, monkeypatch, busy, prepare, sockets=8192)
     for raw in others:
         raw.close()
 
 
-def test_a_give_up_on_the_last_of_two_hundred_new_connections(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    newcomers: list[Raw] = []
+def test_a_cancellation_on_the_last_of_two_hundred_new_connections(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    newcomers: list[RawOwner] = []
 
     def busy(platform: Platform, client: Client) -> None:
-        newcomers.extend(Raw(platform) for _ in range(200))
-        client.way = "give-up on a new connection"
+        newcomers.extend(RawOwner(platform) for _ in range(200))
+        client.how = "cancel on a new connection"
         client.leave()
 
-    placed_while(tmp_path, monkeypatch, busy)
+    run_while_busy(tmp_path, monkeypatch, busy)
     for raw in newcomers:
         raw.close()
 
 
-@pytest.mark.parametrize("way", ["close", "half-close", "reset"])
-def test_an_end_that_lies_behind_other_bytes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, way: str) -> None:
-    """One read takes the bytes, and only the next one finds the end."""
+@pytest.mark.parametrize("how", ["close", "half-close", "reset"])
+def test_a_connections_end_behind_other_bytes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+    """The first read takes the bytes, and only the next one finds the end."""
 
     def busy(platform: Platform, client: Client) -> None:
-        client.way = way
+        client.how = how
         client.own.send(binary.encode(Kind.TEST, "0" * 16, [(Code.CAUSE, b"\0")]))
         client.leave()
 
-    placed_while(tmp_path, monkeypatch, busy)
+    run_while_busy(tmp_path, monkeypatch, busy)
 
 
 def filler() -> bytes:
-    """More than one read takes, in messages that mean nothing."""
+    """Return more bytes than one read takes, in releases of unknown tasks."""
     parameters = [(Code.CAUSE, bytes([16])), (Code.DESCRIPTION, bytes(15_000))]
     return b"".join(binary.encode(Kind.RELEASE, sid, parameters) for sid in SIDS[200:206])
 
 
 @pytest.mark.parametrize("own", [True, False])
-def test_a_give_up_that_lies_deeper_than_one_read_reaches(
+def test_a_cancellation_behind_more_bytes_than_one_read_takes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, own: bool
 ) -> None:
-    """Also where the connection is another one of that client's: it waits until that has been read."""
+    """The request waits until its client's connections have been read, whichever of them has the cancellation."""
 
     def busy(platform: Platform, client: Client) -> None:
         raw = client.own if own else client.other
-        sock = raw.taken(platform).transport._sock._sock  # type: ignore[attr-defined]
+        sock = raw.placer_link(platform).transport._sock._sock  # type: ignore[attr-defined]
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
-        data = filler() + release(LEAVING)
+        data = filler() + release(LEAVING_SID)
         raw.sock.setblocking(True)
         raw.sock.sendall(data)
         raw.sock.setblocking(False)
@@ -414,28 +434,30 @@
         assert isinstance(platform.loop, SteppedLoop)
         platform.loop.time += BUSY_MS
 
-    placed_while(tmp_path, monkeypatch, busy)
+    run_while_busy(tmp_path, monkeypatch, busy)
 
 
-def test_a_client_with_much_unread_holds_nobody_elses_attempts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection has its part of each turn, and only what its own client asked for waits for the rest."""
+def test_a_client_with_much_unread_data_delays_no_other_clients_attempts(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A connection is read for a part of each turn; only its own client's requests wait for the rest."""
     loop = SteppedLoop()
-    attempts = Attempts(loop, monkeypatch)
+    attempts = AttemptRecorder(loop, monkeypatch)
 
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
         platform.start(settings=patient())
         yield from warm(platform, SIDS[0])
-        client = Client(platform, loop, "give-up")
-        yield from client.known()
-        loud = client.other.taken(platform)
-        loud.owner_address = "127.0.0.2"  # as if it called from another host
-        rest, reads, take = bytearray(), [0], loud.transport.on_data
+        client = Client(platform, loop, "cancel")
+        yield from client.connect_and_place()
+        loud = client.other.placer_link(platform)
+        loud.owner_address = "127.0.0.2"  # as if it connected from another host
+        rest, read_count, on_data = bytearray(), [0], loud.transport.on_data
 
         def flood(data: bytes = b"") -> None:
-            """Each read takes longer than a look may be old, and then there is more."""
-            take(data)
-            reads[0] += 1
+            """Each read takes longer than the maximum age of a poll, and then there is more to read."""
+            on_data(data)
+            read_count[0] += 1
             loop.time += dispatch.POLL_AGE_MAX_MS + 1.0
             rest.extend(b"" if rest else filler())
             with contextlib.suppress(BlockingIOError):
@@ -443,34 +465,36 @@
 
         loud.transport.on_data = flood
         flood()
-        client.ask()
-        yield from wait_for(lambda: attempts.times(LEAVING))
-        assert reads[0] > 1
-        loud.transport.on_data = take
+        client.send_set_up()
+        yield from wait_for(lambda: attempts.times(LEAVING_SID))
+        assert read_count[0] > 1
+        loud.transport.on_data = on_data
         client.close()
 
     run_on_platform(tmp_path, body, loop)
 
 
-def test_a_give_up_on_a_connection_that_we_are_closing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_cancellation_on_a_connection_that_the_placer_is_closing(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def busy(platform: Platform, client: Client) -> None:
-        link = client.other.taken(platform)
+        link = client.other.placer_link(platform)
         fd = link.transport._sock.fd  # type: ignore[attr-defined]
         platform.service.owners.disconnect(link, "idle")
-        client.other.send(release(LEAVING))
+        client.other.send(release(LEAVING_SID))
         wait_until_readable(fd)
         client.left_at = platform.loop.now()
         assert isinstance(platform.loop, SteppedLoop)
         platform.loop.time += BUSY_MS
 
-    placed_while(tmp_path, monkeypatch, busy)
+    run_while_busy(tmp_path, monkeypatch, busy)
 
 
-# How old a look may be
+# The age of a poll
 
 
-def shared_connections(platform: Platform) -> Co[None]:
-    """A host to which there are two connections, and may be no more: all attempts of a batch are sent at once."""
+def start_with_shared_connections(platform: Platform) -> Co[None]:
+    """Start with a host at its maximum of two connections: all attempts of a batch are sent at once."""
     host = platform.host("s-1")
     platform.start(settings=patient())
     platform.service.hosts._descriptors.guaranteed_share = 2
@@ -478,7 +502,7 @@
     host.on_open = lambda link, line: None
     for sid in SIDS[350:352]:
         owner.transport.write(setup(sid))
-    yield from wait_for(lambda: len(opened(host)) == 2)
+    yield from wait_for(lambda: len(offered_sids(host)) == 2)
     host.on_open = lambda link, line: link.send(MessageType.READY, line.sid, text="x")
     for link in host.links:
         link.send(MessageType.READY, link.received[0].sid, text="x")
@@ -486,11 +510,13 @@
         yield from wait_for_message(owner, sid, Kind.ANSWER)
 
 
-def test_what_comes_during_a_long_look_is_read_by_another(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    noise: list[Raw] = []
+def test_data_that_arrives_during_a_long_poll_is_read_by_the_next_one(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    noisy: list[RawOwner] = []
 
     def prepare(platform: Platform) -> Co[None]:
-        noise.append(Raw(platform))
+        noisy.append(RawOwner(platform))
         yield from wait_for(lambda: len(platform.service.owners.links) == 4)
 
     def busy(platform: Platform, client: Client) -> None:
@@ -501,131 +527,135 @@
             client.leave()
 
         platform.loop.on_read = reading
-        noise[0].send(binary.encode(Kind.TEST, "0" * 16, [(Code.CAUSE, b"\0")]))
-        wait_until_readable(noise[0].taken(platform).transport._sock.fd)  # type: ignore[attr-defined]
+        noisy[0].send(binary.encode(Kind.TEST, "0" * 16, [(Code.CAUSE, b"\0")]))
+        wait_until_readable(noisy[0].placer_link(platform).transport._sock.fd)  # type: ignore[attr-defined]
 
-    placed_while(tmp_path, monkeypatch, busy, prepare)
-    noise[0].close()
+    run_while_busy(tmp_path, monkeypatch, busy, prepare)
+    noisy[0].close()
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_attempts_that_are_sent_one_after_another(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, way: str) -> None:
-    """The least worth of a batch, and so the last, leaves while the first is sent."""
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+def test_a_client_that_leaves_while_earlier_attempts_of_its_batch_are_sent(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
+) -> None:
+    """The client of the least worth in a batch, whose attempt is sent last, leaves while the first is sent."""
     loop = SteppedLoop()
-    attempts = Attempts(loop, monkeypatch)
+    attempts = AttemptRecorder(loop, monkeypatch)
 
     def body(platform: Platform) -> Co[None]:
-        yield from shared_connections(platform)
-        client = Client(platform, loop, way)
-        yield from client.known()
-        ours = platform.service.hosts
-        real = ours._write
+        yield from start_with_shared_connections(platform)
+        client = Client(platform, loop, how)
+        yield from client.connect_and_place()
+        our_hosts = platform.service.hosts
+        original = our_hosts._write
 
         def write(host: HostState, link: HostLink, attempt: Attempt) -> None:
-            real(host, link, attempt)
+            original(host, link, attempt)
             if client.left_at is None and attempt.sid in SIDS[320:323]:
-                assert not attempts.times(LEAVING), "it is not the first one"
+                assert not attempts.times(LEAVING_SID), "its attempt is not the first one"
                 client.leave()
 
-        ours._write = write  # type: ignore[method-assign]
+        our_hosts._write = write  # type: ignore[method-assign]
         client.other.send(b"".join(setup(sid, CLASS="bill", KEY=sid) for sid in SIDS[320:323]))
-        client.ask()
+        client.send_set_up()
         yield from wait_for(lambda: platform.service.counters["given_up"] == 1)
         yield from sleep(300)
-        assert client.left_at is not None and not attempts.late(LEAVING, client.left_at)
+        assert client.left_at is not None and not attempts.late(LEAVING_SID, client.left_at)
         client.close()
 
     run_on_platform(tmp_path, body, loop)
 
 
-def test_no_decision_comes_between_the_look_and_the_wire(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of two in a batch the first is found to have left, of which the module is told in the same turn. That takes as long as
-    a batch, and the second one leaves at its beginning."""
+def test_no_decision_is_made_between_the_poll_and_the_sending(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Of two clients in a batch the first is found to have left, and the scheduler handles this event in the same turn.
+
+    That takes as long as a batch, and the second client leaves at its beginning.
+    """
     loop = SteppedLoop()
-    attempts = Attempts(loop, monkeypatch)
+    attempts = AttemptRecorder(loop, monkeypatch)
 
     def body(platform: Platform) -> Co[None]:
-        yield from shared_connections(platform)
-        client, gone, closed = Client(platform, loop, "give-up on another connection"), Raw(platform), list[bool]()
-        yield from client.known()
+        yield from start_with_shared_connections(platform)
+        client, gone, closed = Client(platform, loop, "cancel on another connection"), RawOwner(platform), list[bool]()
+        yield from client.connect_and_place()
         yield from wait_for(lambda: len(platform.service.owners.links) == 4)
 
         def act(events: list[i.Event], actions: list[i.Action]) -> None:
             if not closed and sum(isinstance(action, i.Offer) for action in actions) == 2:
                 closed.append(True)
-                fd = gone.taken(platform).transport._sock.fd  # type: ignore[attr-defined]
+                fd = gone.placer_link(platform).transport._sock.fd  # type: ignore[attr-defined]
                 gone.close()
                 wait_until_readable(fd)
             elif any(isinstance(event, i.RequestAbandoned) for event in events) and client.left_at is None:
                 client.leave()
 
-        deciding(platform, act)
+        after_each_decision(platform, act)
         gone.send(setup(SIDS[331]))
-        client.ask()
+        client.send_set_up()
         yield from wait_for(lambda: client.left_at is not None)
         yield from sleep(300)
-        assert client.left_at is not None and not attempts.late(LEAVING, client.left_at)
-        assert not attempts.times(SIDS[331]) and len(attempts.times(LEAVING)) == 1
+        assert client.left_at is not None and not attempts.late(LEAVING_SID, client.left_at)
+        assert not attempts.times(SIDS[331]) and len(attempts.times(LEAVING_SID)) == 1
         client.close()
 
     run_on_platform(tmp_path, body, loop)
 
 
-def test_while_reading_takes_all_time_nothing_is_sent(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each read takes longer than a look may be old, and there is always more to read: a give-up might lie behind it."""
+def test_no_attempt_is_sent_while_reading_never_finishes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each read takes longer than the maximum age of a poll, and a cancellation may always follow in unread data."""
     loop = SteppedLoop()
-    attempts = Attempts(loop, monkeypatch)
+    attempts = AttemptRecorder(loop, monkeypatch)
 
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
         platform.start(settings=patient())
         yield from warm(platform, SIDS[0])
-        client, noise = Client(platform, loop, "give-up"), Raw(platform)
-        yield from client.known()
+        client, noisy = Client(platform, loop, "cancel"), RawOwner(platform)
+        yield from client.connect_and_place()
         test = binary.encode(Kind.TEST, "0" * 16, [(Code.CAUSE, b"\0")])
 
         def reading() -> None:
             loop.time += dispatch.POLL_AGE_MAX_MS + 1.0
-            noise.send(test)
+            noisy.send(test)
 
-        client.ask()
-        noise.send(test)
+        client.send_set_up()
+        noisy.send(test)
         loop.on_read = reading
         yield from wait_for(lambda: platform.service.counters["dispatch_held"] >= 3)
-        assert not attempts.times(LEAVING)
+        assert not attempts.times(LEAVING_SID)
         loop.on_read = lambda: None
-        yield from wait_for(lambda: attempts.times(LEAVING))
-        noise.close()
+        yield from wait_for(lambda: attempts.times(LEAVING_SID))
+        noisy.close()
         client.close()
 
     run_on_platform(tmp_path, body, loop)
 
 
-# What goes out as before
+# What is sent all the same
 
 
-def test_a_dial_that_fails_during_the_look_ends_nothing_that_can_be_written(
+def test_a_dial_that_fails_during_the_poll_ends_no_attempt_that_can_be_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     loop = SteppedLoop()
-    attempts = Attempts(loop, monkeypatch)
+    attempts = AttemptRecorder(loop, monkeypatch)
 
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
         platform.start(settings=patient())
         owner = yield from warm(platform, SIDS[0])
-        ours, poll_until_fresh, failed = platform.service.hosts.hosts["s-1"], loop.poll_until_fresh, list[bool]()
+        known_host, poll_until_fresh, failed = platform.service.hosts.hosts["s-1"], loop.poll_until_fresh, list[bool]()
 
-        def look(most_ms: float) -> bool:
-            if ours.waiting and not failed:
+        def poll_after_failure(most_ms: float) -> bool:
+            if known_host.waiting and not failed:
                 failed.append(True)
-                platform.service.hosts._not_connected(ours, OSError("no way there"), loop.wall())
+                platform.service.hosts._not_connected(known_host, OSError("no route to host"), loop.wall())
             return poll_until_fresh(most_ms)
 
-        loop.poll_until_fresh = look  # type: ignore[method-assign]
-        owner.transport.write(setup(LEAVING))
-        yield from wait_for_message(owner, LEAVING, Kind.ANSWER)
-        assert failed and len(attempts.times(LEAVING)) == 1
+        loop.poll_until_fresh = poll_after_failure  # type: ignore[method-assign]
+        owner.transport.write(setup(LEAVING_SID))
+        yield from wait_for_message(owner, LEAVING_SID, Kind.ANSWER)
+        assert failed and len(attempts.times(LEAVING_SID)) == 1
         assert not platform.service.counters["ended_connect_failed"]
 
     run_on_platform(tmp_path, body, loop)
@@ -640,9 +670,9 @@
         owner = yield from warm(platform, SIDS[0])
         known = platform.service.hosts.hosts["s-1"]
         [link] = known.links
-        at_its_offer(platform, LEAVING, 1, lambda: platform.service.hosts._health.check(known, link))
-        owner.transport.write(setup(LEAVING))
-        yield from wait_for_message(owner, LEAVING, Kind.ANSWER)
-        assert len(host.links) == 1 and opened(host) == [SIDS[0], LEAVING]
+        call_at_offer(platform, LEAVING_SID, 1, lambda: platform.service.hosts._health.check(known, link))
+        owner.transport.write(setup(LEAVING_SID))
+        yield from wait_for_message(owner, LEAVING_SID, Kind.ANSWER)
+        assert len(host.links) == 1 and offered_sids(host) == [SIDS[0], LEAVING_SID]
 
     run_on_platform(tmp_path, body, SteppedLoop())
