--- a/tests/node/test_service.py
+++ b/tests/node/test_service.py
@@ -1,4 +1,4 @@
-"""A real placer on loopback with a stand-in of the platform around it."""
+"""A real placer on loopback with a simulated platform around it."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 
 def placed(platform: Platform, owner: Link, sid: str, **changes: Any) -> Co[str]:
-    """A set-up, and the description that its answer brought."""
+    """Send a set-up, wait for its answer, and return the answer's description."""
     owner.transport.write(setup(sid, **changes))
     message = yield from wait_for_message(owner, sid, Kind.ANSWER)
     return message.parameters[Code.DESCRIPTION].decode()
 
 
-def silent(link: Link, line: Line) -> None:
-    """What a host does that says nothing."""
+def do_nothing(link: Link, line: Line) -> None:
+    """Handle a set-up without answering it."""
 
 
 def test_set_up_answer_notes_release_and_test(tmp_path: Path) -> None:
@@ -68,7 +68,7 @@
     run_on_platform(tmp_path, body)
 
 
-def test_a_refusal_says_how_long_to_stay_away_and_comes_at_once(tmp_path: Path) -> None:
+def test_a_refusal_has_a_retry_delay_and_is_sent_promptly(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         host.on_open = lambda link, line: link.send(MessageType.CLOSE, line.sid, {}, code=47)
@@ -83,7 +83,7 @@
     run_on_platform(tmp_path, body)
 
 
-def test_a_release_waits_at_a_host_whose_connection_ended(tmp_path: Path) -> None:
+def test_a_release_is_received_on_the_next_connection_to_its_host(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start()
@@ -98,11 +98,11 @@
     run_on_platform(tmp_path, body)
 
 
-def test_a_process_that_died_releases_its_tasks_and_one_at_its_address_is_another(tmp_path: Path) -> None:
+def test_tasks_of_a_dead_host_and_of_one_replaced_at_its_address_are_released(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         first, other = platform.host("s-1"), platform.host("s-2")
-        other.on_open = silent
-        platform.start(known={"no": 1, "items": [_event(1, first.entry())]})
+        other.on_open = do_nothing
+        platform.start(known={"no": 1, "items": [_bulletin_event(1, first.entry())]})
         owner = yield from platform.owner()
         yield from placed(platform, owner, SIDS[0])
         first.die()
@@ -110,7 +110,7 @@
         yield from wait_for(lambda: platform.service.counters["lost_refused"] == 1)
 
         platform.bulletin.publish(other.entry())
-        platform.bulletin.publish(other.entry())  # the first number is held
+        platform.bulletin.publish(other.entry())  # the placer has event number 1 already
         yield from wait_for(lambda: "s-2" in platform.service.hosts.hosts)
         other.on_open = lambda link, line: link.send(MessageType.READY, line.sid, text="x")
         yield from placed(platform, owner, SIDS[1])
@@ -122,7 +122,7 @@
     run_on_platform(tmp_path, body)
 
 
-def test_a_silent_host_is_tested_and_its_tasks_released_in_time(
+def test_a_silent_host_is_probed_and_its_tasks_released_in_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(health, "SUSPECT_AFTER_MS", 100.0)
@@ -136,7 +136,9 @@
         owner = yield from platform.owner()
         yield from placed(platform, owner, SIDS[0])
         yield from sleep(1800)
-        assert platform.standing() == 1 and len(host.lines(MessageType.PROBE)) > 5, "tests that are answered keep it"
+        assert platform.standing() == 1 and len(host.lines(MessageType.PROBE)) > 5, (
+            "the host is kept while it answers health checks"
+        )
         host.answers_probes = False
         began = platform.loop.now()
         assert (yield from wait_for_message(owner, SIDS[0], Kind.RELEASE)).cause == 41
@@ -147,8 +149,11 @@
     run_on_platform(tmp_path, body)
 
 
-def test_a_host_is_not_tested_before_its_silence_matters(tmp_path: Path) -> None:
-    """Sixteen placers tested four hundred hosts after every 1.5 s of silence: two tests for each task."""
+def test_a_host_is_not_probed_before_it_has_been_silent_for_long(tmp_path: Path) -> None:
+    """Guards against too many health checks.
+
+    Sixteen placers that checked 400 hosts after every 1.5 s of silence made two checks for each task.
+    """
     assert health.SILENT_AFTER_MS < 8000
     assert health.SILENT_AFTER_MS - health.SUSPECT_AFTER_MS >= 3 * health.CHECK_TIMEOUT_MS
 
@@ -160,10 +165,10 @@
         yield from sleep(2500)
         assert not host.lines(MessageType.PROBE)
         known = platform.service.hosts.hosts["s-1"]
-        known.last_heard -= 2000  # it spoke so long before
+        known.last_heard -= 2000  # it was last heard that long before
         host.links[0].send(MessageType.EVENT, SIDS[0], {"note": "cores", "value": "1"})
         yield from sleep(600)
-        assert not host.lines(MessageType.PROBE), "a note is a sign of life"
+        assert not host.lines(MessageType.PROBE), "a note shows that the host is alive"
         known.last_heard -= 4500
         yield from wait_for(lambda: host.lines(MessageType.PROBE), 1000)
 
@@ -171,24 +176,26 @@
 
 
 @pytest.mark.parametrize("busy", [False, True])
-def test_a_cut_is_outlived_by_the_tasks_of_a_host_that_is_back_in_time(
+def test_tasks_of_a_host_that_is_reachable_again_in_time_survive_a_network_failure(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, busy: bool
 ) -> None:
-    """Connections that came up no more were tried less and less often, and the way back was found too late. ``busy``: with
-    a set-up open on the connection that was tested, none other was tried at all."""
+    """Guards against a reachable host that is found too late, since failed dials are retried less and less often.
+
+    ``busy``: while a set-up was open on the connection that was checked, no other connection was dialled at all.
+    """
     monkeypatch.setattr(health, "CHECK_TIMEOUT_MS", 200.0)
     monkeypatch.setattr(health, "SUSPECT_AFTER_MS", 400.0)
     monkeypatch.setattr(health, "SILENT_AFTER_MS", 2600.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
-    cut = [False]
+    unreachable = [False]
 
-    def connecting(loop: Any, task: Any, address: Any, limit_ms: float) -> Co[Any]:
-        if cut[0]:
+    def connect_or_delay(loop: Any, task: Any, address: Any, limit_ms: float) -> Co[Any]:
+        if unreachable[0]:
             yield from sleep(limit_ms)
             raise TimedOut(limit_ms)
         return (yield from connect(loop, task, address, limit_ms))
 
-    monkeypatch.setattr(hosts, "connect", connecting)
+    monkeypatch.setattr(hosts, "connect", connect_or_delay)
 
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
@@ -196,21 +203,21 @@
         owner = yield from platform.owner()
         yield from placed(platform, owner, SIDS[0])
         old = list(host.links)
-        cut[0], host.answers_probes = True, False
-        host.on_open = silent
+        unreachable[0], host.answers_probes = True, False
+        host.on_open = do_nothing
         if busy:
             owner.transport.write(setup(SIDS[1], CLASS="bill", KEY="k", LEFT="9000"))
         yield from sleep(2000)
-        cut[0], host.answers_probes = False, True
+        unreachable[0], host.answers_probes = False, True
         yield from wait_for(lambda: len(host.links) > len(old), 500)
         yield from sleep(900)
-        assert platform.standing() == 1 and not messages_for(owner, SIDS[0])[1:], "heard again before its time was up"
+        assert platform.standing() == 1 and not messages_for(owner, SIDS[0])[1:], "the host was heard in time"
         assert not platform.service.counters["lost_silent"]
 
     run_on_platform(tmp_path, body)
 
 
-def test_a_placer_that_stood_still_tests_before_it_calls_a_host_silent(
+def test_a_placer_that_was_paused_probes_a_host_before_declaring_it_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def body(platform: Platform) -> Co[None]:
@@ -218,7 +225,7 @@
         platform.start()
         owner = yield from platform.owner()
         yield from placed(platform, owner, SIDS[0])
-        platform.service.hosts.hosts["s-1"].last_heard -= 20_000  # nothing was read all that time
+        platform.service.hosts.hosts["s-1"].last_heard -= 20_000  # nothing was read in this time
         yield from wait_for(lambda: host.lines(MessageType.PROBED) or host.lines(MessageType.PROBE), 1000)
         yield from sleep(1500)
         assert platform.standing() == 1 and not platform.service.counters["lost_silent"]
@@ -227,13 +234,13 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "invalid_data",
     [
         b"\xff\xfenoise\n", b'{"msg":"ready","sid":"' + SIDS[0].encode() + b'","attrs":{},"text":"cut\n',
         b'{"msg":"close","sid":"0","attrs":{},"code":47}\n', b"x" * 70_000, None,
     ],
 )  # fmt: skip
-def test_a_spoilt_answer_ends_its_connection_alone(tmp_path: Path, spoil: bytes | None) -> None:
+def test_an_invalid_answer_ends_only_its_connection(tmp_path: Path, invalid_data: bytes | None) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start()
@@ -244,53 +251,51 @@
             host.on_open = lambda link, line: link.send(
                 MessageType.READY, line.sid, text=host.description_for(line.sid)
             )
-            if spoil is None:
+            if invalid_data is None:
                 link.transport.abort()
             else:
-                link.transport.write(spoil)
+                link.transport.write(invalid_data)
 
         host.on_open = once
-        assert (yield from placed(platform, owner, SIDS[0])) == host.description_for(SIDS[0]), (
-            "a safe task is tried again"
-        )
+        assert (yield from placed(platform, owner, SIDS[0])) == host.description_for(SIDS[0]), "a safe task is retried"
         assert platform.standing() == 2 and len(host.lines(MessageType.OPEN)) == 3
         assert platform.service.counters["ended_reset"] == 1 and not owner.ended
 
     run_on_platform(tmp_path, body)
 
 
-def test_words_of_a_first_try_do_not_answer_the_second_at_the_same_host(tmp_path: Path) -> None:
+def test_a_late_answer_of_a_first_attempt_does_not_answer_the_second_at_the_same_host(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
-        tries: list[Link] = []
+        links: list[Link] = []
 
-        def late(link: Link, line: Line) -> None:
-            tries.append(link)
-            if len(tries) == 2:
-                tries[0].send(MessageType.READY, line.sid, text="of the first try")
-                platform.loop.call_later(30, lambda: link.send(MessageType.READY, line.sid, text="of the second"))
+        def answer_late(link: Link, line: Line) -> None:
+            links.append(link)
+            if len(links) == 2:
+                links[0].send(MessageType.READY, line.sid, text="first attempt")
+                platform.loop.call_later(30, lambda: link.send(MessageType.READY, line.sid, text="second attempt"))
 
-        host.on_open = late
+        host.on_open = answer_late
         platform.start()
         owner = yield from platform.owner()
-        assert (yield from placed(platform, owner, SIDS[0])) == "of the second"
-        assert tries[0] is not tries[1] and [line.code for line in host.lines(MessageType.CLOSE)] == [16]
+        assert (yield from placed(platform, owner, SIDS[0])) == "second attempt"
+        assert links[0] is not links[1] and [line.code for line in host.lines(MessageType.CLOSE)] == [16]
 
     run_on_platform(tmp_path, body)
 
 
-def test_a_connect_still_under_way_when_its_host_drains_is_moot_at_once(
+def test_an_attempt_that_still_dials_when_its_host_drains_is_ended_immediately(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     slow: list[Any] = []
 
-    def connecting(loop: Any, task: Any, address: Any, limit_ms: float) -> Co[Any]:
+    def connect_or_delay(loop: Any, task: Any, address: Any, limit_ms: float) -> Co[Any]:
         if not slow or slow[0] == address:
             slow[:] = [address]
             yield from sleep(2500)
         return (yield from connect(loop, task, address, limit_ms))
 
-    monkeypatch.setattr(hosts, "connect", connecting)
+    monkeypatch.setattr(hosts, "connect", connect_or_delay)
 
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1"), platform.host("s-2")
@@ -306,24 +311,24 @@
     run_on_platform(tmp_path, body)
 
 
-def test_an_offer_that_waits_for_a_connection_takes_the_first_that_is_free(tmp_path: Path) -> None:
+def test_an_offer_that_waits_for_a_connection_uses_the_first_free_one(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
-        halves: list[tuple[Link, Line]] = []
+        half_answers: list[tuple[Link, Line]] = []
 
-        def half(link: Link, line: Line) -> None:
+        def send_half_answer(link: Link, line: Line) -> None:
             link.transport.write(b'{"msg":"ready",')
-            halves.append((link, line))
+            half_answers.append((link, line))
 
-        host.on_open = half
-        platform.start(limits={"memory_mb": 64, "sockets": 6})  # two connections to a host
+        host.on_open = send_half_answer
+        platform.start(limits={"memory_mb": 64, "sockets": 6})  # at most two connections to a host
         owner = yield from platform.owner()
         owner.transport.write(b"".join(setup(sid, FIGURES=f"cores:1;memory:1;service:{sid}") for sid in SIDS[:2]))
-        yield from wait_for(lambda: len(halves) == 2)
+        yield from wait_for(lambda: len(half_answers) == 2)
         owner.transport.write(setup(SIDS[2], FIGURES="cores:1;memory:1;service:s"))
         yield from wait_for(lambda: platform.service.tasks.ledger.open == 3)
         host.on_open = lambda link, line: link.send(MessageType.READY, line.sid, text="x")
-        for link, line in halves:
+        for link, line in half_answers:
             link.transport.write(f'"sid":"{line.sid}","attrs":{{}},"text":"x"}}\n'.encode())
         for sid in SIDS[:3]:
             yield from wait_for_message(owner, sid, Kind.ANSWER)
@@ -332,7 +337,7 @@
     run_on_platform(tmp_path, body)
 
 
-def test_a_task_that_is_handed_back_is_not_let_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_reported_task_is_not_released_at_its_host(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(service, "TICK_MS", 300.0)
 
     def body(platform: Platform) -> Co[None]:
@@ -340,7 +345,7 @@
         platform.start()
         owner = yield from platform.owner()
         known = platform.service.hosts.hosts["s-1"]
-        known.pending_releases = dict.fromkeys(SIDS[:2], platform.loop.now() + 5000)  # it had fallen silent
+        known.pending_releases = dict.fromkeys(SIDS[:2], platform.loop.now() + 5000)  # since it fell silent
         owner.transport.write(setup(SIDS[0], FIGURES="cores:1;memory:2;service:s;at:s-1"))
         yield from wait_for(lambda: host.lines(MessageType.CLOSE))
         assert [line.sid for line in host.lines(MessageType.CLOSE)] == [SIDS[1]] and platform.standing() == 1
@@ -348,20 +353,20 @@
     run_on_platform(tmp_path, body)
 
 
-def test_an_answer_that_stops_short_and_answers_that_bring_more(tmp_path: Path) -> None:
+def test_an_incomplete_answer_and_surplus_answers(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
 
-        def more(link: Link, line: Line) -> None:
-            link.send(MessageType.READY, "f" * 16, text="of nobody")
+        def answer_several_times(link: Link, line: Line) -> None:
+            link.send(MessageType.READY, "f" * 16, text="unknown task")
             link.send(MessageType.READY, line.sid, text="first")
             link.send(MessageType.READY, line.sid, text="second")
 
-        def short(link: Link, line: Line) -> None:
-            host.on_open = more
+        def answer_in_part(link: Link, line: Line) -> None:
+            host.on_open = answer_several_times
             link.transport.write(b'{"msg":"ready","sid":"')
 
-        host.on_open = short
+        host.on_open = answer_in_part
         platform.start()
         owner = yield from platform.owner()
         assert (yield from placed(platform, owner, SIDS[0])) == "first"
@@ -375,7 +380,7 @@
 def test_an_owners_connection_ends_before_its_answer_and_before_its_release(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
-        host.on_open = silent
+        host.on_open = do_nothing
         platform.start()
         owner = yield from platform.owner()
         owner.transport.write(setup(SIDS[0]))
@@ -395,13 +400,14 @@
         owner = yield from platform.owner()
         yield from placed(platform, owner, SIDS[3])
         assert (yield from wait_for_message(owner, SIDS[1], Kind.RELEASE)).cause == 16
-        owner.transport.write(binary.encode(Kind.RELEASE, SIDS[2], [(Code.CAUSE, b"\x10")]))  # not where it came
+        # This is not the connection on which its set-up came.
+        owner.transport.write(binary.encode(Kind.RELEASE, SIDS[2], [(Code.CAUSE, b"\x10")]))
         yield from wait_for(lambda: platform.standing() == 1)
 
     run_on_platform(tmp_path, body)
 
 
-def _event(number: int, *entries: dict[str, Any]) -> dict[str, Any]:
+def _bulletin_event(number: int, *entries: dict[str, Any]) -> dict[str, Any]:
     return {"no": number, "roster": {"rev": number, "all": number == 1, "targets": list(entries)}}
 
 
@@ -414,25 +420,28 @@
         binary.encode(Kind.RELEASE, "f" * 16, [(Code.CAUSE, b"\x10")]), b"\x40\x00" + bytes(20_000),
     ],
 )  # fmt: skip
-def test_bad_owners_are_refused_or_closed_in_time_and_hurt_nobody(tmp_path: Path, data: bytes) -> None:
+def test_misbehaving_owners_are_refused_or_closed_in_time_and_affect_nobody_else(tmp_path: Path, data: bytes) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start()
-        usual, bad = (yield from platform.owner()), (yield from platform.owner())
+        usual, misbehaving = (yield from platform.owner()), (yield from platform.owner())
         yield from placed(platform, usual, SIDS[-1], DESCRIPTION="usual")
-        bad.transport.write(data)
-        yield from wait_for(lambda: bad.ended or bad.received, 2900)
-        assert all(message.kind == Kind.RELEASE for message in bad.received)
+        misbehaving.transport.write(data)
+        yield from wait_for(lambda: misbehaving.ended or misbehaving.received, 2900)
+        assert all(message.kind == Kind.RELEASE for message in misbehaving.received)
         assert platform.service.tasks.ledger.open == 0 and len(host.lines(MessageType.OPEN)) == 1
         assert not usual.ended and (yield from placed(platform, usual, SIDS[-2]))
 
     run_on_platform(tmp_path, body)
 
 
-def test_what_no_list_has_told_of_is_forgotten_and_a_busy_owner_is_not_cut(
+def test_tasks_at_an_unlisted_host_are_dropped_and_a_busy_owner_is_not_disconnected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Tasks at a host that no list names stayed for ever; an owner whose reads all end within a message was cut."""
+    """Guards against two faults.
+
+    Tasks at a host that no list names were kept for ever, and an owner whose reads all end within a message was cut off.
+    """
     monkeypatch.setattr(health, "SILENT_AFTER_MS", 900.0)
     monkeypatch.setattr(owners, "UNPROVEN_TIMEOUT_MS", 400.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
@@ -440,9 +449,9 @@
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
         platform.start()
-        bad = yield from platform.owner()
-        bad.transport.write(setup(SIDS[0], FIGURES="cores:1;memory:2;service:s;at:s-none"))
-        yield from wait_for(lambda: bad.ended, 1500)
+        misbehaving = yield from platform.owner()
+        misbehaving.transport.write(setup(SIDS[0], FIGURES="cores:1;memory:2;service:s;at:s-none"))
+        yield from wait_for(lambda: misbehaving.ended, 1500)
         busy = yield from platform.owner()
         data = b"".join(setup(sid, LEFT="2000") for sid in SIDS[1:12])
         step = len(data) // 11
@@ -456,7 +465,7 @@
     run_on_platform(tmp_path, body)
 
 
-def test_hundreds_that_say_nothing_leave_room_for_the_usual_owners(tmp_path: Path) -> None:
+def test_many_silent_connections_leave_descriptors_for_active_owners(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
         platform.start()
@@ -476,10 +485,10 @@
     run_on_platform(tmp_path, body)
 
 
-def test_whose_tasks_stand_keeps_a_connection_for_their_releases(
+def test_an_owner_with_placed_tasks_keeps_a_connection_for_their_releases(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Soak, seed 4711: a connection was closed as idle though its task stood, and the release found none."""
+    """Guards against closing an idle connection whose task is placed, so that the release finds none (soak, seed 4711)."""
     monkeypatch.setattr(owners, "UNPROVEN_TIMEOUT_MS", 200.0)
     monkeypatch.setattr(service, "TICK_MS", 50.0)
     idle = settings(policy_limits={**settings()["policy_limits"], "keepalive": 400.0})
@@ -489,45 +498,45 @@
         platform.start(settings=idle, limits={"memory_mb": 64, "sockets": 12})
         links = platform.service.owners.links
 
-        def ends(sid: str) -> None:
+        def end_task(sid: str) -> None:
             next(link for link in host.links if not link.ended).send(MessageType.CLOSE, sid, code=16)
 
         owner = yield from platform.owner()
         yield from placed(platform, owner, SIDS[0])
         yield from sleep(900)
-        assert not owner.ended, "idle, but its task stands"
+        assert not owner.ended, "idle, but its task is placed"
         task = yield from current()
-        for _ in range(12):  # more than there is room for
+        for _ in range(12):  # more than there are descriptors for
             yield from connect(platform.loop, task, platform.service.config.listen, 1000.0)
         yield from sleep(100)
-        assert not owner.ended and len(links) <= 6, "those who say nothing go first"
+        assert not owner.ended and len(links) <= 6, "connections that have sent nothing are closed first"
         yield from wait_for(lambda: len(links) == 1, 1500)
-        ends(SIDS[0])
+        end_task(SIDS[0])
         yield from wait_for_message(owner, SIDS[0], Kind.RELEASE)
-        yield from wait_for(lambda: owner.ended, 1500)  # nothing stands: idle is idle
+        yield from wait_for(lambda: owner.ended, 1500)  # no task is placed any more, so the idle connection is closed
         assert not platform.service.counters["releases_waiting"]
 
         owner = yield from platform.owner()
         yield from placed(platform, owner, SIDS[1])
         yield from placed(platform, owner, SIDS[2])
-        owner.transport.abort()  # it breaks by itself
+        owner.transport.abort()  # the connection breaks
         yield from wait_for(lambda: not links)
-        ends(SIDS[1])
+        end_task(SIDS[1])
         yield from wait_for(lambda: platform.service.counters["releases_waiting"] == 1)
-        again = yield from platform.owner()
-        again.transport.write(setup(SIDS[3], CLASS="nobody"))  # says something, but nothing that could be taken
-        yield from wait_for_message(again, SIDS[1], Kind.RELEASE)
+        reconnected = yield from platform.owner()
+        reconnected.transport.write(setup(SIDS[3], CLASS="nobody"))  # sends something, but no valid task
+        yield from wait_for_message(reconnected, SIDS[1], Kind.RELEASE)
         yield from sleep(900)
-        assert not again.ended, "unproven and idle, but the only one of an owner whose task stands"
-        ends(SIDS[2])
-        yield from wait_for_message(again, SIDS[2], Kind.RELEASE)
-        yield from wait_for(lambda: again.ended, 1500)
+        assert not reconnected.ended, "unproven and idle, but the only connection of an owner whose task is placed"
+        end_task(SIDS[2])
+        yield from wait_for_message(reconnected, SIDS[2], Kind.RELEASE)
+        yield from wait_for(lambda: reconnected.ended, 1500)
         assert not platform.service.owners.placed_by_owner
 
     run_on_platform(tmp_path, body)
 
 
-def test_where_all_connections_are_needed_the_newcomer_is_turned_away(tmp_path: Path) -> None:
+def test_a_new_connection_is_turned_away_when_all_others_are_needed(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
         platform.start(limits={"memory_mb": 64, "sockets": 12})
@@ -535,7 +544,7 @@
         for sid in SIDS[:6]:
             needed.append((yield from platform.owner()))
             yield from placed(platform, needed[-1], sid, FIGURES=f"cores:1;memory:1;service:{sid}")
-        with contextlib.suppress(ConnectionError):  # it may hear of it while it still connects
+        with contextlib.suppress(ConnectionError):  # it may be turned away while it still connects
             newcomer = yield from platform.owner()
             yield from wait_for(lambda: newcomer.ended)
         yield from wait_for(lambda: platform.service.counters["owners_turned_away"])
@@ -544,17 +553,17 @@
     run_on_platform(tmp_path, body)
 
 
-def test_an_owner_that_does_not_read_is_dropped_after_the_batch_that_answers_it(
+def test_an_owner_that_does_not_read_is_disconnected_after_the_batch_that_answers_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Dropped within the batch, its other set-ups were over when the module's answers to them came."""
+    """Guards against a disconnect within the batch, which ended the owner's other set-ups before they were decided on."""
     monkeypatch.setattr(owners, "MAX_UNREAD_BYTES", 0)
 
     def body(platform: Platform) -> Co[None]:
         platform.bulletin.publish(everything=True)
         platform.start()
         owner = yield from platform.owner()
-        # With so little time left each is refused in the batch in which the module hears of it.
+        # With so little time left each is refused in the batch in which the scheduler gets it.
         owner.transport.write(b"".join(setup(sid, LEFT="3") for sid in SIDS[: tasks.MAX_NEW_TASKS_PER_BATCH]))
         yield from wait_for(lambda: owner.ended)
         assert platform.service.counters["owner_unread"] == 1 and platform.service.tasks.ledger.open == 0
@@ -563,7 +572,9 @@
     run_on_platform(tmp_path, body)
 
 
-def test_the_bulletin_breaks_off_falls_silent_and_moves(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_bulletin_breaks_off_stays_silent_and_changes_its_address(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(feed, "LONG_POLL_MS", 200.0)
     monkeypatch.setattr(feed, "ANSWER_GRACE_MS", 100.0)
 
@@ -600,7 +611,7 @@
         )
         platform.service.reload()
         yield from wait_for(lambda: platform.bulletin.requests)
-        assert platform.bulletin.requests[0] == 3, "the numbers go on"
+        assert platform.bulletin.requests[0] == 3, "the event numbers continue"
         platform.bulletin.publish(second.entry())
         yield from wait_for(lambda: not seen)
         assert [json.loads(line)["event"] for line in platform.lines].count("reload_refused") == 1
@@ -608,7 +619,7 @@
     run_on_platform(tmp_path, body)
 
 
-def test_a_hasty_bulletin_keeps_nobody_busy_and_a_fault_is_told_once(tmp_path: Path) -> None:
+def test_a_bulletin_that_answers_at_once_is_polled_slowly_and_a_fault_is_logged_once(tmp_path: Path) -> None:
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start()
@@ -622,7 +633,7 @@
     run_on_platform(tmp_path, body)
 
 
-def test_a_stop_answers_all_that_was_taken_and_refuses_what_comes_late(
+def test_a_shutdown_answers_admitted_requests_and_refuses_late_ones(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(service, "SHUTDOWN_ADMIT_MS", 300.0)
@@ -648,13 +659,13 @@
         slow[-1].send(MessageType.READY, SIDS[3], text="late")
         yield from wait_for_message(owner, SIDS[3], Kind.ANSWER)
         yield from wait_for(lambda: platform.service.finished, 1000)
-        assert not [line for line in host.lines(MessageType.CLOSE) if line.sid != SIDS[3]], "standing tasks run on"
+        assert not [line for line in host.lines(MessageType.CLOSE) if line.sid != SIDS[3]], "placed tasks keep running"
 
     run_on_platform(tmp_path, body)
 
 
-# Runs the program as `run` does, and tells at its end what it has loaded and which refused calls it has made.
-WATCHED = """
+# Runs the program as `run` does, and prints at exit which modules are loaded and which forbidden calls were made.
+AUDITED_RUN = """
 import atexit, runpy, sys
 refused = []
 def watch(event, args):
@@ -663,17 +674,17 @@
     if event == "socket.__new__" and args[1] != 2:  # AF_INET
         refused.append(f"socket family {args[1]}")
 sys.addaudithook(watch)
-def tell():
+def report():
     print(sorted({name.split(".")[0] for name in sys.modules}), file=sys.stderr)
     print("refused:", refused, file=sys.stderr)
-atexit.register(tell)
+atexit.register(report)
 sys.argv = ["sprucepost", "node"]
 runpy.run_module("sprucepost", run_name="__main__")
 """
 
 
-def test_the_program_is_lean_serves_alone_survives_sighup_and_ends_well(tmp_path: Path) -> None:
-    """Other programs, fork and Unix sockets are refused where the fleet's days are played."""
+def test_the_program_loads_little_starts_no_process_reloads_and_exits_with_status_0(tmp_path: Path) -> None:
+    """The fleet's environment forbids starting programs, fork, and Unix sockets."""
 
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
@@ -681,7 +692,11 @@
         environment = dict(platform.environment())
         listen = json.loads((tmp_path / "config.json").read_text())["listen"].split(":")
         with subprocess.Popen(
-            [sys.executable, "-c", WATCHED], env=environment, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
+            [sys.executable, "-c", AUDITED_RUN],
+            env=environment,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
         ) as process:
             assert process.stdout is not None and process.stderr is not None
             ready = json.loads(process.stdout.readline())
@@ -705,7 +720,7 @@
     run_on_platform(tmp_path, body)
 
 
-def test_a_placer_that_cannot_start_says_why_in_one_line(tmp_path: Path) -> None:
+def test_a_placer_that_cannot_start_prints_one_line(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text("{}")
     for environment in ({}, {"BALANCER_CONFIG": str(tmp_path / "config.json")}):
         done = subprocess.run(
