--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -577,7 +577,7 @@
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
         platform.start()
-        platform.service.owners._most = 3
+        platform.service.owners._max_connections = 3
         yield from warm(platform, SIDS[0])
         owners = [RawOwner(platform), RawOwner(platform)]
         for n, owner in enumerate(owners):
@@ -586,7 +586,7 @@
             owner.send(release(SIDS[1 + n]))
         yield from wait_for(lambda: platform.standing() == 1 and len(platform.service.owners.links) == 3)
         owners[0].send(setup(SIDS[3]))  # unread when the placer closes a connection for a new one
-        assert platform.service.owners._make_room()
+        assert platform.service.owners._close_idle()
         assert (yield from owners[0].next_message()).kind == Kind.ANSWER
         assert owners[1].receive() is None
         for owner in owners:
