--- a/tests/node/test_clients_that_left.py
+++ b/tests/node/test_clients_that_left.py
@@ -220,10 +220,10 @@
 
 def waiting_for_descriptor(platform: Platform, host: Host, client: Client, monkeypatch: pytest.MonkeyPatch) -> Co[None]:
     """The only connection to the host is in use, and there is no descriptor for another."""
-    taken: list[tuple[Link, str]] = []
-    host.on_open = lambda link, line: taken.append((link, line.sid))
+    unanswered: list[tuple[Link, str]] = []
+    host.on_open = lambda link, line: unanswered.append((link, line.sid))
     client.other.send(setup(SIDS[310], FIGURES=OTHER_SERVICE_FIGURES))
-    yield from wait_for(lambda: taken)
+    yield from wait_for(lambda: unanswered)
     monkeypatch.setattr(platform.service.hosts, "_descriptors", Descriptors(0, lambda: 0))
     known_host = platform.service.hosts.hosts["s-1"]
     for idle in [link for link in known_host.links if not link.open]:
@@ -231,7 +231,7 @@
     client.send_set_up()
     yield from wait_for(lambda: len(known_host.waiting) == 1)
     call_after_answer(platform, SIDS[310], client.leave)
-    [(link, sid)] = taken
+    [(link, sid)] = unanswered
     link.send(MessageType.READY, sid, text="x")
     yield from wait_for(lambda: client.left_at is not None)
 
@@ -385,15 +385,15 @@
 def test_a_cancellation_on_the_last_of_two_hundred_new_connections(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    newcomers: list[RawOwner] = []
+    new_owners: list[RawOwner] = []
 
     def busy(platform: Platform, client: Client) -> None:
-        newcomers.extend(RawOwner(platform) for _ in range(200))
+        new_owners.extend(RawOwner(platform) for _ in range(200))
         client.how = "cancel on a new connection"
         client.leave()
 
     run_while_busy(tmp_path, monkeypatch, busy)
-    for raw in newcomers:
+    for raw in new_owners:
         raw.close()
 
 
@@ -450,9 +450,9 @@
         yield from warm(platform, SIDS[0])
         client = Client(platform, loop, "cancel")
         yield from client.connect_and_place()
-        loud = client.other.placer_link(platform)
-        loud.owner_address = "127.0.0.2"  # as if it connected from another host
-        rest, read_count, on_data = bytearray(), [0], loud.transport.on_data
+        flooder = client.other.placer_link(platform)
+        flooder.owner_address = "127.0.0.2"  # as if it connected from another host
+        rest, read_count, on_data = bytearray(), [0], flooder.transport.on_data
 
         def flood(data: bytes = b"") -> None:
             """Each read takes longer than the maximum age of a poll, and then there is more to read."""
@@ -463,12 +463,12 @@
             with contextlib.suppress(BlockingIOError):
                 del rest[: client.other.sock.send(rest)]
 
-        loud.transport.on_data = flood
+        flooder.transport.on_data = flood
         flood()
         client.send_set_up()
         yield from wait_for(lambda: attempts.times(LEAVING_SID))
         assert read_count[0] > 1
-        loud.transport.on_data = on_data
+        flooder.transport.on_data = on_data
         client.close()
 
     run_on_platform(tmp_path, body, loop)
@@ -576,21 +576,25 @@
 
     def body(platform: Platform) -> Co[None]:
         yield from start_with_shared_connections(platform)
-        client, gone, closed = Client(platform, loop, "cancel on another connection"), RawOwner(platform), list[bool]()
+        client, leaving_first, closed = (
+            Client(platform, loop, "cancel on another connection"),
+            RawOwner(platform),
+            list[bool](),
+        )
         yield from client.connect_and_place()
         yield from wait_for(lambda: len(platform.service.owners.links) == 4)
 
         def act(events: list[i.Event], actions: list[i.Action]) -> None:
             if not closed and sum(isinstance(action, i.Offer) for action in actions) == 2:
                 closed.append(True)
-                fd = gone.placer_link(platform).transport._sock.fd  # type: ignore[attr-defined]
-                gone.close()
+                fd = leaving_first.placer_link(platform).transport._sock.fd  # type: ignore[attr-defined]
+                leaving_first.close()
                 wait_until_readable(fd)
             elif any(isinstance(event, i.RequestAbandoned) for event in events) and client.left_at is None:
                 client.leave()
 
         after_each_decision(platform, act)
-        gone.send(setup(SIDS[331]))
+        leaving_first.send(setup(SIDS[331]))
         client.send_set_up()
         yield from wait_for(lambda: client.left_at is not None)
         yield from sleep(300)
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize("how", WAYS_TO_LEAVE)
-@pytest.mark.parametrize("state", ["read", "queued", "held", "next attempt", "connecting"])
+@pytest.mark.parametrize("state", ["read", "queued", "waiting", "next attempt", "connecting"])
 def test_no_attempt_is_sent_for_a_client_that_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, state: str, how: str
 ) -> None:
@@ -185,7 +185,7 @@
         assert (yield from other.next_message()).kind == Kind.ANSWER
         before = len(offered_sids(first))
 
-        def left() -> None:
+        def leave_now() -> None:
             leave(how, platform, owner, other, SIDS[1])
 
         if state == "connecting":
@@ -198,7 +198,7 @@
             def link_made(*args: Any) -> HostLink:
                 if not done and platform.service.hosts.hosts["s-1"].waiting:
                     done.append(True)
-                    left()
+                    leave_now()
                 return real(*args)
 
             monkeypatch.setattr(hosts, "HostLink", link_made)
@@ -206,20 +206,20 @@
                 platform.service.hosts._end(platform.service.hosts.hosts["s-1"], pooled, "reset")
             owner.send(setup(SIDS[1]))
         elif state == "read":
-            after_each_decision(platform, lambda events, actions: call_at_first_offer(actions, left, done))
+            after_each_decision(platform, lambda events, actions: call_at_first_offer(actions, leave_now, done))
             owner.send(setup(SIDS[1]))
         elif state == "queued":
             monkeypatch.setattr(tasks, "MAX_NEW_TASKS_PER_BATCH", 1)
             mine = [n for n in range(4, 10)]
-            after_each_decision(platform, lambda events, actions: call_at_first_offer(actions, left, done))
+            after_each_decision(platform, lambda events, actions: call_at_first_offer(actions, leave_now, done))
             other.send(b"".join(setup(SIDS[n], FIGURES=OTHER_SERVICE_FIGURES) for n in mine))
             owner.send(setup(SIDS[1], FIGURES=OTHER_SERVICE_FIGURES))
-        elif state == "held":
+        elif state == "waiting":
             platform.bulletin.publish(first.entry(state="DRAINING"))
             yield from wait_for(lambda: "s-1" in platform.service.tasks.closed_hosts)
             owner.send(setup(SIDS[1]))
             yield from wait_for(lambda: platform.service.tasks.ledger.open == 1)
-            after_each_decision(platform, lambda events, actions: call_at_first_offer(actions, left, done))
+            after_each_decision(platform, lambda events, actions: call_at_first_offer(actions, leave_now, done))
             platform.bulletin.publish(second.entry())
         else:
             first.on_open = lambda link, line: link.send(MessageType.CLOSE, line.sid, code=102)
@@ -228,7 +228,7 @@
             def call_at_second_offer(events: list[i.Event], actions: list[i.Action]) -> None:
                 offers.extend(action for action in actions if isinstance(action, i.Offer))
                 if len(offers) > 1:
-                    call_at_first_offer(actions, left, done)
+                    call_at_first_offer(actions, leave_now, done)
 
             after_each_decision(platform, call_at_second_offer)
             owner.send(setup(SIDS[1]))
@@ -418,11 +418,11 @@
         host, owner = yield from start_with_placed_task(platform)
         flow, sids = RawOwner(platform), (f"{n:016x}" for n in count(1))
 
-        def some(events: list[i.Event], actions: list[i.Action]) -> None:
+        def send_another(events: list[i.Event], actions: list[i.Action]) -> None:
             if len(offered_sids(host)) < 2:  # the placer always finds another one
                 flow.send(setup(next(sids), FIGURES="cores:0.01;memory:0.01;service:aa;at:s-1"))
 
-        after_each_decision(platform, some)
+        after_each_decision(platform, send_another)
         flow.send(setup(next(sids), FIGURES="cores:0.01;memory:0.01;service:aa;at:s-1"))
         owner.transport.write(setup(SIDS[1]))
         yield from wait_for_message(owner, SIDS[1], Kind.ANSWER)
@@ -437,22 +437,22 @@
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start()
-        loud = yield from warm(platform, SIDS[0])
-        quiet = RawOwner(platform)
+        flooder = yield from warm(platform, SIDS[0])
+        other_owner = RawOwner(platform)
         batches: list[list[str]] = []
 
         def note(events: list[i.Event], actions: list[i.Action]) -> None:
             batches.append([event.task for event in events if isinstance(event, i.TaskRequest)])
 
         after_each_decision(platform, note)
-        loud.transport.write(b"".join(setup(sid, FIGURES="cores:0.01;memory:0.01;service:aa") for sid in SIDS[1:61]))
-        quiet.send(setup(SIDS[100], NAME="quiet"))
-        yield from wait_for(lambda: all(messages_for(loud, sid) for sid in SIDS[1:61]))
-        assert (yield from quiet.next_message()).kind == Kind.ANSWER and len(offered_sids(host)) == 62
+        flooder.transport.write(b"".join(setup(sid, FIGURES="cores:0.01;memory:0.01;service:aa") for sid in SIDS[1:61]))
+        other_owner.send(setup(SIDS[100], NAME="quiet"))
+        yield from wait_for(lambda: all(messages_for(flooder, sid) for sid in SIDS[1:61]))
+        assert (yield from other_owner.next_message()).kind == Kind.ANSWER and len(offered_sids(host)) == 62
         asked = [batch for batch in batches if batch]
         assert max(map(len, asked)) <= tasks.MAX_NEW_TASKS_PER_BATCH and sum(map(len, asked)) == 61
         assert "quiet" in asked[0] + asked[1]
-        quiet.sock.close()
+        other_owner.sock.close()
 
     run_on_platform(tmp_path, body)
 
@@ -474,10 +474,10 @@
         owner.send(setup(SIDS[0]))
         yield from wait_for(lambda: done and offered_sids(first, second))
         yield from sleep(50)
-        [held] = platform.service.tasks.placed.keys() - {
+        [machine] = platform.service.tasks.placed.keys() - {
             m for m in ("s-1", "s-2") if SIDS[0] in offered_sids(platform.hosts[m])
         }
-        assert platform.service.counters["recalled"] == 1 and SIDS[0] not in offered_sids(platform.hosts[held])
+        assert platform.service.counters["recalled"] == 1 and SIDS[0] not in offered_sids(platform.hosts[machine])
         owner.sock.close()
 
     run_on_platform(tmp_path, body)
@@ -658,12 +658,12 @@
     sock, left = link.transport._sock, [max_bytes]
     send = sock.send
 
-    def some(data: bytes | memoryview) -> int:
+    def send_limited(data: bytes | memoryview) -> int:
         took = send(data[: left[0]]) if left[0] else 0
         left[0] -= took
         return took
 
-    sock.send = some  # type: ignore[method-assign]
+    sock.send = send_limited  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(("max_bytes", "ran"), [(0, False), (30, False), (100_000, True)])
@@ -928,14 +928,14 @@
     """The placer cancels a set-up whose answer is on its way: the task is not placed, and its host gets the cancellation."""
 
     def body(platform: Platform) -> Co[None]:
-        host, held = platform.host("s-1"), list[Link]()
+        host, offer_links = platform.host("s-1"), list[Link]()
         platform.start()
         owner = yield from warm(platform, SIDS[0])
-        host.on_open = lambda link, line: held.append(link)
+        host.on_open = lambda link, line: offer_links.append(link)
         client = RawOwner(platform)
         client.send(setup(SIDS[1], FIGURES=OTHER_SERVICE_FIGURES, LEFT="150" if crosses == "our time-out" else "3000"))
-        yield from wait_for(lambda: held)
-        link = held[0]
+        yield from wait_for(lambda: offer_links)
+        link = offer_links[0]
         if crosses == "our time-out":
             yield from wait_for(lambda: platform.service.counters["ended_timeout"] == 1)
         elif crosses == "the owner's cancellation":
@@ -968,7 +968,7 @@
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
         platform.start()
-        usual = yield from warm(platform, SIDS[0])
+        regular = yield from warm(platform, SIDS[0])
         task = yield from current()
         retries = [0]
 
@@ -977,19 +977,19 @@
                 retries[0] += 1
                 link.transport.write(setup(f"a9a1{retries[0]:012x}", LEFT="3"))
 
-        loud = []
+        flooder = []
         for n in range(20):
             transport = yield from connect(platform.loop, task, platform.service.config.listen, 1000.0)
-            loud.append(Link(transport, binary.Decoder(), retry))
-            loud[-1].transport.write(setup(f"a9a0{n:012x}", LEFT="3"))  # refused immediately
+            flooder.append(Link(transport, binary.Decoder(), retry))
+            flooder[-1].transport.write(setup(f"a9a0{n:012x}", LEFT="3"))  # refused immediately
         began = platform.loop.now()
         for sid in SIDS[1:11]:
-            usual.transport.write(setup(sid))
-            yield from wait_for_message(usual, sid, Kind.ANSWER, 5000)
+            regular.transport.write(setup(sid))
+            yield from wait_for_message(regular, sid, Kind.ANSWER, 5000)
         assert retries[0] > 20 and platform.loop.now() - began < 10_000
         retries[0] = 3000
-        asked = sum(message.kind == Kind.RELEASE for link in loud for message in link.received)
-        assert asked > 20 and not any(link.ended for link in loud), "each is refused, and none is disconnected"
+        asked = sum(message.kind == Kind.RELEASE for link in flooder for message in link.received)
+        assert asked > 20 and not any(link.ended for link in flooder), "each is refused, and none is disconnected"
 
     run_on_platform(tmp_path, body)
 
--- a/tests/node/test_service.py
+++ b/tests/node/test_service.py
@@ -424,13 +424,13 @@
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start()
-        usual, misbehaving = (yield from platform.owner()), (yield from platform.owner())
-        yield from placed(platform, usual, SIDS[-1], DESCRIPTION="usual")
+        regular, misbehaving = (yield from platform.owner()), (yield from platform.owner())
+        yield from placed(platform, regular, SIDS[-1], DESCRIPTION="usual")
         misbehaving.transport.write(data)
         yield from wait_for(lambda: misbehaving.ended or misbehaving.received, 2900)
         assert all(message.kind == Kind.RELEASE for message in misbehaving.received)
         assert platform.service.tasks.ledger.open == 0 and len(host.lines(MessageType.OPEN)) == 1
-        assert not usual.ended and (yield from placed(platform, usual, SIDS[-2]))
+        assert not regular.ended and (yield from placed(platform, regular, SIDS[-2]))
 
     run_on_platform(tmp_path, body)
 
@@ -440,7 +440,7 @@
 ) -> None:
     """Guards against two faults.
 
-    Tasks at a host that no list names were kept for ever, and an owner whose reads all end within a message was cut off.
+    Tasks at a host that no list names were kept indefinitely, and an owner whose reads all end within a message was cut off.
     """
     monkeypatch.setattr(health, "SILENT_AFTER_MS", 900.0)
     monkeypatch.setattr(owners, "UNPROVEN_TIMEOUT_MS", 400.0)
@@ -469,15 +469,15 @@
     def body(platform: Platform) -> Co[None]:
         platform.host("s-1")
         platform.start()
-        usual = yield from platform.owner()
-        yield from placed(platform, usual, SIDS[0])
+        regular = yield from platform.owner()
+        yield from placed(platform, regular, SIDS[0])
         task = yield from current()
         idle = []
         for _ in range(100):
             idle.append((yield from connect(platform.loop, task, platform.service.config.listen, 1000.0)))
         newer = yield from platform.owner()
         yield from placed(platform, newer, SIDS[1])
-        assert len(platform.service.owners.links) <= 32 and not usual.ended
+        assert len(platform.service.owners.links) <= 32 and not regular.ended
         yield from wait_for(lambda: len(platform.service.owners.links) == 2, owners.UNPROVEN_TIMEOUT_MS + 1000)
         for transport in idle:
             transport.abort()
@@ -545,8 +545,8 @@
             needed.append((yield from platform.owner()))
             yield from placed(platform, needed[-1], sid, FIGURES=f"cores:1;memory:1;service:{sid}")
         with contextlib.suppress(ConnectionError):  # it may be turned away while it still connects
-            newcomer = yield from platform.owner()
-            yield from wait_for(lambda: newcomer.ended)
+            new_owner = yield from platform.owner()
+            yield from wait_for(lambda: new_owner.ended)
         yield from wait_for(lambda: platform.service.counters["owners_turned_away"])
         assert not any(owner.ended for owner in needed) and platform.service.counters["owners_turned_away"] == 1
 
--- a/tests/node/test_stop.py
+++ b/tests/node/test_stop.py
@@ -153,17 +153,17 @@
     def body(platform: Platform) -> Co[None]:
         host = platform.host("s-1")
         platform.start(limits={"cores": 1.0, "memory_mb": 512, "sockets": 64})
-        usual = yield from warm(platform, SIDS[0])
-        loud = yield from platform.owner()
+        regular = yield from warm(platform, SIDS[0])
+        flooder = yield from platform.owner()
         flood = [f"f100d{n:011x}" for n in range(2000)]
         figures = "cores:0.001;memory:0.001;service:f100d"
-        loud.transport.write(b"".join(setup(sid, FIGURES=figures) for sid in flood))
-        loud.transport.write(b"".join(release(sid) for sid in flood))
+        flooder.transport.write(b"".join(setup(sid, FIGURES=figures) for sid in flood))
+        flooder.transport.write(b"".join(release(sid) for sid in flood))
         for n in range(1, 21):
-            usual.transport.write(setup(SIDS[n], FIGURES="cores:0.1;memory:0.1;service:usual"))
+            regular.transport.write(setup(SIDS[n], FIGURES="cores:0.1;memory:0.1;service:usual"))
             yield from sleep(10)
-        yield from wait_for(lambda: all(messages_for(usual, sid) for sid in SIDS[1:21]), 10_000)
-        assert all([m.kind for m in messages_for(usual, sid)] == [Kind.ANSWER] for sid in SIDS[1:21])
+        yield from wait_for(lambda: all(messages_for(regular, sid) for sid in SIDS[1:21]), 10_000)
+        assert all([m.kind for m in messages_for(regular, sid)] == [Kind.ANSWER] for sid in SIDS[1:21])
         yield from wait_for(lambda: platform.service.tasks.ledger.open == 0, 10_000)
         yield from sleep(350)
         sent = [sid for sid in offered_sids(host) if sid in set(flood)]
