--- a/sprucepost/scale/roles.py
+++ b/sprucepost/scale/roles.py
@@ -27,11 +27,11 @@
 ROLES = (
     Role(
         "placer", "placer, gRPC front", "placer", _WHOLE,
-        ("placer.engine", "placing", "admission", "brain", "placer.links", "placer.discovery"), True,
+        ("placer.engine", "placing", "admission", "scheduler", "placer.links", "placer.discovery"), True,
     ),
     Role(
         "node", "placer, platform's front", "node", _WHOLE,
-        ("node", "placing.scheduler_driver", "placing.ledger", "brain"), True,
+        ("node", "placing.scheduler_driver", "placing.ledger", "scheduler"), True,
     ),
     Role(
         "view", "member of the view", "placer", ("cpu_percent.peers", "", "bytes_per_s.peers", "messages_per_s"),
