--- a/benchmarks/view_rough.py
+++ b/benchmarks/view_rough.py
@@ -10,8 +10,8 @@
 import sys
 
 from sprucepost.play import World
+from sprucepost.view.messages import Changed
 from sprucepost.view.view import TICK_MS
-from sprucepost.view.words import Changed
 from tests.view.schedules import Fleet
 
 SETTLE_MS = 20_000.0
--- a/sprucepost/peers/codec.py
+++ b/sprucepost/peers/codec.py
@@ -9,9 +9,9 @@
 
 from sprucepost.membership import Generation
 from sprucepost.v1 import peer_pb2 as pb
+from sprucepost.view.messages import Beat, Hello, News, Summary, Word
 from sprucepost.view.record import Record
 from sprucepost.view.view import MEMBERS_MOST
-from sprucepost.view.words import Beat, Hello, News, Summary, Word
 
 TEXT_MOST = 256  # characters of a name, a life, an address
 SEES_MOST = 256  # streams that one member may claim
--- a/sprucepost/peers/peers.py
+++ b/sprucepost/peers/peers.py
@@ -11,8 +11,8 @@
 from sprucepost.peers.configuration_codec import message_of
 from sprucepost.v1 import peer_pb2 as pb
 from sprucepost.view import Record, View
+from sprucepost.view.messages import Action, Beat, Changed, Close, Dial, Send
 from sprucepost.view.view import IDLE_TICK_MS, TICK_MS
-from sprucepost.view.words import Action, Beat, Changed, Close, Dial, Send
 from sprucepost.wire.call import Call
 from sprucepost.wire.client import ClientConnection, open_client
 from sprucepost.wire.connection import Options
--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -26,7 +26,7 @@
 from sprucepost.settings.reload import changes, refused
 from sprucepost.settings.running import settings_fingerprint
 from sprucepost.view import Record
-from sprucepost.view.words import Changed
+from sprucepost.view.messages import Changed
 from sprucepost.wire.connection import Options
 from sprucepost.wire.health import NOT_SERVING, SERVING, Health
 from sprucepost.wire.http1 import Http1
--- a/sprucepost/play/__init__.py
+++ b/sprucepost/play/__init__.py
@@ -7,7 +7,7 @@
 ``cold_starts`` the schedulers of a whole fleet, and machines that start cold (``cold_conditions``: under which conditions)
 =============== ==================================================================================================
 
-A machine is played through its own calls and actions: in the ``world`` those of :mod:`sprucepost.view.words` (``tick``,
+A machine is played through its own calls and actions: in the ``world`` those of :mod:`sprucepost.view.messages` (``tick``,
 ``opened``, ``not_opened``, ``ended`` and ``heard`` in; ``Send``, ``Dial`` and ``Close`` out), on the ``network`` those of
 :mod:`sprucepost.agreement.actions`. Anything else is noted as told. Same seed, same play.
 """
--- a/sprucepost/play/world.py
+++ b/sprucepost/play/world.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from sprucepost.play.agenda import Agenda
-from sprucepost.view.words import Close, Dial, Send
+from sprucepost.view.messages import Close, Dial, Send
 
 DIAL_LIMIT_MS = 1000.0  # a dial that nobody answers fails after that
 AGAIN_MS = 25.0  # until what a cut holds up is looked at again
--- a/sprucepost/scale/hollow/members.py
+++ b/sprucepost/scale/hollow/members.py
@@ -24,9 +24,9 @@
 from sprucepost.standin.orders import Orders
 from sprucepost.v1 import fleet_pb2
 from sprucepost.view import Record
+from sprucepost.view.messages import Dial
 from sprucepost.view.record import fingerprint
 from sprucepost.view.rings import watched
-from sprucepost.view.words import Dial
 from sprucepost.wire.client import ClientConnection, open_client
 from sprucepost.wire.server import Server
 from sprucepost.wire.status import RpcError
--- a/sprucepost/scale/state.py
+++ b/sprucepost/scale/state.py
@@ -27,9 +27,9 @@
 from sprucepost.scale.results import ResultsError
 from sprucepost.scheduler import Scheduler
 from sprucepost.v1 import common_pb2, fleet_pb2, placer_pb2
+from sprucepost.view.messages import News, Summary
 from sprucepost.view.record import Record
 from sprucepost.view.rings import rings_for
-from sprucepost.view.words import News, Summary
 
 ENTRIES = 1000
 PLACERS = 300
--- a/sprucepost/view/view.py
+++ b/sprucepost/view/view.py
@@ -38,9 +38,9 @@
 from dataclasses import dataclass, replace
 
 from sprucepost.random_source import RandomSource
+from sprucepost.view.messages import Action, Beat, Changed, Close, Dial, Hello, News, Send, Summary, Word
 from sprucepost.view.record import VERSION_MOST, Record, fingerprint, merge
 from sprucepost.view.rings import watched
-from sprucepost.view.words import Action, Beat, Changed, Close, Dial, Hello, News, Send, Summary, Word
 
 TICK_MS = 100.0  # between two ticks that the carrier gives while something changes,
 IDLE_TICK_MS = 500.0  # and else
--- a/tests/configuration/member.py
+++ b/tests/configuration/member.py
@@ -31,8 +31,8 @@
     SetAside,
     Snapshot,
 )
-from sprucepost.view.words import Close, Dial
-from sprucepost.view.words import Send as Carry
+from sprucepost.view.messages import Close, Dial
+from sprucepost.view.messages import Send as Carry
 from tests.configuration.oracle import saw
 from tests.configuration.support import CHANGEABLE, FILE, KNOWN, rules
 
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -11,8 +11,8 @@
 from sprucepost.membership import Generation
 from sprucepost.peers.codec import Malformed, decode, encode
 from sprucepost.v1 import peer_pb2 as pb
+from sprucepost.view.messages import Beat, Hello, News, Summary, Word
 from sprucepost.view.view import MEMBERS_MOST
-from sprucepost.view.words import Beat, Hello, News, Summary, Word
 from tests.view.test_view import record
 
 TEXT = st.text(min_size=1, max_size=20)
--- a/tests/peers/test_configuration_codec.py
+++ b/tests/peers/test_configuration_codec.py
@@ -25,7 +25,7 @@
 from sprucepost.peers.codec import Malformed, encode, parse, word_of
 from sprucepost.peers.configuration_codec import encode_digest, encode_message, message_of
 from sprucepost.v1 import peer_pb2 as pb
-from sprucepost.view.words import Beat
+from sprucepost.view.messages import Beat
 
 TEXT = st.text(max_size=20)
 HASH = st.integers(0, 2**64 - 1)
--- a/tests/rules/test_views.py
+++ b/tests/rules/test_views.py
@@ -11,7 +11,7 @@
 from sprucepost.rules.checker import RuleResult, RunHistory
 from sprucepost.rules.streams import Closed, Message
 from sprucepost.rules.views import PEER, check_views
-from sprucepost.view.words import Beat, Hello, News, Word
+from sprucepost.view.messages import Beat, Hello, News, Word
 from tests.view.test_view import record
 
 NAMES = ("placer-0", "placer-1", "placer-2")
--- a/tests/view/defects.py
+++ b/tests/view/defects.py
@@ -9,8 +9,8 @@
 from unittest import mock
 
 from sprucepost.view import rings, view
+from sprucepost.view.messages import Summary
 from sprucepost.view.view import View
-from sprucepost.view.words import Summary
 
 Plant = Callable[[], Any]
 
--- a/tests/view/schedules.py
+++ b/tests/view/schedules.py
@@ -11,8 +11,8 @@
 
 from sprucepost.play import Process, World
 from sprucepost.view import Record, View
+from sprucepost.view.messages import Changed
 from sprucepost.view.view import STEP_MOST_MS, TICK_MS
-from sprucepost.view.words import Changed
 
 SETTLED_MS = 15_000.0  # promised: after that, all that live and reach each other hold the same
 KNOWN_MS = 3000.0  # promised: a process that ended is away everywhere by then, where nothing else goes on
--- a/tests/view/test_view.py
+++ b/tests/view/test_view.py
@@ -15,9 +15,9 @@
 from sprucepost.play import Process, World
 from sprucepost.view import Record, View, merge
 from sprucepost.view import view as module
+from sprucepost.view.messages import Changed, Close, Dial, Hello, News, Send, Summary, Word
 from sprucepost.view.record import VERSION_MOST, digest
 from sprucepost.view.rings import rings_for, watched
-from sprucepost.view.words import Changed, Close, Dial, Hello, News, Send, Summary, Word
 from tests.view.defects import DEFECTS, planted
 from tests.view.schedules import Fleet, _view, problems
 
