--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -34,7 +34,7 @@
 from sprucepost.play.agenda import Agenda
 from sprucepost.settings import Cluster
 from sprucepost.view import Record
-from sprucepost.view.rings import watched
+from sprucepost.view.rings import ring_successors
 
 HOP_MS, BETWEEN_REGIONS_MS = (5.0, 50.0), 100.0
 BEAT_MS = 2000.0
@@ -84,7 +84,7 @@
         self.messages = self.bytes = self.beats = 0
         self._last: dict[tuple[str, str], float] = {}
         for record in records:
-            for other in watched(record, records):
+            for other in ring_successors(record, records):
                 self._link(record.name, other)
         for name in self.names:
             self.at(self.rng.uniform(0, BEAT_MS), lambda name=name: self._beat(name))  # type: ignore[misc]
--- a/benchmarks/view_rough.py
+++ b/benchmarks/view_rough.py
@@ -10,7 +10,7 @@
 import sys
 
 from sprucepost.play import World
-from sprucepost.view.messages import Changed
+from sprucepost.view.messages import ViewChanged
 from sprucepost.view.view import TICK_MS
 from tests.view.schedules import Fleet
 
@@ -38,7 +38,7 @@
         (round(moment), process.address, sorted(what.away))
         for process in fleet.living
         for moment, what in process.told
-        if isinstance(what, Changed) and what.away and moment > SETTLE_MS
+        if isinstance(what, ViewChanged) and what.away and moment > SETTLE_MS
     ]
     print(
         f"{members} members, {minutes} minutes, seed {seed}: {resets} times 5 % of streams reset, {stops} stops of 1 s"
--- a/sprucepost/cli/badday.py
+++ b/sprucepost/cli/badday.py
@@ -24,7 +24,7 @@
 from sprucepost.rules.views import LAST_MS, SETTLED_MS
 from sprucepost.standin.faults import FaultInjector
 from sprucepost.standin.scenario import Scenario
-from sprucepost.view.view import STEP_MOST_MS
+from sprucepost.view.view import MAX_REPORT_DELAY_MS
 
 
 def default_scenario() -> bytes:
@@ -117,7 +117,7 @@
         while len(set(fleet.views())) > 1 and self.loop.now() - since < SETTLED_MS:
             yield from sleep(250.0)
         self.note("peers_settled", {"after_ms": round(self.loop.now() - since)})
-        yield from sleep(STEP_MOST_MS + LAST_MS)
+        yield from sleep(MAX_REPORT_DELAY_MS + LAST_MS)
 
     def _progress(self) -> None:
         if not self.quiet and sys.stderr.isatty():
--- a/sprucepost/peers/codec.py
+++ b/sprucepost/peers/codec.py
@@ -9,9 +9,9 @@
 
 from sprucepost.membership import Generation
 from sprucepost.v1 import peer_pb2 as pb
-from sprucepost.view.messages import Beat, Hello, News, Summary, Word
+from sprucepost.view.messages import Heartbeat, Hello, RecordUpdates, Summary, ViewMessage
 from sprucepost.view.record import Record
-from sprucepost.view.view import MEMBERS_MOST
+from sprucepost.view.view import MAX_MEMBERS
 
 TEXT_MOST = 256  # characters of a name, a life, an address
 SEES_MOST = 256  # streams that one member may claim
@@ -21,7 +21,7 @@
     """What a peer sent is no word."""
 
 
-def encode(word: Word, configuration: pb.ConfigurationDigest | None = None) -> bytes:
+def encode(word: ViewMessage, configuration: pb.ConfigurationDigest | None = None) -> bytes:
     """The frame of a word; a heartbeat's with the digest of the configuration, where the sender carries one."""
     if isinstance(word, Hello):
         frame = pb.PeerFrame(
@@ -32,9 +32,9 @@
                 fixed_settings=word.fixed_settings,
             )
         )
-    elif isinstance(word, Beat):
+    elif isinstance(word, Heartbeat):
         frame = pb.PeerFrame(beat=pb.PeerBeat(digest=word.digest, configuration=configuration))
-    elif isinstance(word, News):
+    elif isinstance(word, RecordUpdates):
         frame = pb.PeerFrame(news=pb.PeerNews(records=[_record(record) for record in word.records]))
     else:
         ages = [pb.PeerAge(name=name, incarnation=life, version=version) for name, life, version in word.ages]
@@ -50,23 +50,23 @@
         raise Malformed("no frame") from error
 
 
-def decode(data: bytes) -> Word | None:
+def decode(data: bytes) -> ViewMessage | None:
     """The word of a frame, as ``word_of`` reads it."""
     return word_of(parse(data))
 
 
-def word_of(frame: pb.PeerFrame) -> Word | None:
+def word_of(frame: pb.PeerFrame) -> ViewMessage | None:
     """The word of a frame; None for one of a kind that is no word of the view, or that a later version may have. Malformed
     where it can't be."""
     kind = frame.WhichOneof("word")
     if kind == "hello":
         return Hello(frame.hello.cluster, frame.hello.settings, _read(frame.hello.record), frame.hello.fixed_settings)
     if kind == "beat":
-        return Beat(frame.beat.digest)
+        return Heartbeat(frame.beat.digest)
     if kind == "news":
-        return News(tuple(_read(record) for record in frame.news.records))
+        return RecordUpdates(tuple(_read(record) for record in frame.news.records))
     if kind == "summary":
-        if len(frame.summary.ages) > MEMBERS_MOST:
+        if len(frame.summary.ages) > MAX_MEMBERS:
             raise Malformed(f"a summary of {len(frame.summary.ages)} members")
         return Summary(
             tuple((age.name, age.incarnation, age.version) for age in frame.summary.ages), frame.summary.answer
--- a/sprucepost/peers/peers.py
+++ b/sprucepost/peers/peers.py
@@ -11,7 +11,7 @@
 from sprucepost.peers.configuration_codec import message_of
 from sprucepost.v1 import peer_pb2 as pb
 from sprucepost.view import Record, View
-from sprucepost.view.messages import Action, Beat, Changed, Close, Dial, Send
+from sprucepost.view.messages import Action, Close, Dial, Heartbeat, Send, ViewChanged
 from sprucepost.view.view import IDLE_TICK_MS, TICK_MS
 from sprucepost.wire.call import Call
 from sprucepost.wire.client import ClientConnection, open_client
@@ -52,7 +52,7 @@
         settings: str,
         seeds: tuple[str, ...],
         source: str | None,
-        changed: Callable[[Changed], None],
+        changed: Callable[[ViewChanged], None],
         looked: Callable[[], None],
         log: Callable[..., None],
         configuration: ConfigurationCarrier | None = None,
@@ -97,7 +97,7 @@
             self._looked()
             if self._configuration is not None:
                 self._configuration.tick()
-            self._soon = self.view.restless
+            self._soon = self.view.is_changing
             self._next = self._loop.call_later(TICK_MS if self._soon else IDLE_TICK_MS, self._tick)
 
     # Streams
@@ -125,7 +125,7 @@
         except (OSError, TimedOut, RpcError, ValueError) as error:
             self.counters["dial_failed"] += 1
             self._log("peer_not_connected", peer=dialled, why=str(error) or type(error).__name__)
-            self._carry(self.view.not_opened(self._loop.now(), dialled))
+            self._carry(self.view.dial_failed(self._loop.now(), dialled))
             return
         self._add(_Link(call, connection), dialled)
 
@@ -136,7 +136,7 @@
         link.call.on_message = lambda data: self._heard(number, data)
         link.call.on_end = lambda: self._over(number)
         link.call.on_over = lambda status: self._over(number)
-        self._carry(self.view.opened(self._loop.now(), number, dialled))
+        self._carry(self.view.stream_opened(self._loop.now(), number, dialled))
 
     def _heard(self, number: int, data: bytes) -> None:
         self.counters["messages_in"] += 1
@@ -145,7 +145,7 @@
             frame = parse(data)
             word = word_of(frame)
             if word is not None:
-                self._carry(self.view.heard(self._loop.now(), number, word))
+                self._carry(self.view.message_received(self._loop.now(), number, word))
             if self._configuration is not None:
                 self._heard_configuration(self._configuration, number, frame)
         except Malformed as error:
@@ -164,7 +164,7 @@
     def _over(self, number: int) -> None:
         if number in self._links:
             self._drop(number)
-            self._carry(self.view.ended(self._loop.now(), number))
+            self._carry(self.view.stream_ended(self._loop.now(), number))
 
     def _drop(self, number: int) -> None:
         link = self._links.pop(number, None)
@@ -174,14 +174,14 @@
             link.close()
 
     def _carry(self, actions: list[Action]) -> None:
-        if self.view.restless and not self._soon and self._next is not None:
+        if self.view.is_changing and not self._soon and self._next is not None:
             self._next.cancel()
             self._soon = True
             self._next = self._loop.call_later(TICK_MS, self._tick)
         for action in actions:
             if isinstance(action, Send):
                 digest = None
-                if self._configuration is not None and isinstance(action.word, Beat):
+                if self._configuration is not None and isinstance(action.word, Heartbeat):
                     digest = self._configuration.digest()
                 self._transmit(action.stream, encode(action.word, digest))
             elif isinstance(action, Dial):
--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -26,7 +26,7 @@
 from sprucepost.settings.reload import changes, refused
 from sprucepost.settings.running import settings_fingerprint
 from sprucepost.view import Record
-from sprucepost.view.messages import Changed
+from sprucepost.view.messages import ViewChanged
 from sprucepost.wire.connection import Options
 from sprucepost.wire.health import NOT_SERVING, SERVING, Health
 from sprucepost.wire.http1 import Http1
@@ -200,7 +200,7 @@
         if self.fleet_membership is not None:
             self.fleet_membership.check()
 
-    def _seen(self, step: Changed) -> None:
+    def _seen(self, step: ViewChanged) -> None:
         view = self.peers.view if self.peers is not None else None
         digest = f"{view.digest:016x}" if view is not None else None
         self.log.info("view", here=sorted(step.here), away=sorted(step.away), left=sorted(step.left), digest=digest)
@@ -272,7 +272,7 @@
         self.log.warning("incarnation_raised", known=known)
         if self.fleet_membership is not None and self.peers is not None:
             self.fleet_membership.incarnation = self.incarnation >> 16
-            known_incarnation = self.peers.view.me.incarnation
+            known_incarnation = self.peers.view.own_record.incarnation
             self.peers.view.update(incarnation=max(self.fleet_membership.incarnation, known_incarnation))
         return True
 
@@ -308,7 +308,7 @@
         self.engine.on_change = self.nudge
         self.engine.start()
         if self.peers is not None:
-            if not self.peers.view.me.address:
+            if not self.peers.view.own_record.address:
                 self.peers.view.update(address=format_address(self.grpc_address))
             self.links.suspended = True
             self.loop.call_later(FIRST_WORD_MS, self._begin_links)
@@ -358,7 +358,10 @@
         self._nudged = False
         before = self.state
         self.state, why = judge(before, self._facts())
-        if self.peers is not None and (told := f"{self.state.value} {why}".strip()[:120]) != self.peers.view.me.status:
+        if (
+            self.peers is not None
+            and (told := f"{self.state.value} {why}".strip()[:120]) != self.peers.view.own_record.status
+        ):
             self.peers.view.update(status=told)
         if self.state is before:
             return
--- a/sprucepost/placer/fleet_membership.py
+++ b/sprucepost/placer/fleet_membership.py
@@ -52,7 +52,7 @@
 
     def __init__(self, loop: Loop, view: View, wall: Callable[[], float], callbacks: MembershipCallbacks) -> None:
         self._loop, self._view, self._wall, self._callbacks = loop, view, wall, callbacks
-        self.incarnation = view.me.incarnation
+        self.incarnation = view.own_record.incarnation
         self.disputed = False
         self._seen: tuple[int, frozenset[str], int] | None = None
         self._next_check = 0.0
@@ -61,9 +61,9 @@
     def check(self) -> None:
         """To be called after each tick of the view."""
         view, now = self._view, self._loop.now()
-        if view.me.incarnation > self.incarnation:
-            self.incarnation = view.me.incarnation
-            self._callbacks.predecessor(view.me.incarnation)
+        if view.own_record.incarnation > self.incarnation:
+            self.incarnation = view.own_record.incarnation
+            self._callbacks.predecessor(view.own_record.incarnation)
         seen = (view.digest, view.here, len(view.streams))
         if seen == self._seen and now < self._next_check:
             return
@@ -76,13 +76,21 @@
     def _check_number(self, now: float) -> None:
         view = self._view
         self._note_namesake(now)
-        others = [view.records[name] for name in view.conflicts().get(view.me.number, ()) if name != view.me.name]
-        older = [other for other in others if (other.incarnation, other.name) < (view.me.incarnation, view.me.name)]
+        others = [
+            view.records[name]
+            for name in view.conflicts().get(view.own_record.number, ())
+            if name != view.own_record.name
+        ]
+        older = [
+            other
+            for other in others
+            if (other.incarnation, other.name) < (view.own_record.incarnation, view.own_record.name)
+        ]
         since = self._namesake_since
         if older:
-            self._callbacks.number_shared(f"{older[0].name} at {older[0].address} has number {view.me.number}")
+            self._callbacks.number_shared(f"{older[0].name} at {older[0].address} has number {view.own_record.number}")
         elif since is not None and now - since >= NAMESAKE_MS:
-            self._callbacks.number_shared(f"another process is {view.me.name}")
+            self._callbacks.number_shared(f"another process is {view.own_record.name}")
         else:
             self._callbacks.number_shared("")
         if since is not None:
@@ -90,7 +98,7 @@
             self._next_check = min(self._next_check, due) if now < due else now
 
     def _note_namesake(self, now: float) -> None:
-        if not self._view.namesake or self._view.superseded:
+        if not self._view.has_namesake or self._view.is_superseded:
             self._namesake_since = None
         elif self._namesake_since is None:
             self._namesake_since = now
@@ -100,11 +108,11 @@
         others = [
             KnownPlacer(record.number, record.generation, name in view.here)
             for name, record in view.records.items()
-            if name != view.me.name and not record.left and record.generation.size
+            if name != view.own_record.name and not record.left and record.generation.size
         ]
-        mine = view.me.generation
+        mine = view.own_record.generation
         best = reduce(newer_generation, (other.generation for other in others), mine)
-        resize = Resize(view.me.number, best, others)
+        resize = Resize(view.own_record.number, best, others)
         best = resize.propose_end(self._wall()) or best
         if best != mine:
             view.update(generation=best)
--- a/sprucepost/placer/pages.py
+++ b/sprucepost/placer/pages.py
@@ -70,8 +70,8 @@
     if placer.peers is None or placer.fleet_membership is None:
         return ""
     view = placer.peers.view
-    settled = (placer.loop.now() - view.moved) / 1000.0
-    words = [f"view: {len(view.here)} here, {len(view.away)} away, size {view.me.generation.size}"]
+    settled = (placer.loop.now() - view.changed_at) / 1000.0
+    words = [f"view: {len(view.here)} here, {len(view.away)} away, size {view.own_record.generation.size}"]
     words += [f"digest {view.digest:016x}", f"settled for {settled:.1f} s"]
     words += ["generation disputed"] * placer.fleet_membership.disputed
     return ", ".join(words) + "\n"
@@ -80,9 +80,9 @@
 def shown(view: View, now: float) -> dict[str, Any]:
     """A view as JSON: what this placer sees, and since when nothing has changed."""
     return {
-        "name": view.me.name,
+        "name": view.own_record.name,
         "digest": f"{view.digest:016x}",
-        "settled_ms": round(now - view.moved),
+        "settled_ms": round(now - view.changed_at),
         "conflicts": {str(number): names for number, names in view.conflicts().items()},
         "members": [
             {
@@ -185,8 +185,8 @@
     view = peers.view
     for name, text, value in (
         ("view_here", "Placers that can be reached", len(view.here)),
-        ("view_size", "The size under which this placer runs", view.me.generation.size),
-        ("view_generation", "Its generation", view.me.generation.number),
+        ("view_size", "The size under which this placer runs", view.own_record.generation.size),
+        ("view_generation", "Its generation", view.own_record.generation.number),
         ("view_disputed", "1 while placers hold unlike generations of one number", bool(company and company.disputed)),
         ("view_bytes_sent", "Bytes said to other placers", peers.counters["bytes_out"]),
         ("view_bytes_received", "Bytes heard of other placers", peers.counters["bytes_in"]),
@@ -194,7 +194,7 @@
         ("view_messages_received", "Messages heard of other placers", peers.counters["messages_in"]),
         ("view_away", "Placers that are remembered and not reached", len(view.away)),
         ("view_conflicts", "Numbers that more than one placer has", len(view.conflicts())),
-        ("view_settled_ms", "Since the view last changed, here or at a peer", now - view.moved),
+        ("view_settled_ms", "Since the view last changed, here or at a peer", now - view.changed_at),
         ("view_streams", "Streams to other placers", len(view.streams)),
     ):
         gauge = GaugeMetricFamily(f"sprucepost_{name}", text)
--- a/sprucepost/play/__init__.py
+++ b/sprucepost/play/__init__.py
@@ -8,8 +8,8 @@
 =============== ==================================================================================================
 
 A machine is played through its own calls and actions: in the ``world`` those of :mod:`sprucepost.view.messages` (``tick``,
-``opened``, ``not_opened``, ``ended`` and ``heard`` in; ``Send``, ``Dial`` and ``Close`` out), on the ``network`` those of
-:mod:`sprucepost.agreement.actions`. Anything else is noted as told. Same seed, same play.
+``stream_opened``, ``dial_failed``, ``stream_ended`` and ``message_received`` in; ``Send``, ``Dial`` and ``Close`` out), on
+the ``network`` those of :mod:`sprucepost.agreement.actions`. Anything else is noted as told. Same seed, same play.
 """
 
 from sprucepost.play.network import DatagramNetwork, DiskProcess
--- a/sprucepost/play/world.py
+++ b/sprucepost/play/world.py
@@ -17,10 +17,10 @@
     """What is played: each call returns actions."""
 
     def tick(self, now: float) -> list[Any]: ...
-    def opened(self, now: float, stream: int, dialled: str | None) -> list[Any]: ...
-    def not_opened(self, now: float, dialled: str) -> list[Any]: ...
-    def ended(self, now: float, stream: int) -> list[Any]: ...
-    def heard(self, now: float, stream: int, word: Any) -> list[Any]: ...
+    def stream_opened(self, now: float, stream: int, dialled: str | None) -> list[Any]: ...
+    def dial_failed(self, now: float, dialled: str) -> list[Any]: ...
+    def stream_ended(self, now: float, stream: int) -> list[Any]: ...
+    def message_received(self, now: float, stream: int, word: Any) -> list[Any]: ...
 
 
 class Process:
@@ -135,7 +135,7 @@
         if self.held(sender, receiver):
             self.at(self.now + AGAIN_MS, lambda: self._arrive(pipe, to, word))
             return
-        self.do(receiver, lambda: receiver.machine.heard(self.now, pipe.idents[to], word))
+        self.do(receiver, lambda: receiver.machine.message_received(self.now, pipe.idents[to], word))
 
     def _end(self, pipe: _Pipe, by: Process) -> None:
         """One end is closed; the other hears of it as soon as words from there reach it."""
@@ -153,7 +153,7 @@
             return
         pipe.over = True
         del receiver.pipes[pipe.idents[to]]
-        self.do(receiver, lambda: receiver.machine.ended(self.now, pipe.idents[to]))
+        self.do(receiver, lambda: receiver.machine.stream_ended(self.now, pipe.idents[to]))
 
     def _dial(self, process: Process, action: Dial) -> None:
         self.at(self.now + self._way(process), lambda: self._dialled(process, action))
@@ -161,15 +161,15 @@
     def _dialled(self, process: Process, action: Dial) -> None:
         target, dialled = self.processes.get(action.address), action.name or action.address
         if target is None or not target.alive:
-            self.do(process, lambda: process.machine.not_opened(self.now, dialled))
+            self.do(process, lambda: process.machine.dial_failed(self.now, dialled))
         elif process.deaf or self.held(process, target) or self.held(target, process) or target is process:
             self.at(
                 self.now + DIAL_LIMIT_MS,
-                lambda: self.do(process, lambda: process.machine.not_opened(self.now, dialled)),
+                lambda: self.do(process, lambda: process.machine.dial_failed(self.now, dialled)),
             )
         elif process.alive:
             self._number += 2
             pipe = _Pipe((process, target), (self._number, self._number + 1))
             process.pipes[pipe.idents[0]] = target.pipes[pipe.idents[1]] = pipe
-            self.do(process, lambda: process.machine.opened(self.now, pipe.idents[0], dialled))
-            self.do(target, lambda: target.machine.opened(self.now, pipe.idents[1], None))
+            self.do(process, lambda: process.machine.stream_opened(self.now, pipe.idents[0], dialled))
+            self.do(target, lambda: target.machine.stream_opened(self.now, pipe.idents[1], None))
--- a/sprucepost/scale/fleet.py
+++ b/sprucepost/scale/fleet.py
@@ -39,7 +39,7 @@
 from sprucepost.settings import PeerOptions, PlacerFile, PlacerOptions
 from sprucepost.settings.placer import Limits as PlacerLimits
 from sprucepost.standin.orders import order
-from sprucepost.view.rings import rings_for
+from sprucepost.view.rings import ring_count
 from sprucepost.wire.client import open_client
 from sprucepost.wire.status import RpcError
 
@@ -155,7 +155,7 @@
         references = len(REFERENCES) if options.references else 0
         real = self.real_count + references
         hollow = size.placers - self.real_count - self._member_references
-        streams = 2 * rings_for(size.placers) + 2
+        streams = 2 * ring_count(size.placers) + 2
         sessions = size.teams * (self.real_count + 1)
         member_processes = _processes_for(hollow, options.members_per_process)
         worker_processes = _processes_for(size.workers, options.workers_per_process)
--- a/sprucepost/scale/hollow/members.py
+++ b/sprucepost/scale/hollow/members.py
@@ -26,7 +26,7 @@
 from sprucepost.view import Record
 from sprucepost.view.messages import Dial
 from sprucepost.view.record import fingerprint
-from sprucepost.view.rings import watched
+from sprucepost.view.rings import ring_successors
 from sprucepost.wire.client import ClientConnection, open_client
 from sprucepost.wire.server import Server
 from sprucepost.wire.status import RpcError
@@ -47,7 +47,7 @@
         """Hold these records, of which one is its own."""
         view = self.view
         view.records = {record.name: record for record in records}
-        view.me = view.records[view.me.name]
+        view.own_record = view.records[view.own_record.name]
         view.digest = 0
         for record in records:
             view.digest ^= fingerprint(record)
@@ -79,23 +79,23 @@
 
     @property
     def name(self) -> str:
-        return self.peers.view.me.name
+        return self.peers.view.own_record.name
 
     def join(self, records: Sequence[Record]) -> None:
         """Know the fleet, and open the streams that the rings ask for."""
         self.peers.know(records)
         by_name = self.peers.view.records
-        self.peers.connect([by_name[name] for name in watched(by_name[self.name], records)])
+        self.peers.connect([by_name[name] for name in ring_successors(by_name[self.name], records)])
 
     @property
     def unconnected(self) -> int:
         """Streams of its record that are not there yet."""
         view = self.peers.view
-        return len({name for name, _ in view.me.sees} - {stream.name for stream in view.streams.values()})
+        return len({name for name, _ in view.own_record.sees} - {stream.name for stream in view.streams.values()})
 
     def begin(self) -> None:
         """Run the view."""
-        self.peers.view.moved = self.peers.view._ticked  # nothing has changed since the fleet was told
+        self.peers.view.changed_at = self.peers.view._last_tick  # nothing has changed since the fleet was told
         self.peers.start()
 
 
@@ -164,7 +164,7 @@
             members=len(views),
             unconnected=sum(member.unconnected for member in self.members),
             here_least=min(len(view.here) for view in views),
-            settled_ms=self._loop.now() - max(view.moved for view in views),
+            settled_ms=self._loop.now() - max(view.changed_at for view in views),
         )
         found: dict[str, Any] = msgspec.to_builtins(status)
         return found
@@ -200,7 +200,7 @@
     hollow = {member_name(known.number) for known in fleet if not known.real}
     sees: dict[str, set[str]] = {name: set() for name in alone}
     for name in hollow:
-        for other in watched(alone[name], list(alone.values())):
+        for other in ring_successors(alone[name], list(alone.values())):
             sees[name].add(other)
             sees[other].add(name)
     return [_with_sight(alone[name], sees[name], alone) if name in hollow else alone[name] for name in alone]
--- a/sprucepost/scale/state.py
+++ b/sprucepost/scale/state.py
@@ -27,9 +27,9 @@
 from sprucepost.scale.results import ResultsError
 from sprucepost.scheduler import Scheduler
 from sprucepost.v1 import common_pb2, fleet_pb2, placer_pb2
-from sprucepost.view.messages import News, Summary
+from sprucepost.view.messages import RecordUpdates, Summary
 from sprucepost.view.record import Record
-from sprucepost.view.rings import rings_for
+from sprucepost.view.rings import ring_count
 
 ENTRIES = 1000
 PLACERS = 300
@@ -108,7 +108,7 @@
 
 
 def _member(number: int) -> Record:
-    sees = tuple((f"placer-{(number + n) % PLACERS}", f"{n:016x}") for n in range(1, 2 * rings_for(PLACERS) + 1))
+    sees = tuple((f"placer-{(number + n) % PLACERS}", f"{n:016x}") for n in range(1, 2 * ring_count(PLACERS) + 1))
     return Record(
         name=f"placer-{number}", incarnation=1_796_000_000_000 + number, life=f"{number:016x}", version=40, number=number,
         host=f"10.0.{number // 250}.{number % 250}", room="north-a", address=f"10.0.{number // 250}.{number % 250}:7000",
@@ -117,7 +117,7 @@
 
 
 def _record_encoded() -> float:
-    return _each(encode(News(tuple(_member(n) for n in range(PLACERS)))), PLACERS)
+    return _each(encode(RecordUpdates(tuple(_member(n) for n in range(PLACERS)))), PLACERS)
 
 
 def _summary_encoded() -> float:
@@ -132,7 +132,7 @@
 def _hold_records() -> Any:
     """As they are heard: decoded, each of its own strings, and kept by the codec too. Each call holds other members."""
     first = next(_fresh)
-    return [decode(encode(News((_member(first + n),)))) for n in range(ENTRIES)]
+    return [decode(encode(RecordUpdates((_member(first + n),)))) for n in range(ENTRIES)]
 
 
 # The list, as placers hold it
--- a/sprucepost/view/messages.py
+++ b/sprucepost/view/messages.py
@@ -18,14 +18,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """Sent all the time, as a sign of life: the digest of all that the sender holds."""
 
     digest: int
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class RecordUpdates:
     """Records that the receiver may not have."""
 
     records: tuple[Record, ...]
@@ -39,7 +39,7 @@
     answer: bool = False
 
 
-Word = Hello | Beat | News | Summary
+ViewMessage = Hello | Heartbeat | RecordUpdates | Summary
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     """Say that on a stream."""
 
     stream: int
-    word: Word
+    word: ViewMessage
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class ViewChanged:
     """The view has changed, in one step: names by what they have become."""
 
     here: frozenset[str]
@@ -75,4 +75,4 @@
     left: frozenset[str]
 
 
-Action = Send | Dial | Close | Changed
+Action = Send | Dial | Close | ViewChanged
--- a/sprucepost/view/record.py
+++ b/sprucepost/view/record.py
@@ -9,8 +9,8 @@
 
 from sprucepost.membership import Generation
 
-UNTOLD = Generation(0, 0)  # by a member that tells none
-VERSION_MOST = 2**53  # no member counts so far in a lifetime: what claims more is a lie, and is not taken
+NO_GENERATION = Generation(0, 0)  # by a member that tells none
+MAX_VERSION = 2**53  # no member counts so far in a lifetime: what claims more is a lie, and is not taken
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     host: str
     room: str
     address: str
-    generation: Generation = UNTOLD
+    generation: Generation = NO_GENERATION
     status: str = ""
     roles: tuple[str, ...] = ()
     sees: tuple[tuple[str, str], ...] = ()
--- a/sprucepost/view/view.py
+++ b/sprucepost/view/view.py
@@ -38,9 +38,20 @@
 from dataclasses import dataclass, replace
 
 from sprucepost.random_source import RandomSource
-from sprucepost.view.messages import Action, Beat, Changed, Close, Dial, Hello, News, Send, Summary, Word
-from sprucepost.view.record import VERSION_MOST, Record, fingerprint, merge
-from sprucepost.view.rings import watched
+from sprucepost.view.messages import (
+    Action,
+    Close,
+    Dial,
+    Heartbeat,
+    Hello,
+    RecordUpdates,
+    Send,
+    Summary,
+    ViewChanged,
+    ViewMessage,
+)
+from sprucepost.view.record import MAX_VERSION, Record, fingerprint, merge
+from sprucepost.view.rings import ring_successors
 
 TICK_MS = 100.0  # between two ticks that the carrier gives while something changes,
 IDLE_TICK_MS = 500.0  # and else
@@ -59,10 +70,10 @@
 GAINED_MS = 1000.0  # between two times that a member tells whom it sees besides,
 YOUNG_MS = 10_000.0  # for so long after its start: hundreds may start at once, and each is news for all
 STEP_MS = 300.0  # a change is told when nothing else has changed for so long,
-STEP_MOST_MS = 1000.0  # or at the latest after that
+MAX_REPORT_DELAY_MS = 1000.0  # or at the latest after that
 FORGET_MS = 600_000.0
 PART = 64  # records in one piece of news
-MEMBERS_MOST = 4096
+MAX_MEMBERS = 4096
 
 
 @dataclass(slots=True)
@@ -92,12 +103,12 @@
         now: float,
         fixed_settings: str = "",
     ) -> None:
-        self.me, self._cluster, self._settings, self._seeds, self._rng = record, cluster, settings, seeds, rng
+        self.own_record, self._cluster, self._settings, self._seeds, self._rng = record, cluster, settings, seeds, rng
         self._fixed_settings = fixed_settings
         self.records: dict[str, Record] = {record.name: record}
         self.digest = fingerprint(record)
         self.here: frozenset[str] = frozenset({record.name})
-        self.replaced = False  # a newer process of this name lives, for as long as others see it: this one must go
+        self.is_replaced = False  # a newer process of this name lives, for as long as others see it: this one must go
         self.counters: Counter[str] = Counter()
         self.streams: dict[int, Stream] = {}
         self._actions: list[Action] = []
@@ -110,19 +121,24 @@
         self._twin: tuple[str, float] | None = None  # a newer process of this name, and since when it is seen
         self._told: tuple[frozenset[str], frozenset[str], frozenset[str]] = (self.here, frozenset(), frozenset())
         self._changing: tuple[float, float] | None = None  # first and latest change that has not been told
-        self._ticked, self._beaten, self._retry = now, now, now
+        self._last_tick, self._beaten, self._retry = now, now, now
         self._doubt = 1.0
         self._wanted: list[str] = []
         self._dirty = True
         self._born, self._gained = now, float("-inf")  # when it started, and last told that
-        self.moved = now  # when something changed last, here or at a peer
+        self.changed_at = now  # when something changed last, here or at a peer
 
     # What may be asked
 
     @property
-    def restless(self) -> bool:
+    def is_changing(self) -> bool:
         """Whether ticks are wanted every ``TICK_MS``: something is changing, or has just changed."""
-        return self._dirty or bool(self._pending) or self._changing is not None or self._ticked - self.moved < SYNC_MS
+        return (
+            self._dirty
+            or bool(self._pending)
+            or self._changing is not None
+            or self._last_tick - self.changed_at < SYNC_MS
+        )
 
     @property
     def away(self) -> frozenset[str]:
@@ -141,16 +157,16 @@
         return {number: names for number, names in holders.items() if len(names) > 1}
 
     @property
-    def namesake(self) -> bool:
+    def has_namesake(self) -> bool:
         """Whether another process of this name is seen by somebody who is here: alive, or dead for no longer than its
         streams are believed."""
-        mine = self.me.name, self.me.life
+        mine = self.own_record.name, self.own_record.life
         return any(stream.name == mine[0] for stream in self.streams.values()) or any(
             name == mine[0] and life != mine[1] for member in self.here for name, life in self.records[member].sees
         )
 
     @property
-    def superseded(self) -> bool:
+    def is_superseded(self) -> bool:
         """Whether that other process counts as the newer life of this name."""
         return self._twin is not None
 
@@ -158,7 +174,7 @@
 
     def update(self, **changes: object) -> None:
         """This member's own record says something else from now on."""
-        self._publish(replace(self.me, version=self.me.version + 1, **changes))  # type: ignore[arg-type]
+        self._publish(replace(self.own_record, version=self.own_record.version + 1, **changes))  # type: ignore[arg-type]
 
     def leave(self) -> list[Action]:
         """Go in good order: the last news says so."""
@@ -166,26 +182,26 @@
         self._flush()
         return self._out()
 
-    def opened(self, now: float, stream: int, dialled: str | None) -> list[Action]:
+    def stream_opened(self, now: float, stream: int, dialled: str | None) -> list[Action]:
         """A stream is there, dialled by this member (under that name or address) or by another."""
         if dialled is not None:
             self._dialling.pop(dialled, None)
         self.streams[stream] = Stream(stream, dialled, now)
-        self._say(stream, Hello(self._cluster, self._settings, self.me, self._fixed_settings))
+        self._say(stream, Hello(self._cluster, self._settings, self.own_record, self._fixed_settings))
         return self._out()
 
-    def not_opened(self, now: float, dialled: str) -> list[Action]:
+    def dial_failed(self, now: float, dialled: str) -> list[Action]:
         """A dial has failed."""
         self._dialling.pop(dialled, None)
         self._put_off(now, dialled)
         return self._out()
 
-    def ended(self, now: float, stream: int) -> list[Action]:
+    def stream_ended(self, now: float, stream: int) -> list[Action]:
         """A stream is over, by the other end or by itself."""
         self._drop(now, stream)
         return self._out()
 
-    def heard(self, now: float, stream: int, word: Word) -> list[Action]:
+    def message_received(self, now: float, stream: int, word: ViewMessage) -> list[Action]:
         """A word came; one from a stream that was closed meanwhile is nothing."""
         known = self.streams.get(stream)
         if known is None:
@@ -195,11 +211,11 @@
             self._hello(now, known, word)
         elif not known.name:
             self._close(now, stream, "a word before its hello")
-        elif isinstance(word, Beat):
+        elif isinstance(word, Heartbeat):
             known.differs = known.differs + 1 if word.digest != self.digest else 0
             if known.differs:
-                self.moved = now
-        elif isinstance(word, News):
+                self.changed_at = now
+        elif isinstance(word, RecordUpdates):
             for record in word.records:
                 self._take(now, record, stream)
         else:
@@ -207,23 +223,23 @@
         return self._out()
 
     def tick(self, now: float) -> list[Action]:
-        """To be called every ``TICK_MS``, where nothing is ``restless`` every ``IDLE_TICK_MS``."""
-        stood = now - self._ticked
-        usual = TICK_MS if self.restless else IDLE_TICK_MS
+        """To be called every ``TICK_MS``, where nothing is ``is_changing`` every ``IDLE_TICK_MS``."""
+        stood = now - self._last_tick
+        usual = TICK_MS if self.is_changing else IDLE_TICK_MS
         if stood >= usual + STOOD_MS:  # what was said meanwhile has not been read: nobody is judged by it
             for stream in self.streams.values():
                 stream.heard += stood
             self._unseen = {name: since + stood for name, since in self._unseen.items()}
             self._doubt = min(DOUBT_MOST, self._doubt * 2)
             self.counters["stood"] += 1
-        self._ticked = now
+        self._last_tick = now
         self._judge(now, stood)
         self._twins(now)
-        if now - self._beaten >= (BEAT_MS if now - self.moved < RESTLESS_MS else IDLE_MS):
+        if now - self._beaten >= (BEAT_MS if now - self.changed_at < RESTLESS_MS else IDLE_MS):
             self._beaten = now
             for stream in self.streams.values():
                 if stream.name:
-                    self._say(stream.ident, Beat(self.digest))
+                    self._say(stream.ident, Heartbeat(self.digest))
         for stream in self.streams.values():
             if stream.differs >= 2 and now - stream.synced >= SYNC_MS and stream.ident not in self._pending:
                 stream.synced = now
@@ -276,12 +292,12 @@
         peer = word.record
         if word.cluster != self._cluster or not self._settings_agree(word):
             self._close(now, stream.ident, "another fleet")
-        elif peer.life == self.me.life:
+        elif peer.life == self.own_record.life:
             self._close(now, stream.ident, "myself")
         elif not stream.name:
             stream.name, stream.life = peer.name, peer.life
             self._forgotten.pop(peer.name, None)
-            if peer.name != self.me.name:
+            if peer.name != self.own_record.name:
                 self._failed.pop(peer.name, None)
             self._take(now, peer, stream.ident)
             self._dirty = True
@@ -317,14 +333,14 @@
         return held is None or held.age < age
 
     def _take(self, now: float, record: Record, source: int) -> None:
-        if not 0 <= record.version <= VERSION_MOST or not record.name:
+        if not 0 <= record.version <= MAX_VERSION or not record.name:
             self.counters["implausible"] += 1
             return
-        if record.name == self.me.name:
+        if record.name == self.own_record.name:
             self._defend(now, record, source)
             return
         held, forgotten = self.records.get(record.name), self._forgotten.get(record.name)
-        if held is None and len(self.records) >= MEMBERS_MOST:
+        if held is None and len(self.records) >= MAX_MEMBERS:
             self.counters["too_many"] += 1
             return
         if held is None and forgotten is not None and record.incarnation <= forgotten[0][0] and now < forgotten[1]:
@@ -339,54 +355,64 @@
             self.digest ^= fingerprint(held)
         self.digest ^= fingerprint(record)
         self.records[record.name] = record
-        self._dirty, self.moved = True, now
+        self._dirty, self.changed_at = True, now
         for stream in self.streams.values():
             if stream.name and stream.ident != source:
                 self._pending.setdefault(stream.ident, {})[record.name] = None
 
     def _publish(self, record: Record) -> None:
-        self.me = record
-        self._set(self._ticked, record, None)
+        self.own_record = record
+        self._set(self._last_tick, record, None)
 
     def _defend(self, now: float, record: Record, source: int) -> None:
         """Somebody says something of this name."""
-        if record.life == self.me.life:
-            if record.age > self.me.age or (record.age == self.me.age and record != self.me):
-                self._publish(replace(self.me, version=min(record.version + 1, VERSION_MOST)))
-        elif record.incarnation >= self.me.incarnation:
+        if record.life == self.own_record.life:
+            if record.age > self.own_record.age or (record.age == self.own_record.age and record != self.own_record):
+                self._publish(replace(self.own_record, version=min(record.version + 1, MAX_VERSION)))
+        elif record.incarnation >= self.own_record.incarnation:
             # A predecessor whose clock was ahead, or a process started after this one: the latter lives and is seen.
             if self._twin is None or self._twin[0] != record.life:
                 self._twin = record.life, now
                 self._twin_incarnation = record.incarnation
         elif source in self.streams:
-            self._pending.setdefault(source, {})[self.me.name] = None
+            self._pending.setdefault(source, {})[self.own_record.name] = None
 
     def _twins(self, now: float) -> None:
         if self._twin is None:
             return
         life, since = self._twin
-        seen = any((self.me.name, life) in self.records[name].sees for name in self.here if name != self.me.name)
+        seen = any(
+            (self.own_record.name, life) in self.records[name].sees
+            for name in self.here
+            if name != self.own_record.name
+        )
         seen = seen or any(stream.life == life for stream in self.streams.values())
         if seen and now - since > PATIENCE_MS * DOUBT_MOST:
-            self.replaced = True
+            self.is_replaced = True
         elif not seen:  # whoever had seen it was late, or cut off
-            self._twin, self.replaced = None, False
-            if self._twin_incarnation >= self.me.incarnation:
-                self._publish(replace(self.me, incarnation=self._twin_incarnation + 1, version=self.me.version + 1))
+            self._twin, self.is_replaced = None, False
+            if self._twin_incarnation >= self.own_record.incarnation:
+                self._publish(
+                    replace(
+                        self.own_record, incarnation=self._twin_incarnation + 1, version=self.own_record.version + 1
+                    )
+                )
 
     # What follows from the records
 
     def _derive(self, now: float) -> None:
         if not self._dirty:
             return
-        if not self.me.left:
-            sees = tuple(sorted({(s.name, s.life) for s in self.streams.values() if s.name and s.name != self.me.name}))
-            lost = bool(set(self.me.sees) - set(sees))
-            soon = lost or not self.me.sees or now - self._born >= YOUNG_MS or now - self._gained >= GAINED_MS
-            if sees != self.me.sees and soon:
+        if not self.own_record.left:
+            sees = tuple(
+                sorted({(s.name, s.life) for s in self.streams.values() if s.name and s.name != self.own_record.name})
+            )
+            lost = bool(set(self.own_record.sees) - set(sees))
+            soon = lost or not self.own_record.sees or now - self._born >= YOUNG_MS or now - self._gained >= GAINED_MS
+            if sees != self.own_record.sees and soon:
                 self._gained = now
-                self._publish(replace(self.me, sees=sees, version=self.me.version + 1))
-        here, edge = {self.me.name}, [self.me]
+                self._publish(replace(self.own_record, sees=sees, version=self.own_record.version + 1))
+        here, edge = {self.own_record.name}, [self.own_record]
         while edge:
             for name, life in edge.pop().sees:
                 other = self.records.get(name)
@@ -396,10 +422,10 @@
         unseen = {n for n in self.here - here if n in self.records and not self.records[n].left}
         self._unseen = {name: self._unseen.get(name, now) for name in unseen}
         here |= {name for name, since in self._unseen.items() if now - since < self._linger(name)}
-        self._dirty = bool(self._unseen) or (not self.me.left and sees != self.me.sees)
+        self._dirty = bool(self._unseen) or (not self.own_record.left and sees != self.own_record.sees)
         if frozenset(here) != self.here:
             self.here = frozenset(here)
-            self._wanted = watched(self.me, [self.records[name] for name in here])
+            self._wanted = ring_successors(self.own_record, [self.records[name] for name in here])
         self._shed(now)
         state = (self.here, self.away, self.left)
         if state != self._told:
@@ -436,7 +462,7 @@
     # Dials
 
     def _dial(self, now: float) -> None:
-        if self.me.left:
+        if self.own_record.left:
             return
         names = {stream.name for stream in self.streams.values()}
         for name in self._wanted:
@@ -453,7 +479,7 @@
             self._try(now, name, self.records[name].address, patient=False)
         elif strange or not self.streams:
             seed = self._rng.choice(strange or list(self._seeds) or [""])
-            if seed and seed != self.me.address:
+            if seed and seed != self.own_record.address:
                 self._try(now, seed, seed, patient=False)
 
     def _try(self, now: float, name: str, address: str, patient: bool = True) -> None:
@@ -466,7 +492,7 @@
 
     # Words
 
-    def _say(self, stream: int, word: Word) -> None:
+    def _say(self, stream: int, word: ViewMessage) -> None:
         self._actions.append(Send(stream, word))
 
     def _flush(self) -> None:
@@ -479,15 +505,15 @@
         rest = list(records)
         while rest:
             part, rest = rest[:PART], rest[PART:]
-            self._say(stream, News(tuple(part)))
+            self._say(stream, RecordUpdates(tuple(part)))
 
     def _tell(self, now: float) -> None:
         if self._changing is None:
             return
         first, latest = self._changing
-        if now - latest >= STEP_MS or now - first >= STEP_MOST_MS:
+        if now - latest >= STEP_MS or now - first >= MAX_REPORT_DELAY_MS:
             self._changing, self._told = None, (self.here, self.away, self.left)
-            self._actions.append(Changed(*self._told))
+            self._actions.append(ViewChanged(*self._told))
 
     def _out(self) -> list[Action]:
         actions, self._actions = self._actions, []
--- a/tests/configuration/member.py
+++ b/tests/configuration/member.py
@@ -143,7 +143,7 @@
         actions = self._out()
         for ident, stream in list(self._streams.items()):
             if now - stream.heard > PATIENCE_MS:
-                actions += [Close(ident, "silent"), *self.ended(now, ident)]
+                actions += [Close(ident, "silent"), *self.stream_ended(now, ident)]
         if now - self._beaten >= BEAT_MS:
             self._beaten = now
             actions += [carry(ident, self.replica.digest) for ident, stream in self._streams.items() if stream.address]
@@ -154,22 +154,22 @@
                 actions.append(Dial(address, address))
         return actions
 
-    def opened(self, now: float, stream: int, dialled: str | None) -> list[Any]:
+    def stream_opened(self, now: float, stream: int, dialled: str | None) -> list[Any]:
         self._dialling.discard(dialled or "")
         self._streams[stream] = _Stream(now)
         return [carry(stream, Hello(self.address))]
 
-    def not_opened(self, now: float, dialled: str) -> list[Any]:
+    def dial_failed(self, now: float, dialled: str) -> list[Any]:
         self._dialling.discard(dialled)
         return []
 
-    def ended(self, now: float, stream: int) -> list[Any]:
+    def stream_ended(self, now: float, stream: int) -> list[Any]:
         known = self._streams.pop(stream, None)
         if known is not None and known.address:
             self.replica.disconnected(self._clock(now), stream)
         return self._out()
 
-    def heard(self, now: float, stream: int, word: Any) -> list[Any]:
+    def message_received(self, now: float, stream: int, word: Any) -> list[Any]:
         known = self._streams.get(stream)
         if known is None:
             return []
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -11,8 +11,8 @@
 from sprucepost.membership import Generation
 from sprucepost.peers.codec import Malformed, decode, encode
 from sprucepost.v1 import peer_pb2 as pb
-from sprucepost.view.messages import Beat, Hello, News, Summary, Word
-from sprucepost.view.view import MEMBERS_MOST
+from sprucepost.view.messages import Heartbeat, Hello, RecordUpdates, Summary, ViewMessage
+from sprucepost.view.view import MAX_MEMBERS
 from tests.view.test_view import record
 
 TEXT = st.text(min_size=1, max_size=20)
@@ -29,14 +29,14 @@
 )  # fmt: skip
 WORDS = st.one_of(
     st.builds(Hello, st.text(max_size=9), st.text(max_size=9), RECORDS),
-    st.builds(Beat, st.integers(0, 2**64 - 1)),
-    st.builds(News, st.lists(RECORDS, max_size=3).map(tuple)),
+    st.builds(Heartbeat, st.integers(0, 2**64 - 1)),
+    st.builds(RecordUpdates, st.lists(RECORDS, max_size=3).map(tuple)),
     st.builds(Summary, st.lists(st.tuples(TEXT, BIG, BIG), max_size=4).map(tuple), st.booleans()),
 )
 
 
 @given(WORDS)
-def test_words_come_back_as_they_were(word: Word) -> None:
+def test_words_come_back_as_they_were(word: ViewMessage) -> None:
     assert decode(encode(word)) == word
 
 
@@ -47,8 +47,8 @@
 
 
 def test_unknown_fields_and_words_of_a_later_version_are_passed_over() -> None:
-    beat = encode(Beat(7))
-    assert decode(beat + b"\xfa\x01\x03abc") == Beat(7)
+    beat = encode(Heartbeat(7))
+    assert decode(beat + b"\xfa\x01\x03abc") == Heartbeat(7)
     assert decode(b"\xfa\x01\x03abc") is None
 
 
@@ -58,7 +58,7 @@
         pb.PeerFrame(hello=pb.PeerHello(cluster="c")),
         pb.PeerFrame(news=pb.PeerNews(records=[pb.PeerRecord(name="p", life="l", host="h" * 300)])),
         pb.PeerFrame(news=pb.PeerNews(records=[pb.PeerRecord(name="p", life="l", sees=[pb.PeerSight()] * 300)])),
-        pb.PeerFrame(summary=pb.PeerSummary(ages=[pb.PeerAge(name="p")] * (MEMBERS_MOST + 1))),
+        pb.PeerFrame(summary=pb.PeerSummary(ages=[pb.PeerAge(name="p")] * (MAX_MEMBERS + 1))),
     ],
 )
 def test_what_is_too_much_or_nobody_is_refused(frame: pb.PeerFrame) -> None:
--- a/tests/peers/test_configuration_codec.py
+++ b/tests/peers/test_configuration_codec.py
@@ -25,7 +25,7 @@
 from sprucepost.peers.codec import Malformed, encode, parse, word_of
 from sprucepost.peers.configuration_codec import encode_digest, encode_message, message_of
 from sprucepost.v1 import peer_pb2 as pb
-from sprucepost.view.messages import Beat
+from sprucepost.view.messages import Heartbeat
 
 TEXT = st.text(max_size=20)
 HASH = st.integers(0, 2**64 - 1)
@@ -85,15 +85,15 @@
 
 
 def test_a_heartbeat_carries_the_digest_only_where_it_is_given() -> None:
-    assert message_of(parse(encode(Beat(7)))) is None
-    frame = parse(encode(Beat(7), encode_digest(Digest(1, 2))))
+    assert message_of(parse(encode(Heartbeat(7)))) is None
+    frame = parse(encode(Heartbeat(7), encode_digest(Digest(1, 2))))
     assert message_of(frame) == Digest(1, 2)
-    assert word_of(frame) == Beat(7)
+    assert word_of(frame) == Heartbeat(7)
 
 
 def test_an_earlier_version_passes_over_messages_and_reads_heartbeats() -> None:
     frame = earlier_frame()
-    beat = frame.FromString(encode(Beat(7), encode_digest(Digest(1, 2))))
+    beat = frame.FromString(encode(Heartbeat(7), encode_digest(Digest(1, 2))))
     assert beat.WhichOneof("word") == "beat" and beat.beat.digest == 7
     assert frame.FromString(encode_message(SnapshotRequest())).WhichOneof("word") is None
 
--- a/tests/rules/test_views.py
+++ b/tests/rules/test_views.py
@@ -11,7 +11,7 @@
 from sprucepost.rules.checker import RuleResult, RunHistory
 from sprucepost.rules.streams import Closed, Message
 from sprucepost.rules.views import PEER, check_views
-from sprucepost.view.messages import Beat, Hello, News, Word
+from sprucepost.view.messages import Heartbeat, Hello, RecordUpdates, ViewMessage
 from tests.view.test_view import record
 
 NAMES = ("placer-0", "placer-1", "placer-2")
@@ -42,7 +42,7 @@
         self.frames: list[Message | Closed] = []
         for n, name in enumerate(NAMES):
             self.say(n, name, NAMES[(n + 1) % 3], Hello("fleet", "s", record(n, name=name)))
-            self.say(n, name, NAMES[(n + 1) % 3], Beat(7), ENDED - 500.0)
+            self.say(n, name, NAMES[(n + 1) % 3], Heartbeat(7), ENDED - 500.0)
         self.say(9, "stranger-0", "placer-0", Hello("another", "s", record(9, name="stranger-0")))
         self.say(9, "placer-0", "placer-0", Hello("fleet", "s", record(0, name="placer-0")), from_client=False)
 
@@ -50,7 +50,7 @@
         self.lines[name].append({"at_ms": at, "here": list(here), "away": list(away)})
 
     def say(
-        self, stream: int, client: str, target: str, word: Word, at: float = 500.0, from_client: bool = True
+        self, stream: int, client: str, target: str, word: ViewMessage, at: float = 500.0, from_client: bool = True
     ) -> None:
         message = Message(at, len(self.frames), stream, client, target, PEER, 1, from_client, encode(word), 0.0)
         self.frames.append(message)
@@ -67,7 +67,7 @@
 
 
 def another_digest(record: Record) -> None:
-    record.say(0, "placer-0", "placer-1", Beat(8), ENDED - 100.0)
+    record.say(0, "placer-0", "placer-1", Heartbeat(8), ENDED - 100.0)
 
 
 def silent_at_the_end(record: Record) -> None:
@@ -92,7 +92,7 @@
 
 
 def talks_to_strangers(record: Record) -> None:
-    record.say(9, "placer-0", "placer-0", News(()), from_client=False)
+    record.say(9, "placer-0", "placer-0", RecordUpdates(()), from_client=False)
 
 
 def shows_a_stranger(record: Record) -> None:
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -8,7 +8,7 @@
 from sprucepost.scale.hollow.members import fleet_records, member_name, record_of
 from sprucepost.scale.hollow.settings import Known
 from sprucepost.view.record import merge
-from sprucepost.view.rings import watched
+from sprucepost.view.rings import ring_successors
 from sprucepost.wire.connection import Options
 
 FLEET = [
@@ -22,7 +22,7 @@
     assert set(records) == {member_name(n) for n in range(30)}
     for name in hollow:
         record, seen = records[name], {other for other, _ in records[name].sees}
-        assert seen >= set(watched(record, list(records.values())))
+        assert seen >= set(ring_successors(record, list(records.values())))
         assert all(records[other].life == life for other, life in record.sees)
         for other in seen & hollow:
             assert name in {back for back, _ in records[other].sees}, "a stream is seen from both of its ends"
--- a/tests/view/defects.py
+++ b/tests/view/defects.py
@@ -36,7 +36,7 @@
         for name, held in kept.items():
             self.records[name] = replace(held, sees=tuple((n, lives.get(n, life)) for n, life in held.sees))
         real(self, now)
-        self.records.update({name: held for name, held in kept.items() if name != self.me.name})
+        self.records.update({name: held for name, held in kept.items() if name != self.own_record.name})
 
     return mock.patch.object(View, "_derive", derive)
 
@@ -88,7 +88,7 @@
 
 
 def _one_ring_only() -> Any:
-    return mock.patch.object(rings, "rings_for", lambda members: 1)
+    return mock.patch.object(rings, "ring_count", lambda members: 1)
 
 
 def _changes_are_told_one_by_one() -> Any:
--- a/tests/view/schedules.py
+++ b/tests/view/schedules.py
@@ -11,8 +11,8 @@
 
 from sprucepost.play import Process, World
 from sprucepost.view import Record, View
-from sprucepost.view.messages import Changed
-from sprucepost.view.view import STEP_MOST_MS, TICK_MS
+from sprucepost.view.messages import ViewChanged
+from sprucepost.view.view import MAX_REPORT_DELAY_MS, TICK_MS
 
 SETTLED_MS = 15_000.0  # promised: after that, all that live and reach each other hold the same
 KNOWN_MS = 3000.0  # promised: a process that ended is away everywhere by then, where nothing else goes on
@@ -47,7 +47,7 @@
     def unsettled(self) -> list[str]:
         """What keeps it from being settled."""
         found = []
-        views = {_view(process).me.name: _view(process) for process in self.living}
+        views = {_view(process).own_record.name: _view(process) for process in self.living}
         if len({view.digest for view in views.values()}) > 1:
             found.append(f"{len({view.digest for view in views.values()})} digests")
         for name, view in sorted(views.items()):
@@ -55,7 +55,7 @@
                 found.append(f"{name} lacks {sorted(views.keys() - view.here)}, has {sorted(view.here - views.keys())}")
             if view.away & views.keys():
                 found.append(f"{name} has living ones as away: {sorted(view.away & views.keys())}")
-            if view.replaced:
+            if view.is_replaced:
                 found.append(f"{name} thinks that it is replaced")
         return found
 
@@ -174,7 +174,7 @@
     def _lie(self, number: int) -> None:
         """It says something of another that this one has never said."""
         view = _view(self.fleet.processes[number])
-        others = [name for name in view.records if name != view.me.name]
+        others = [name for name in view.records if name != view.own_record.name]
         if others:
             held = view.records[self.rng.choice(others)]
             view._set(self.world.now, replace(held, version=held.version + 7, number=999, left=True), None)
@@ -209,14 +209,14 @@
 def _crash(world: World, fleet: Fleet, rng: random.Random) -> list[str]:
     """In a settled fleet some processes end at once: the others know in time and tell it in one step, and nobody else."""
     ended = rng.sample(fleet.living, rng.randint(1, max(1, len(fleet.living) // 5)))
-    names, began = {_view(process).me.name for process in ended}, world.now
-    living = {_view(process).me.name for process in fleet.living}
+    names, began = {_view(process).own_record.name for process in ended}, world.now
+    living = {_view(process).own_record.name for process in fleet.living}
     for process in ended:
         world.kill(process)
     world.run(began + KNOWN_MS)
     found = []
     for process in fleet.living:
-        told = [what.away & living for moment, what in process.told if moment > began and isinstance(what, Changed)]
+        told = [what.away & living for moment, what in process.told if moment > began and isinstance(what, ViewChanged)]
         if told != [names]:
             found.append(f"{process.address} told {[sorted(away) for away in told]} for {sorted(names)}")
     return found
@@ -224,7 +224,7 @@
 
 def _rough(world: World, fleet: Fleet, rng: random.Random) -> list[str]:
     """Streams break, words are late, processes stand still for a second: nobody who lives is told as away."""
-    began, living = world.now, {_view(process).me.name for process in fleet.living}
+    began, living = world.now, {_view(process).own_record.name for process in fleet.living}
     for second in range(10):
         world.at(began + 1000 * second, _later(world.reset, 0.05))
     for _ in range(3):
@@ -233,6 +233,6 @@
     world.run(began + 12_000)
     for process in fleet.living:
         for moment, told in process.told:
-            if moment > began + STEP_MOST_MS and isinstance(told, Changed) and told.away & living:
+            if moment > began + MAX_REPORT_DELAY_MS and isinstance(told, ViewChanged) and told.away & living:
                 return [f"{process.address} told living ones as away: {sorted(told.away & living)}"]
     return []
--- a/tests/view/test_view.py
+++ b/tests/view/test_view.py
@@ -15,9 +15,9 @@
 from sprucepost.play import Process, World
 from sprucepost.view import Record, View, merge
 from sprucepost.view import view as module
-from sprucepost.view.messages import Changed, Close, Dial, Hello, News, Send, Summary, Word
-from sprucepost.view.record import VERSION_MOST, digest
-from sprucepost.view.rings import rings_for, watched
+from sprucepost.view.messages import Close, Dial, Hello, RecordUpdates, Send, Summary, ViewChanged, ViewMessage
+from sprucepost.view.record import MAX_VERSION, digest
+from sprucepost.view.rings import ring_count, ring_successors
 from tests.view.defects import DEFECTS, planted
 from tests.view.schedules import Fleet, _view, problems
 
@@ -55,9 +55,9 @@
 @pytest.mark.parametrize("rooms", [1, 3])
 def test_rings_leave_nobody_alone_and_reach_beyond_room_and_host(members: int, rooms: int) -> None:
     fleet = [record(n, room=f"r{n % rooms}") for n in range(members)]
-    sees = {me.name: watched(me, fleet) for me in fleet}
+    sees = {me.name: ring_successors(me, fleet) for me in fleet}
     by_name = {one.name: one for one in fleet}
-    assert all(len(names) <= rings_for(members) <= 10 and me not in names for me, names in sees.items())
+    assert all(len(names) <= ring_count(members) <= 10 and me not in names for me, names in sees.items())
     if members > 1:
         assert all(names for names in sees.values())
         reached, edge = {"p0"}, ["p0"]
@@ -157,8 +157,8 @@
         world.run(world.now + 400)
     settle(world, fleet, 15_000)
     lives = {_view(process).records["p4"].life for process in fleet.living}
-    assert lives == {_view(fleet.processes[4]).me.life}
-    assert not any(_view(process).replaced for process in fleet.living)
+    assert lives == {_view(fleet.processes[4]).own_record.life}
+    assert not any(_view(process).is_replaced for process in fleet.living)
 
 
 def test_of_two_processes_under_one_name_the_older_goes_and_two_with_one_number_are_seen() -> None:
@@ -170,7 +170,7 @@
     view = View(twin, "fleet", "settings", fleet.seeds, random.Random(2), world.now)
     newer = world.start("a33", view)
     world.run(world.now + 15_000)
-    assert _view(older).replaced and not view.replaced
+    assert _view(older).is_replaced and not view.is_replaced
     world.kill(older)
     fleet.processes[3] = newer
     settle(world, fleet, 15_000)
@@ -184,11 +184,11 @@
     world, fleet = fleet_of(12)
     settle(world, fleet, 5000)
     began = world.now
-    others = {name for name, _ in _view(fleet.processes[0]).me.sees[:1]}
-    world.cuts.append(lambda one, other: one.address == "a0" and _view(other).me.name in others)
+    others = {name for name, _ in _view(fleet.processes[0]).own_record.sees[:1]}
+    world.cuts.append(lambda one, other: one.address == "a0" and _view(other).own_record.name in others)
     world.run(began + 30_000)
     told = [what for process in fleet.living for moment, what in process.told if moment > began + 1000]
-    assert not [what for what in told if isinstance(what, Changed) and what.away]
+    assert not [what for what in told if isinstance(what, ViewChanged) and what.away]
 
 
 def test_who_leaves_is_remembered_forgotten_and_not_revived(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -196,7 +196,7 @@
     world, fleet = fleet_of(5)
     settle(world, fleet, 5000)
     one = fleet.processes[4]
-    old = _view(one).me
+    old = _view(one).own_record
     world.do(one, _view(one).leave)
     world.run(world.now + 500)
     world.kill(one)
@@ -222,29 +222,31 @@
         (Hello("another", "settings", record(1)), "another fleet"),
         (Hello("fleet", "other settings", record(1)), "another fleet"),
         (Hello("fleet", "settings", record(0)), "myself"),
-        (News((record(1),)), "a word before its hello"),
+        (RecordUpdates((record(1),)), "a word before its hello"),
         (Summary((("p1", 1, 1),)), "a word before its hello"),
     ],
 )
-def test_strangers_are_closed_and_leave_nothing_behind(word: Word, why: str) -> None:
+def test_strangers_are_closed_and_leave_nothing_behind(word: ViewMessage, why: str) -> None:
     view = lonely()
-    view.opened(0.0, 1, None)
-    actions = view.heard(1.0, 1, word)
+    view.stream_opened(0.0, 1, None)
+    actions = view.message_received(1.0, 1, word)
     assert [action.why for action in actions if isinstance(action, Close)] == [why]
     assert list(view.records) == ["p0"] and not view.streams
 
 
 def test_lies_are_bounded_and_refuted(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MEMBERS_MOST", 50)
+    monkeypatch.setattr(module, "MAX_MEMBERS", 50)
     view = lonely()
-    view.opened(0.0, 1, None)
-    view.heard(1.0, 1, Hello("fleet", "settings", record(1)))
-    view.heard(2.0, 1, News(tuple(record(n) for n in range(2, 10_000))))
+    view.stream_opened(0.0, 1, None)
+    view.message_received(1.0, 1, Hello("fleet", "settings", record(1)))
+    view.message_received(2.0, 1, RecordUpdates(tuple(record(n) for n in range(2, 10_000))))
     assert len(view.records) == 50 and view.counters["too_many"] == 9950
-    view.heard(3.0, 1, News((record(1, version=VERSION_MOST + 1), record(0, version=40, number=7, left=True))))
+    view.message_received(
+        3.0, 1, RecordUpdates((record(1, version=MAX_VERSION + 1), record(0, version=40, number=7, left=True)))
+    )
     assert view.counters["implausible"] == 1 and view.records["p1"].version == 0
-    assert view.me.version > 40 and view.me.number == 0 and not view.me.left
-    said = [a.word for a in view.tick(100.0) if isinstance(a, Send) and isinstance(a.word, News)]
+    assert view.own_record.version > 40 and view.own_record.number == 0 and not view.own_record.left
+    said = [a.word for a in view.tick(100.0) if isinstance(a, Send) and isinstance(a.word, RecordUpdates)]
     assert any(held.name == "p0" and held.version > 40 for word in said for held in word.records)
 
 
@@ -310,7 +312,7 @@
 )
 def test_settings_may_be_unlike_in_what_both_can_change(mine: str, settings: str, theirs: str, joined: bool) -> None:
     view = View(record(0), "fleet", "settings", (), random.Random(1), 0.0, mine)
-    view.opened(0.0, 1, None)
-    actions = view.heard(1.0, 1, Hello("fleet", settings, record(1), theirs))
+    view.stream_opened(0.0, 1, None)
+    actions = view.message_received(1.0, 1, Hello("fleet", settings, record(1), theirs))
     closed = [action.why for action in actions if isinstance(action, Close)]
     assert closed == ([] if joined else ["another fleet"])
