--- a/tests/node/test_stop.py
+++ b/tests/node/test_stop.py
@@ -206,14 +206,14 @@
 
 
 SIGNALLED = """
-read = service.read
+read_config = service.read_config
 def signalled(environment):
-    config = read(environment)
+    config = read_config(environment)
     if not done:
         done.append(os.kill(os.getpid(), {signal}))
     return config
 done = []
-service.read = signalled
+service.read_config = signalled
 """
 
 
