--- a/sprucepost/peers/codec.py
+++ b/sprucepost/peers/codec.py
@@ -12,9 +12,9 @@
 
 from sprucepost.membership import Generation
 from sprucepost.v1 import peer_pb2 as pb
+from sprucepost.view.messages import Heartbeat, Hello, RecordUpdates, Summary, ViewMessage
 from sprucepost.view.record import Record
-from sprucepost.view.view import MEMBERS_MOST
-from sprucepost.view.words import Beat, Hello, News, Summary, Word
+from sprucepost.view.view import MAX_MEMBERS
 
 MAX_TEXT_CHARS = 256  # of a name, a life, an address
 MAX_SEEN_MEMBERS = 256  # connected members in one record; also the limit of its roles
@@ -24,7 +24,7 @@
     """A peer sent a malformed message."""
 
 
-def encode(message: Word, configuration: pb.ConfigurationDigest | None = None) -> bytes:
+def encode(message: ViewMessage, configuration: pb.ConfigurationDigest | None = None) -> bytes:
     """Returns the frame of a message. ``configuration`` is sent with a heartbeat, if the sender replicates one."""
     if isinstance(message, Hello):
         frame = pb.PeerFrame(
@@ -35,9 +35,9 @@
                 fixed_settings=message.fixed_settings,
             )
         )
-    elif isinstance(message, Beat):
+    elif isinstance(message, Heartbeat):
         frame = pb.PeerFrame(beat=pb.PeerBeat(digest=message.digest, configuration=configuration))
-    elif isinstance(message, News):
+    elif isinstance(message, RecordUpdates):
         frame = pb.PeerFrame(news=pb.PeerNews(records=[_encode_record(record) for record in message.records]))
     else:
         ages = [
@@ -56,12 +56,12 @@
         raise MalformedMessageError("not a protobuf frame") from error
 
 
-def decode(data: bytes) -> Word | None:
+def decode(data: bytes) -> ViewMessage | None:
     """Parses a frame and returns its message, as ``view_message_of`` does."""
     return view_message_of(parse(data))
 
 
-def view_message_of(frame: pb.PeerFrame) -> Word | None:
+def view_message_of(frame: pb.PeerFrame) -> ViewMessage | None:
     """Returns the view's message in a frame.
 
     None for frames without a message of the view, or of a kind that this version does not know. Raises
@@ -73,11 +73,11 @@
             frame.hello.cluster, frame.hello.settings, _decode_record(frame.hello.record), frame.hello.fixed_settings
         )
     if kind == "beat":
-        return Beat(frame.beat.digest)
+        return Heartbeat(frame.beat.digest)
     if kind == "news":
-        return News(tuple(_decode_record(record) for record in frame.news.records))
+        return RecordUpdates(tuple(_decode_record(record) for record in frame.news.records))
     if kind == "summary":
-        if len(frame.summary.ages) > MEMBERS_MOST:
+        if len(frame.summary.ages) > MAX_MEMBERS:
             raise MalformedMessageError(f"summary has {len(frame.summary.ages)} members, more than allowed")
         return Summary(
             tuple((age.name, age.incarnation, age.version) for age in frame.summary.ages), frame.summary.answer
--- a/sprucepost/peers/peers.py
+++ b/sprucepost/peers/peers.py
@@ -11,8 +11,8 @@
 from sprucepost.peers.configuration_transport import ConfigurationTransport
 from sprucepost.v1 import peer_pb2 as pb
 from sprucepost.view import Record, View
+from sprucepost.view.messages import Action, Close, Dial, Heartbeat, Send, ViewChanged
 from sprucepost.view.view import IDLE_TICK_MS, TICK_MS
-from sprucepost.view.words import Action, Beat, Changed, Close, Dial, Send
 from sprucepost.wire.call import Call
 from sprucepost.wire.client import ClientConnection, open_client
 from sprucepost.wire.connection import Options
@@ -55,7 +55,7 @@
         settings: str,
         seeds: tuple[str, ...],
         source: str | None,
-        on_change: Callable[[Changed], None],
+        on_change: Callable[[ViewChanged], None],
         on_tick: Callable[[], None],
         log: Callable[..., None],
         configuration: ConfigurationTransport | None = None,
@@ -100,7 +100,7 @@
             self._on_tick()
             if self._configuration is not None:
                 self._configuration.tick()
-            self._next_tick_is_soon = self.view.restless
+            self._next_tick_is_soon = self.view.is_changing
             self._next_tick = self._loop.call_later(TICK_MS if self._next_tick_is_soon else IDLE_TICK_MS, self._tick)
 
     # Streams
@@ -110,7 +110,7 @@
             self.counters["turned_away"] += 1
             call.finish(RpcError(Code.RESOURCE_EXHAUSTED, "too many peers"))
             return
-        call.send_initial()
+        call.send_initial_metadata()
         self._add(_Stream(call, None), None)
 
     def _dial(self, dial: Dial) -> Co[None]:
@@ -118,7 +118,7 @@
         try:
             host, _, port = dial.address.rpartition(":")
             address: Address = (host, int(port))
-            options = Options(message_most=MAX_FRAME_BYTES)
+            options = Options(max_message_bytes=MAX_FRAME_BYTES)
             connection = yield from open_client(self._loop, address, CONNECT_TIMEOUT_MS, options, self._source)
             try:
                 call = connection.call(WATCH_PATH)
@@ -128,7 +128,7 @@
         except (OSError, TimedOut, RpcError, ValueError) as error:
             self.counters["dial_failed"] += 1
             self._log("peer_not_connected", peer=target, why=str(error) or type(error).__name__)
-            self._perform(self.view.not_opened(self._loop.now(), target))
+            self._perform(self.view.dial_failed(self._loop.now(), target))
             return
         self._add(_Stream(call, connection), target)
 
@@ -138,8 +138,8 @@
         self._streams[stream_id] = stream
         stream.call.on_message = lambda data: self._on_frame(stream_id, data)
         stream.call.on_end = lambda: self._stream_ended(stream_id)
-        stream.call.on_over = lambda status: self._stream_ended(stream_id)
-        self._perform(self.view.opened(self._loop.now(), stream_id, dialled))
+        stream.call.on_done = lambda status: self._stream_ended(stream_id)
+        self._perform(self.view.stream_opened(self._loop.now(), stream_id, dialled))
 
     def _on_frame(self, stream_id: int, data: bytes) -> None:
         self.counters["messages_in"] += 1
@@ -148,7 +148,7 @@
             frame = parse(data)
             message = view_message_of(frame)
             if message is not None:
-                self._perform(self.view.heard(self._loop.now(), stream_id, message))
+                self._perform(self.view.message_received(self._loop.now(), stream_id, message))
             if self._configuration is not None:
                 self._on_configuration_frame(self._configuration, stream_id, frame)
         except MalformedMessageError as error:
@@ -169,7 +169,7 @@
     def _stream_ended(self, stream_id: int) -> None:
         if stream_id in self._streams:
             self._remove_stream(stream_id)
-            self._perform(self.view.ended(self._loop.now(), stream_id))
+            self._perform(self.view.stream_ended(self._loop.now(), stream_id))
 
     def _remove_stream(self, stream_id: int) -> None:
         stream = self._streams.pop(stream_id, None)
@@ -179,14 +179,14 @@
             stream.close()
 
     def _perform(self, actions: list[Action]) -> None:
-        if self.view.restless and not self._next_tick_is_soon and self._next_tick is not None:
+        if self.view.is_changing and not self._next_tick_is_soon and self._next_tick is not None:
             self._next_tick.cancel()
             self._next_tick_is_soon = True
             self._next_tick = self._loop.call_later(TICK_MS, self._tick)
         for action in actions:
             if isinstance(action, Send):
                 digest = None
-                if self._configuration is not None and isinstance(action.word, Beat):
+                if self._configuration is not None and isinstance(action.word, Heartbeat):
                     digest = self._configuration.digest()
                 self._transmit(action.stream, encode(action.word, digest))
             elif isinstance(action, Dial):
@@ -200,9 +200,9 @@
     def _transmit(self, stream_id: int, data: bytes) -> None:
         """Sends a frame; closes the stream if too much is unsent."""
         stream = self._streams.get(stream_id)
-        if stream is None or stream.call.over is not None:
+        if stream is None or stream.call.end_status is not None:
             return
-        if stream.call.out_bytes > MAX_UNSENT_BYTES:
+        if stream.call.unsent_bytes > MAX_UNSENT_BYTES:
             self.counters["behind"] += 1
             self._loop.call_soon(lambda: self._stream_ended(stream_id))
             return
--- a/tests/configuration/member.py
+++ b/tests/configuration/member.py
@@ -31,7 +31,7 @@
     SetAside,
     Snapshot,
 )
-from sprucepost.view.words import Close, Dial
+from sprucepost.view.messages import Close, Dial, Send as Carry
 from sprucepost.view.words import Send as SendAction
 from tests.configuration.oracle import author_saw
 from tests.configuration.support import CHANGEABLE, FILE, KNOWN, rules
@@ -143,7 +143,7 @@
         actions = self._out()
         for ident, stream in list(self._streams.items()):
             if now - stream.last_received_ms > STREAM_TIMEOUT_MS:
-                actions += [Close(ident, "silent"), *self.ended(now, ident)]
+                actions += [Close(ident, "silent"), *self.stream_ended(now, ident)]
         if now - self._last_heartbeat_ms >= HEARTBEAT_MS:
             self._last_heartbeat_ms = now
             actions += [
@@ -156,22 +156,22 @@
                 actions.append(Dial(address, address))
         return actions
 
-    def opened(self, now: float, stream: int, dialled: str | None) -> list[Any]:
+    def stream_opened(self, now: float, stream: int, dialled: str | None) -> list[Any]:
         self._opening.discard(dialled or "")
         self._streams[stream] = _Stream(now)
         return [send_action(stream, Hello(self.address))]
 
-    def not_opened(self, now: float, dialled: str) -> list[Any]:
+    def dial_failed(self, now: float, dialled: str) -> list[Any]:
         self._opening.discard(dialled)
         return []
 
-    def ended(self, now: float, stream: int) -> list[Any]:
+    def stream_ended(self, now: float, stream: int) -> list[Any]:
         known = self._streams.pop(stream, None)
         if known is not None and known.address:
             self.replica.disconnected(self._clock(now), stream)
         return self._out()
 
-    def heard(self, now: float, stream: int, message: Any) -> list[Any]:
+    def message_received(self, now: float, stream: int, message: Any) -> list[Any]:
         known = self._streams.get(stream)
         if known is None:
             return []
