--- a/tests/configuration/member.py
+++ b/tests/configuration/member.py
@@ -31,8 +31,8 @@
     SetAside,
     Snapshot,
 )
-from sprucepost.view.messages import Close, Dial, Send as Carry
-from sprucepost.view.words import Send as SendAction
+from sprucepost.view.messages import Close, Dial
+from sprucepost.view.messages import Send as SendAction
 from tests.configuration.oracle import author_saw
 from tests.configuration.support import CHANGEABLE, FILE, KNOWN, rules
 
