--- a/sprucepost/peers/peers.py
+++ b/sprucepost/peers/peers.py
@@ -83,7 +83,7 @@
         self._tick()
 
     def stop(self) -> None:
-        """Announces that this member leaves, and closes the streams after time to send that."""
+        """Announces that this member leaves, and closes the streams a tick later, once that is sent."""
         if not self._stopped:
             self._perform(self.view.leave())
             self._stopped = True
--- a/tests/configuration/member.py
+++ b/tests/configuration/member.py
@@ -34,7 +34,7 @@
 from sprucepost.view.messages import Close, Dial
 from sprucepost.view.messages import Send as SendAction
 from tests.configuration.oracle import author_saw
-from tests.configuration.support import CHANGEABLE, FILE, KNOWN, rules
+from tests.configuration.support import CHANGEABLE, FILE, KNOWN, make_validator
 
 TICK_MS = 250.0
 HEARTBEAT_MS = 1000.0
@@ -109,7 +109,7 @@
         self.replica = ConfigurationReplica(
             f"{address}/{run_number}",
             program.file,
-            rules(program.known, program.number),
+            make_validator(program.known, program.number),
             CHANGEABLE,
             self._clock(now),
             program.limits,
@@ -130,17 +130,17 @@
 
     def propose(self, now: float, proposal: Proposal) -> tuple[Receipt, list[Any]]:
         receipt = self.replica.propose(self._clock(now), proposal)
-        return receipt, self._out()
+        return receipt, self._take_actions()
 
     def rollback(self, now: float, position: Position) -> tuple[Receipt, list[Any]]:
         receipt = self.replica.rollback(self._clock(now), position, "ann")
-        return receipt, self._out()
+        return receipt, self._take_actions()
 
     # Calls by the simulator
 
     def tick(self, now: float) -> list[Any]:
         self.replica.tick(self._clock(now))
-        actions = self._out()
+        actions = self._take_actions()
         for ident, stream in list(self._streams.items()):
             if now - stream.last_received_ms > STREAM_TIMEOUT_MS:
                 actions += [Close(ident, "silent"), *self.stream_ended(now, ident)]
@@ -169,7 +169,7 @@
         known = self._streams.pop(stream, None)
         if known is not None and known.address:
             self.replica.disconnected(self._clock(now), stream)
-        return self._out()
+        return self._take_actions()
 
     def message_received(self, now: float, stream: int, message: Any) -> list[Any]:
         known = self._streams.get(stream)
@@ -182,19 +182,19 @@
                 self.replica.connected(self._clock(now), stream)
         elif known.address:
             self.replica.received(self._clock(now), stream, message)
-        return self._out()
+        return self._take_actions()
 
     # Invariants checked at each step
 
     def _clock(self, now: float) -> float:
         return now * self.program.clock_rate + self.program.clock_offset_ms
 
-    def _out(self) -> list[Any]:
+    def _take_actions(self) -> list[Any]:
         actions: list[Any] = []
         new_events: list[Event] = []
         for output in self.replica.take_outputs():
             if isinstance(output, Send):
-                self._measure(output.message)
+                self._check_message_size(output.message)
                 actions.append(send_action(output.peer, output.message))
             else:
                 new_events.append(output)
@@ -214,7 +214,7 @@
         store, in_force = replica._store, replica._active._in_force
         return replica.version, replica.digest, replica.held, replica.cut, len(store.set_aside), id(in_force)
 
-    def _measure(self, message: Message) -> None:
+    def _check_message_size(self, message: Message) -> None:
         if isinstance(message, Digest):
             return
         if isinstance(message, Changes):
@@ -250,7 +250,7 @@
             self._observations.report(f"{self.address}: {unknown} in force, which the program doesn't know")
         # The file itself may violate the placer's own limits, until a configuration of the fleet arrives.
         ruled_out = set(ProblemKind) if self.replica.version.number else {ProblemKind.INVALID}
-        for problem in rules(KNOWN, self.program.number)(values):
+        for problem in make_validator(KNOWN, self.program.number)(values):
             if problem.kind in ruled_out and values != {k: v for k, v in self.program.file.items() if k in CHANGEABLE}:
                 self._observations.report(f"{self.address}: in force, and {problem.reason}")
 
--- a/tests/configuration/oracle.py
+++ b/tests/configuration/oracle.py
@@ -7,7 +7,7 @@
 
 from sprucepost.configuration import Change, ChangeState, Position, ProblemKind
 from sprucepost.configuration.document import Value
-from tests.configuration.support import rules
+from tests.configuration.support import make_validator
 
 
 @dataclass
@@ -20,7 +20,7 @@
 
 
 def valid(values: dict[str, Value]) -> bool:
-    return not any(problem.kind is ProblemKind.INVALID for problem in rules()(values))
+    return not any(problem.kind is ProblemKind.INVALID for problem in make_validator()(values))
 
 
 def fold(changes: Iterable[Change]) -> FoldResult:
--- a/tests/configuration/schedules.py
+++ b/tests/configuration/schedules.py
@@ -77,18 +77,20 @@
 
     def neighbors(self, address: str) -> list[str]:
         """Returns the next two running members and a distant one, like the rings of the membership view."""
-        living = sorted(each for each, process in self.processes.items() if process.alive)
-        place = living.index(address) if address in living else 0
-        return sorted({living[(place + step) % len(living)] for step in (1, 2, len(living) // 2)} - {address})
+        running = sorted(each for each, process in self.processes.items() if process.alive)
+        index = running.index(address) if address in running else 0
+        return sorted({running[(index + step) % len(running)] for step in (1, 2, len(running) // 2)} - {address})
 
     @property
-    def living(self) -> list[Member]:
+    def running_members(self) -> list[Member]:
         return [member_of(process) for process in self.processes.values() if process.alive]
 
     def runs_of(self, address: str) -> list[int]:
         return self._runs_by_address[address]
 
-    def do(self, address: str, call: Callable[[Member], tuple[Receipt, list[Any]]], proposal: Proposal | None) -> None:
+    def perform_request(
+        self, address: str, call: Callable[[Member], tuple[Receipt, list[Any]]], proposal: Proposal | None
+    ) -> None:
         """Performs an operator's request at a member, if it is running."""
         process = self.processes.get(address)
         if process is None or not process.alive or self.world.now < process.stopped_until:
@@ -240,7 +242,7 @@
             if any(edit.key in keys for edit in entry.change.edits)
         ]
         accepted = len(self.fleet.accepted)
-        self.fleet.do(address, lambda member: member.propose(self.world.now, proposal), proposal)
+        self.fleet.perform_request(address, lambda member: member.propose(self.world.now, proposal), proposal)
         if changed and len(self.fleet.accepted) > accepted:
             self.fleet.observations.report(f"{address}: accepted a change of keys that {changed} have changed since")
 
@@ -251,7 +253,7 @@
             return member.rollback(self.world.now, entry.change.position)
 
         if self._is_running(address) and member_of(self.fleet.processes[address]).replica.history:
-            self.fleet.do(address, call, None)
+            self.fleet.perform_request(address, call, None)
 
     def _is_running(self, address: str) -> bool:
         process = self.fleet.processes.get(address)
@@ -324,14 +326,14 @@
 def convergence_violations(fleet: Fleet) -> list[str]:
     """Checks that all have one version and one configuration in force, except those that report why they can't."""
     found = []
-    living = fleet.living
-    versions = {member.replica.version for member in living}
+    running_members = fleet.running_members
+    versions = {member.replica.version for member in running_members}
     if len(versions) > 1:
         found.append(f"{len(versions)} versions: {sorted(map(str, versions))}")
-    agreed = [member.replica.agreed for member in living if member.program.knows_all]
+    agreed = [member.replica.agreed for member in running_members if member.program.knows_all]
     if any(each != agreed[0] for each in agreed):
         found.append("agreed configurations differ")
-    for member in living:
+    for member in running_members:
         found += _follow_violations(member, agreed[0] if agreed else None)
     return found
 
@@ -358,7 +360,7 @@
 def oracle_mismatches(fleet: Fleet) -> list[str]:
     """Compares replicas that have compacted nothing with an independent fold of the whole history."""
     found = []
-    for member in fleet.living:
+    for member in fleet.running_members:
         replica = member.replica
         if replica.cut.clock or not member.program.knows_all:
             continue
@@ -381,13 +383,13 @@
 def lost_changes(fleet: Fleet) -> list[str]:
     """Returns accepted changes missing from all histories, or from any history if nothing was compacted."""
     found = []
-    shown = [{entry.change.position for entry in member.replica.history} for member in fleet.living]
+    shown = [{entry.change.position for entry in member.replica.history} for member in fleet.running_members]
     if not shown:
         return []
-    compacted = any(member.replica.cut.clock for member in fleet.living)
+    compacted = any(member.replica.cut.clock for member in fleet.running_members)
     shown_changes = set.union(*shown) if compacted else set.intersection(*shown)
     # A member whose state was lost may have lost its archive, too.
-    cuts = [member.replica.cut for member in fleet.living] if fleet.lost_state_runs else []
+    cuts = [member.replica.cut for member in fleet.running_members] if fleet.lost_state_runs else []
     for accepted in fleet.accepted:
         position = accepted.receipt.position
         assert position is not None
--- a/tests/configuration/support.py
+++ b/tests/configuration/support.py
@@ -24,7 +24,7 @@
 MAX_TOTAL = 12  # of a, b and d together: changes valid on each side of a partition may exceed it after the merge
 
 
-def rules(known: frozenset[str] = KNOWN, number: int = 0) -> Callable[[Settings], list[Problem]]:
+def make_validator(known: frozenset[str] = KNOWN, number: int = 0) -> Callable[[Settings], list[Problem]]:
     """Returns the validator of a program that knows these keys, at the placer with this number."""
 
     def problems(settings: Settings) -> list[Problem]:
@@ -60,7 +60,7 @@
     saved: SavedState | None = None,
     now: float = 0.0,
 ) -> ConfigurationReplica:
-    return ConfigurationReplica(name, file, rules(known, number), CHANGEABLE, now, limits, saved)
+    return ConfigurationReplica(name, file, make_validator(known, number), CHANGEABLE, now, limits, saved)
 
 
 def proposal(author: str = "ann", comment: str = "", **values: Value) -> Proposal:
@@ -125,7 +125,7 @@
                         self.replicas[other].received(self.now, at, each.digest)
             self.deliver_all()
 
-    def alike(self) -> bool:
+    def converged(self) -> bool:
         first = self.replicas[0]
         return all(
             each.version == first.version and each.configuration == first.configuration for each in self.replicas
--- a/tests/configuration/test_replica.py
+++ b/tests/configuration/test_replica.py
@@ -44,7 +44,7 @@
     receipt = fleet.replicas[0].propose(0.0, proposal(b=4))
     fleet.deliver_all()
     assert receipt.refusal == "" and receipt.position is not None
-    assert fleet.alike()
+    assert fleet.converged()
     assert fleet.replicas[2].configuration == {**{k: v for k, v in FILE.items() if k != "own.number"}, "c.b": 4}
     assert all(InForce(receipt.version) in events for events in fleet.events.values())
     assert [entry.state for entry in fleet.replicas[2].history] == [ChangeState.IN_FORCE, ChangeState.IN_FORCE]
@@ -60,7 +60,7 @@
     second = fleet.replicas[1].propose(0.0, proposal(a=3, high=30)).position
     assert first is not None and second is not None
     fleet.join(0, 1)
-    assert fleet.alike()
+    assert fleet.converged()
     configuration = fleet.replicas[0].configuration
     assert (configuration["c.a"], configuration["c.low"], configuration["c.high"]) == (3, 11, 30)
     assert Overwritten(first, "c.a", second) in fleet.events["p0"]
@@ -78,19 +78,19 @@
     second = fleet.replicas[1].propose(0.0, proposal(b=8, high=40)).position
     assert second is not None and fleet.replicas[1].configuration["c.b"] == 8
     fleet.join(0, 1)
-    assert fleet.alike() and fleet.replicas[1].configuration["c.high"] == 20
+    assert fleet.converged() and fleet.replicas[1].configuration["c.high"] == 20
     reason = "c.a: a, b and d make more than 12"
     assert Refused(second, reason) in fleet.events["p0"] and Refused(second, reason) in fleet.events["p1"]
     assert fleet.replicas[0].refused == [f"{second}: {reason}"]
 
 
-def joined(*replicas: ConfigurationReplica) -> ReplicaNetwork:
+def connected_network(*replicas: ConfigurationReplica) -> ReplicaNetwork:
     """Connects all replicas and makes one change, so that an agreed configuration exists."""
     fleet = ReplicaNetwork(*replicas)
     fleet.join_all()
     assert fleet.replicas[0].propose(0.0, proposal(d=2)).refusal == ""
     fleet.deliver_all()
-    assert fleet.alike()
+    assert fleet.converged()
     return fleet
 
 
@@ -160,7 +160,7 @@
 
 
 def test_a_proposal_against_a_version_is_refused_only_if_its_keys_changed() -> None:
-    fleet = joined(replica("p0"), replica("p1"))
+    fleet = connected_network(replica("p0"), replica("p1"))
     read = fleet.replicas[0].version
     assert fleet.replicas[1].propose(0.0, proposal(a=2)).refusal == ""
     fleet.deliver_all()
@@ -220,15 +220,15 @@
     fleet.replicas[2].propose(0.0, removal("new"))
     fleet.deliver_all()
     fleet.pass_time(5000.0)
-    assert fleet.alike() and fleet.replicas[1].held is None
+    assert fleet.converged() and fleet.replicas[1].held is None
     assert fleet.replicas[1].propose(0.0, proposal(a=4)).refusal == ""
     fleet.deliver_all()
-    assert fleet.alike()
+    assert fleet.converged()
 
 
 def test_verdicts_of_a_peer_correct_an_unchecked_change() -> None:
     old = KNOWN - {"new"}
-    fleet = joined(replica("p0"), replica("p1"), replica("p2", old))
+    fleet = connected_network(replica("p0"), replica("p1"), replica("p2", old))
     fleet.cut(0, 1)
     fleet.replicas[0].propose(0.0, proposal(a=9))
     fleet.cut(0, 2)
@@ -237,13 +237,13 @@
     assert late.position is not None
     fleet.join(0, 1)
     fleet.pass_time(5000.0)
-    assert fleet.alike() and fleet.replicas[2].held is None
+    assert fleet.converged() and fleet.replicas[2].held is None
     assert fleet.replicas[2].configuration["c.b"] == 1
     assert "refused by a placer that knows it" in fleet.replicas[2].refused[0]
 
 
 def test_local_limits_hold_the_last_configuration_as_a_whole() -> None:
-    fleet = joined(replica("p0"), replica("p1", number=6), replica("p2"))
+    fleet = connected_network(replica("p0"), replica("p1", number=6), replica("p2"))
     fleet.replicas[0].propose(0.0, proposal(size=5, a=3))
     fleet.deliver_all()
     held = fleet.replicas[1]
@@ -252,7 +252,7 @@
     assert fleet.replicas[2].configuration["c.size"] == 5
     fleet.replicas[2].propose(0.0, proposal(size=8))
     fleet.deliver_all()
-    assert fleet.alike() and held.held is None
+    assert fleet.converged() and held.held is None
 
 
 def test_programs_with_different_validators_report_a_divergence() -> None:
@@ -279,14 +279,14 @@
         fleet.replicas[0].propose(0.0, proposal(a=number))
     fleet.deliver_all()
     fleet.join(1, 2)
-    assert fleet.alike() and "c.e" not in fleet.replicas[2].configuration
+    assert fleet.converged() and "c.e" not in fleet.replicas[2].configuration
 
 
 SHORT_HORIZON = Limits(horizon_ms=10_000.0)
 
 
 def test_changes_from_before_the_horizon_are_set_aside_after_a_partition() -> None:
-    fleet = joined(replica("p0", limits=SHORT_HORIZON), replica("p1", limits=SHORT_HORIZON))
+    fleet = connected_network(replica("p0", limits=SHORT_HORIZON), replica("p1", limits=SHORT_HORIZON))
     fleet.cut(0, 1)
     lost = fleet.replicas[1].propose(0.0, proposal(a=5)).position
     assert lost is not None
@@ -298,7 +298,7 @@
     assert fleet.replicas[0].cut.clock == 5 > lost.clock
     fleet.join(0, 1)
     fleet.pass_time(10_000.0)
-    assert fleet.alike() and fleet.replicas[1].configuration["c.a"] == 1
+    assert fleet.converged() and fleet.replicas[1].configuration["c.a"] == 1
     assert SetAside(lost) in fleet.events["p0"] and SetAside(lost) in fleet.events["p1"]
     for each in fleet.replicas:
         shown = {entry.change.position: entry for entry in each.history}
@@ -319,23 +319,23 @@
 
 
 def test_an_idle_fleet_sends_nothing() -> None:
-    fleet = joined(replica("p0"), replica("p1"), replica("p2"))
+    fleet = connected_network(replica("p0"), replica("p1"), replica("p2"))
     before = fleet.messages
     fleet.pass_time(60_000.0)
     assert fleet.messages == before
 
 
 def test_messages_lost_with_a_stream_are_recovered_by_digests() -> None:
-    fleet = joined(replica("p0"), replica("p1"))
+    fleet = connected_network(replica("p0"), replica("p1"))
     fleet.replicas[0].propose(0.0, proposal(a=2))
     fleet.replicas[0].take_outputs()  # messages lost without a disconnect
     fleet.pass_time(5000.0)
-    assert fleet.alike()
+    assert fleet.converged()
 
 
 def test_a_long_history_is_bounded_and_a_new_replica_still_catches_up() -> None:
     limits = Limits(live_changes=16, archived_changes=20, remembered_fingerprints=30, proposals_burst=1000)
-    fleet = joined(replica("p0", limits=limits), replica("p1", limits=limits))
+    fleet = connected_network(replica("p0", limits=limits), replica("p1", limits=limits))
     for number in range(200):
         assert fleet.replicas[number % 2].propose(0.0, proposal(e=number)).refusal == ""
         fleet.deliver_all()
@@ -345,7 +345,7 @@
     fleet.replicas.append(replica("p2", limits=limits))
     fleet.events["p2"] = []
     fleet.join(1, 2)
-    assert fleet.alike() and fleet.replicas[2].configuration["c.e"] == 199
+    assert fleet.converged() and fleet.replicas[2].configuration["c.e"] == 199
 
 
 def test_changes_are_split_into_messages_within_the_limits() -> None:
@@ -386,7 +386,7 @@
 
 
 def test_a_change_of_a_placers_own_key_is_never_applied() -> None:
-    fleet = joined(replica("p0"), replica("p1"))
+    fleet = connected_network(replica("p0"), replica("p1"))
     rogue = Change(Position(9, "x"), "ann", "", 0.0, (Edit("own.number", 7), Edit("c.a", 3)))
     fleet.replicas[0].received(0.0, 1, Changes((rogue,)))
     fleet.pass_time(5000.0)
