--- a/sprucepost/node/service.py
+++ b/sprucepost/node/service.py
@@ -126,22 +126,22 @@
         """Load the hosts known from the configuration; the first batch follows at the end of this turn of the loop."""
         if self.config.known is not None:
             try:
-                told = self.feed.bulletin.apply(self.config.known)
+                update = self.feed.bulletin.apply(self.config.known)
             except Malformed as error:
                 self.log("known_unreadable", why=str(error))
             else:
-                if told is not None:
-                    self._on_bulletin(told)
+                if update is not None:
+                    self._on_bulletin(update)
         self.driver.schedule_batch()
         self.feed.start()  # whatever the settings' list mode: the bulletin must be polled
         self.log("ready", listen=self.config.listen, hosts=len(self.hosts.hosts), pid=os.getpid())
 
-    def _on_bulletin(self, told: ListUpdate) -> None:
-        for fault in told.faults:
+    def _on_bulletin(self, update: ListUpdate) -> None:
+        for fault in update.faults:
             self.log("bulletin_unreadable", why=fault)
-        starts_moved = self.start_times.learn(told.list, self.feed.last_answer_at or self._started_at)
-        self.hosts.apply_list(told)
-        self.driver.push(self.start_times.with_aligned_starts(told.list))
+        starts_moved = self.start_times.learn(update.list, self.feed.last_answer_at or self._started_at)
+        self.hosts.apply_list(update)
+        self.driver.push(self.start_times.with_aligned_starts(update.list))
         if starts_moved:
             self.counters["starts_moved"] += 1
             known = tuple(entry for entry in self.feed.bulletin.entries.values() if entry.started)
