--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -1186,9 +1186,8 @@
         platform.bulletin.publish(first.entry(), everything=True)
         platform.start()
         yield from wait_for(lambda: platform.bulletin._waiting)
-        platform.bulletin.publish(
-            second.entry()
-        )  # answered in the turn in which the address changes: the answer is unread
+        # Answered in the turn in which the address changes, so the answer is unread then.
+        platform.bulletin.publish(second.entry())
         now = platform.bulletin.acceptor.address
         assert isinstance(now, tuple)
         listener = platform.loop.listen(("127.0.0.1", 0))
