--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -26,10 +26,10 @@
 from sprucepost.settings.reload import changes, refused
 from sprucepost.settings.running import settings_fingerprint
 from sprucepost.view import Record
-from sprucepost.view.words import Changed
+from sprucepost.view.messages import ViewChanged
 from sprucepost.wire.connection import Options
 from sprucepost.wire.health import NOT_SERVING, SERVING, Health
-from sprucepost.wire.http1 import Http1
+from sprucepost.wire.http1 import Http1Server
 from sprucepost.wire.reflection import Reflection
 from sprucepost.wire.server import Server
 from sprucepost.wire.status import Code, RpcError
@@ -120,7 +120,7 @@
             loop,
             scope,
             methods,
-            Options(message_most=limits.message_bytes, connections=limits.connections),
+            Options(max_message_bytes=limits.message_bytes, max_connections=limits.connections),
             lambda path, error: self.log.error("handler", path=path, error=f"{type(error).__name__}: {error}"),
         )
         self.notifier = notifier or Notifier(loop, {}, 0)
@@ -137,7 +137,7 @@
         self._stop_at: float | None = None
         self._hurry = self._nudged = False
         self.grpc_address: Address = ""
-        self.http: Http1 | None = None
+        self.http: Http1Server | None = None
 
     def _peers(self) -> Peers | None:
         """The carrier of the fleet's own view, where the settings ask for one."""
@@ -168,7 +168,7 @@
             self._seen,
             self._check_membership,
             lambda event, **more: self.log.debug(event, **more),
-            self.configuration.carrier if self.configuration is not None else None,
+            self.configuration.transport if self.configuration is not None else None,
             self.configuration.validator.fixed_fingerprint if self.configuration is not None else "",
         )
 
@@ -200,7 +200,7 @@
         if self.fleet_membership is not None:
             self.fleet_membership.check()
 
-    def _seen(self, step: Changed) -> None:
+    def _seen(self, step: ViewChanged) -> None:
         view = self.peers.view if self.peers is not None else None
         digest = f"{view.digest:016x}" if view is not None else None
         self.log.info("view", here=sorted(step.here), away=sorted(step.away), left=sorted(step.left), digest=digest)
@@ -272,7 +272,7 @@
         self.log.warning("incarnation_raised", known=known)
         if self.fleet_membership is not None and self.peers is not None:
             self.fleet_membership.incarnation = self.incarnation >> 16
-            known_incarnation = self.peers.view.me.incarnation
+            known_incarnation = self.peers.view.own_record.incarnation
             self.peers.view.update(incarnation=max(self.fleet_membership.incarnation, known_incarnation))
         return True
 
@@ -302,13 +302,13 @@
         else:
             self.grpc_address = self.server.listen(parse_address(self.file.placer.listen))
         http = passed.get("http") or passed.get("1") or parse_address(self.file.placer.http)
-        self.http = Http1(self.loop, http, pages(self))
+        self.http = Http1Server(self.loop, http, pages(self))
         for service in ("", SERVICE):
             self.health.set(service, NOT_SERVING)
         self.engine.on_change = self.nudge
         self.engine.start()
         if self.peers is not None:
-            if not self.peers.view.me.address:
+            if not self.peers.view.own_record.address:
                 self.peers.view.update(address=format_address(self.grpc_address))
             self.links.suspended = True
             self.loop.call_later(FIRST_WORD_MS, self._begin_links)
@@ -358,7 +358,10 @@
         self._nudged = False
         before = self.state
         self.state, why = judge(before, self._facts())
-        if self.peers is not None and (told := f"{self.state.value} {why}".strip()[:120]) != self.peers.view.me.status:
+        if (
+            self.peers is not None
+            and (told := f"{self.state.value} {why}".strip()[:120]) != self.peers.view.own_record.status
+        ):
             self.peers.view.update(status=told)
         if self.state is before:
             return
--- a/sprucepost/placer/discovery.py
+++ b/sprucepost/placer/discovery.py
@@ -17,7 +17,7 @@
 FIRST_UPDATE_TIMEOUT_MS = 5000.0  # for the first update of a watch
 SLOW_LIST_TIMEOUT_FACTOR = 8  # times that, once a call was not answered by then
 CONNECTION_OPTIONS = Options(
-    keepalive_ms=10_000.0, keepalive_wait_ms=5000.0
+    keepalive_ms=10_000.0, keepalive_timeout_ms=5000.0
 )  # more pings than that are taken for a flood
 MISSED_HEARTBEATS = 3  # of silence after which a watch counts as broken: one may be late, two tell nothing of the cause
 
