--- a/sprucepost/wire/call.py
+++ b/sprucepost/wire/call.py
@@ -1,4 +1,4 @@
-"""One call on a connection: messages in and out with bounded buffers, shared by client and server."""
+"""One call on a connection: messages in both directions with bounded buffers, shared by client and server."""
 
 from __future__ import annotations
 
@@ -12,14 +12,12 @@
 from sprucepost.wire.message_framing import MessageDecoder, encode_message
 from sprucepost.wire.status import Code, RpcError
 
-MAX_UNREAD_BYTES = 65_536  # bytes of messages waiting for receive() over which the peer's window is not opened again
-MAX_UNSENT_BYTES = (
-    262_144  # bytes that may wait on one call before a sender has to wait, or a callback sender sees it full
-)
+MAX_UNREAD_BYTES = 65_536  # messages waiting for receive(); beyond this the peer's window is not returned
+MAX_UNSENT_BYTES = 262_144  # buffered per call; from this on send_wait() waits and ``full`` is true
 
 
 class CallConnection(Protocol):
-    """What a call needs of the connection that it is on."""
+    """What a call needs from its connection."""
 
     loop: Loop
     http2: Http2Endpoint
@@ -27,11 +25,11 @@
     calls: dict[int, Call]
 
     def consumed(self, call: Call, size: int) -> None:
-        """The peer may send so many more bytes."""
+        """Return ``size`` bytes of the call's window to the peer."""
         ...
 
     def schedule_send(self, call: Call) -> None:
-        """The call has something to send."""
+        """Flush the call's buffer at the end of the turn."""
         ...
 
     def send_blocked(self, call: Call) -> bool: ...
@@ -43,9 +41,9 @@
 class Call:
     """The part of a call that both ends share.
 
-    Messages arrive through ``on_message`` where it is set; else they are kept, within the stream's window, for
-    :meth:`receive`. ``on_end`` tells that the peer sends no more, ``on_done`` that the call has ended, with its status;
-    nothing is called after that. Set the callbacks before the next turn of the loop.
+    Messages go to ``on_message`` if it is set; otherwise they are buffered, within the stream's window, for
+    :meth:`receive`. ``on_end`` is called when the peer sends no more messages, ``on_done`` with the status when the
+    call has ended; no callback runs after that. Set the callbacks before the next turn of the loop.
     """
 
     def __init__(self, connection: CallConnection, max_message_bytes: int) -> None:
@@ -57,25 +55,25 @@
         self.decoder = MessageDecoder(max_message_bytes)
         self.gzip_out = False
         self.last_compressed = False
-        self.end_status: RpcError | None = None  # the status once the call has ended, OK included
+        self.end_status: RpcError | None = None  # set when the call has ended, also with OK
         self.timer: Timer | None = None
-        self._received: deque[tuple[bytes, bool]] = deque()  # message, and whether it came compressed
-        self._unread_bytes = 0  # bytes of those
-        self._withheld_window = 0  # bytes received whose window the peer does not get back yet
-        self._window_held = False  # the peer gets no window back, see hold_window
-        self._peer_ended = False  # the peer sends no more
+        self._received: deque[tuple[bytes, bool]] = deque()  # message and whether it was compressed
+        self._unread_bytes = 0  # size of these messages
+        self._withheld_window = 0  # bytes received whose window is not returned to the peer yet
+        self._window_held = False  # no window is returned, see hold_window
+        self._peer_ended = False  # the peer has half-closed the call
         self._unsent: list[bytes] = []
         self.unsent_bytes = 0
         self._end_requested = False
         self.end_sent = False
-        self._after_flush: Callable[[], None] | None = None  # what to send once the buffer is out
+        self._after_flush: Callable[[], None] | None = None  # sends the trailers once the buffer is empty
         self._waiting_receiver: Task[Any] | None = None
         self._waiting_senders: list[Task[Any]] = []
 
     # Receiving
 
     def handle_data(self, data: bytes) -> None:
-        """DATA from the peer; RpcError where it breaks framing or limits."""
+        """Process DATA from the peer. RpcError if it violates the message framing or a limit."""
         messages = self.decoder.feed(data)
         if self.on_message is not None:
             if self._window_held:
@@ -90,7 +88,7 @@
         for message in messages:
             self._received.append((message, self.decoder.compressed))
             self._unread_bytes += len(message)
-        # Bytes of a message that is not whole count as taken, else one larger than the window would never end.
+        # Bytes of an incomplete message count as consumed, otherwise a message larger than the window never completes.
         if self._unread_bytes <= MAX_UNREAD_BYTES:
             self.connection.consumed(self, len(data))
         else:
@@ -99,7 +97,7 @@
             self._wake_receiver()
 
     def handle_end(self) -> None:
-        """The peer sends no more messages."""
+        """The peer has half-closed the call: it sends no more messages."""
         if self._peer_ended:
             return
         self._peer_ended = True
@@ -108,7 +106,7 @@
         self._wake_receiver()
 
     def receive(self) -> Co[bytes | None]:
-        """The next message, or None at the peer's end. RpcError where the call ended otherwise."""
+        """Wait for the next message; None if the peer sends no more. RpcError if the call ended with an error."""
         while not self._received:
             if self.end_status is not None and self.end_status.code is not Code.OK:
                 raise self.end_status
@@ -128,27 +126,30 @@
         message, self.last_compressed = self._received.popleft()
         self._unread_bytes -= len(message)
         if self._withheld_window and self._unread_bytes <= MAX_UNREAD_BYTES:
-            owed, self._withheld_window = self._withheld_window, 0
-            self.connection.consumed(self, owed)
+            withheld, self._withheld_window = self._withheld_window, 0
+            self.connection.consumed(self, withheld)
         return message
 
     def deliver_to(self, on_message: Callable[[bytes], None]) -> None:
-        """From now on give messages to a callback, first those that wait for :meth:`receive`."""
+        """Pass the buffered messages to ``on_message``, and all later ones as they arrive."""
         while self._received:
             message, self.last_compressed = self._received.popleft()
             self._unread_bytes -= len(message)
             on_message(message)
         self.on_message = on_message
-        owed, self._withheld_window = self._withheld_window, 0
-        self.connection.consumed(self, owed)
+        withheld, self._withheld_window = self._withheld_window, 0
+        self.connection.consumed(self, withheld)
 
     def hold_window(self, held: bool) -> None:
-        """Give this stream's window back no more, until told otherwise: once it is used up the peer has to wait, and other
-        streams of its connection do not. What has arrived is still delivered: it could not be answered in time later."""
+        """Stop or resume returning this stream's window to the peer.
+
+        While ``held``, the peer has to wait once the window is used up; other streams of its connection do not.
+        Messages that have arrived are still delivered, as a later answer to them would be too late.
+        """
         self._window_held = held
         if not held and self.end_status is None and self.on_message is not None:
-            owed, self._withheld_window = self._withheld_window, 0
-            self.connection.consumed(self, owed)
+            withheld, self._withheld_window = self._withheld_window, 0
+            self.connection.consumed(self, withheld)
 
     def _wake_receiver(self) -> None:
         if self._waiting_receiver is not None:
@@ -158,7 +159,7 @@
     # Sending
 
     def send(self, message: bytes, compress: bool | None = None) -> None:
-        """Send a message; it waits in this call's buffer where the peer's window or the socket is full."""
+        """Send a message; it is buffered while the peer's window or the socket is full."""
         if self.end_status is not None or self._end_requested or self.end_sent or self._after_flush is not None:
             return
         data = encode_message(message, self.gzip_out if compress is None else compress and self.gzip_out)
@@ -168,20 +169,20 @@
         self.connection.schedule_send(self)
 
     def start_sending(self) -> None:
-        """What has to go before the first message."""
+        """Called before each message; sends the headers if they have to precede it."""
 
     @property
     def full(self) -> bool:
-        """Whether more waits than a careful sender adds to."""
+        """Whether the send buffer has reached its limit; ``send`` itself does not enforce it."""
         return self.unsent_bytes >= MAX_UNSENT_BYTES
 
     @property
     def send_blocked(self) -> bool:
-        """Whether bytes of this call wait for the peer, beyond what this turn wrote."""
+        """Whether the peer's window or the socket holds back bytes of this call."""
         return self.end_status is None and self.connection.send_blocked(self)
 
     def send_wait(self, message: bytes, compress: bool | None = None) -> Co[None]:
-        """Send a message and wait while the buffer is full. RpcError where the call has ended."""
+        """Send a message and wait while the buffer is full. RpcError if the call has ended."""
         if self.end_status is not None:
             raise self.end_status
         self.send(message, compress)
@@ -196,17 +197,17 @@
                 raise self.end_status
 
     def flush(self) -> bool:
-        """Move what the windows let out to the connection; whether anything is left."""
+        """Move as many bytes to the connection as the windows allow. Whether any are left."""
         http2 = self.connection.http2
         if self._unsent:
-            room = http2.send_window(self.stream)
-            if room <= 0:
+            sendable = http2.send_window(self.stream)
+            if sendable <= 0:
                 return True
             data: bytes | memoryview = b"".join(self._unsent) if len(self._unsent) > 1 else self._unsent[0]
             self._unsent.clear()
-            if len(data) > room:
-                self._unsent.append(bytes(memoryview(data)[room:]))
-                data = memoryview(data)[:room]
+            if len(data) > sendable:
+                self._unsent.append(bytes(memoryview(data)[sendable:]))
+                data = memoryview(data)[:sendable]
             http2.send_data(self.stream, data)
             self.unsent_bytes -= len(data)
             if not self.full and self._waiting_senders:
@@ -219,12 +220,12 @@
             self._end_requested, self.end_sent = False, True
             http2.end_stream(self.stream)
         if self._after_flush is not None:
-            closing, self._after_flush = self._after_flush, None
-            closing()
+            after_flush, self._after_flush = self._after_flush, None
+            after_flush()
         return False
 
     def wait_done(self) -> Co[None]:
-        """Wait until the call has ended. Takes the place of ``on_done``."""
+        """Wait until the call has ended. Replaces ``on_done``."""
 
         def trap(task: Task[Any]) -> Undo:
             self.on_done = lambda status: task.wake()
@@ -238,7 +239,7 @@
             yield from park(trap)
 
     def mark_done(self, status: RpcError) -> None:
-        """The call has ended; called once by the connection or by this end itself."""
+        """End the call with its status, wake all waiters and call ``on_done``. Has an effect only once."""
         if self.end_status is not None:
             return
         self.end_status = status
--- a/sprucepost/wire/capture.py
+++ b/sprucepost/wire/capture.py
@@ -1,10 +1,10 @@
 """Capture files: the bytes that connections carried, with their times.
 
-The recording proxy writes them and the rule checkers read them. A file is ``SPRCAP2\\n`` followed by records. A record is
-big-endian: time (double, wall-clock ms), delay (float, at most how many ms the bytes had waited before the proxy read
-them), connection (u32), kind (u8), size (u32), payload. The kinds are 0 opened (payload: JSON object with ``client`` and
-``target``), 1 bytes from the client, 2 bytes from the target, 3 closed. Reading stops before an incomplete record at the
-end of the file.
+The recording proxy writes them and the rule checkers read them. A file is ``SPRCAP2\\n`` followed by records. A record
+is big-endian: time (double, wall-clock ms), delay (float, the most ms that the bytes may have waited before the proxy
+read them), connection (u32), kind (u8), size (u32), payload. The kinds are 0 opened (payload: JSON object with ``client``
+and ``target``), 1 bytes from the client, 2 bytes from the target, 3 closed. Reading stops before an incomplete record at
+the end of the file.
 """
 
 from __future__ import annotations
--- a/sprucepost/wire/client.py
+++ b/sprucepost/wire/client.py
@@ -1,4 +1,4 @@
-"""The gRPC client: one connection, and calls on it."""
+"""The gRPC client: one connection and the calls on it."""
 
 from __future__ import annotations
 
@@ -35,20 +35,20 @@
         self._initial_waiter: Task[Any] | None = None
 
     def end(self) -> None:
-        """No more messages from us; said once, however often it is asked for: a second END_STREAM is a protocol error."""
+        """Half-close the call. END_STREAM is sent only once, as a second one is a protocol error."""
         if self.end_status is None and not self.end_sent:
             self._end_requested = True
             self.connection.schedule_send(self)
 
     def cancel(self, code: Code = Code.CANCELLED, message: str = "cancelled by the caller") -> None:
-        """End the call now; the peer is told by a reset."""
+        """End the call now and reset its stream."""
         if self.end_status is None:
             self.connection.http2.reset(self.stream, H2Code.CANCEL)
             self.connection.flush_soon()
             self.mark_done(RpcError(code, message))
 
     def wait_initial_metadata(self) -> Co[Metadata]:
-        """The server's initial metadata. RpcError where the call ended without."""
+        """Wait for the server's initial metadata. RpcError if the call ended without it."""
         while self.initial_metadata is None:
             if self.end_status is not None:
                 raise self.end_status
@@ -74,7 +74,7 @@
         self._wake_initial()
 
     def result(self) -> Co[None]:
-        """Read to the end of the call, dropping what comes; RpcError unless it ended OK."""
+        """Wait for the end of the call and drop its messages. RpcError unless it ended with OK."""
         while (yield from self.receive()) is not None:
             pass
         if self.end_status is not None and self.end_status.code is not Code.OK:
@@ -82,7 +82,7 @@
 
 
 class ClientConnection(Connection):
-    """One connection to one server. Calls on it end UNAVAILABLE when it is lost; it does not come back by itself."""
+    """One connection to one server. When it is lost, its calls end with UNAVAILABLE; it does not reconnect."""
 
     def __init__(self, loop: Loop, transport: Transport, authority: str, options: Options) -> None:
         self.authority = authority
@@ -91,7 +91,7 @@
         super().__init__(loop, transport, True, options, Counter())
 
     def ready(self) -> Co[None]:
-        """Wait for the server's settings; RpcError where the connection ends first."""
+        """Wait for the server's SETTINGS. RpcError if the connection ends first."""
         while not self.settings_received:
             if self.closed:
                 raise RpcError(Code.UNAVAILABLE, "connection lost before it was ready", unprocessed=True)
@@ -129,9 +129,12 @@
         timeout_ms: float | None = None,
         gzip: bool = False,
     ) -> ClientCall:
-        """Begin a call; RpcError UNAVAILABLE (unprocessed) where the connection takes none."""
+        """Begin a call. RpcError, marked unprocessed, if the connection or the server's stream limit allows none.
+
+        ``timeout_ms`` is sent as the call's deadline and also ends the call here; ``gzip`` compresses its messages.
+        """
         if self.closed or self.draining:
-            raise RpcError(Code.UNAVAILABLE, "the connection takes no more calls", unprocessed=True)
+            raise RpcError(Code.UNAVAILABLE, "the connection accepts no more calls", unprocessed=True)
         if not self.http2.can_open_stream():
             raise RpcError(Code.RESOURCE_EXHAUSTED, "the server allows no more streams", unprocessed=True)
         headers: Headers = [
@@ -152,9 +155,9 @@
         call.gzip_out = gzip
         try:
             call.stream = self.http2.open_stream(headers + encode_metadata(metadata))
-        except Http2Error as broken:
+        except Http2Error as error:
             self.draining = True
-            raise RpcError(Code.UNAVAILABLE, str(broken), unprocessed=True) from None
+            raise RpcError(Code.UNAVAILABLE, str(error), unprocessed=True) from None
         self.calls[call.stream] = call
         if timeout_ms is not None:
             call.timer = self.loop.call_later(
@@ -171,7 +174,7 @@
         timeout_ms: float | None = None,
         gzip: bool = False,
     ) -> Co[bytes]:
-        """One message each way; RpcError unless the call ends OK with one."""
+        """Send one message and return the response. RpcError unless the call ends with OK and one message."""
         call = self.call(path, metadata, timeout_ms, gzip)
         call.send(request)
         call.end()
@@ -192,9 +195,9 @@
         fields = dict(headers)
         status = fields.get(b":status")
         if status is not None and not end:
-            content = fields.get(b"content-type", b"")
-            if status != b"200" or not content.startswith(b"application/grpc"):
-                self._end_call(call, _status_from_http(status, content))
+            content_type = fields.get(b"content-type", b"")
+            if status != b"200" or not content_type.startswith(b"application/grpc"):
+                self._end_call(call, _status_from_http(status, content_type))
                 self.http2.reset(stream, H2Code.CANCEL)
                 return
             encoding = fields.get(b"grpc-encoding", b"identity")
@@ -224,7 +227,7 @@
 
     def _end_call(self, call: ClientCall, status: RpcError) -> None:
         call.handle_end()
-        if not call.end_sent:  # the server ended first: our half is dropped
+        if not call.end_sent:  # the server ended first: reset the unfinished request
             self.http2.reset(call.stream, H2Code.NO_ERROR)
         call.mark_done(status)
 
@@ -244,18 +247,18 @@
             status = H2_TO_CODE.get(code, Code.INTERNAL)
             call.mark_done(RpcError(status, f"reset by the server ({code})", unprocessed=code == REFUSED_STREAM))
 
-    def on_goaway(self, code: int, last: int, text: bytes) -> None:
+    def on_goaway(self, code: int, last_stream: int, text: bytes) -> None:
         self.draining = True
-        word = f"the server is leaving ({code}{': ' + text.decode('latin-1') if text else ''})"
+        message = f"the server sent GOAWAY ({code}{': ' + text.decode('latin-1') if text else ''})"
         for call in list(self.calls.values()):
-            if call.stream > last:
-                call.mark_done(RpcError(Code.UNAVAILABLE, word, unprocessed=True))
+            if call.stream > last_stream:
+                call.mark_done(RpcError(Code.UNAVAILABLE, message, unprocessed=True))
 
 
-def _status_from_http(status: bytes, content: bytes) -> RpcError:
+def _status_from_http(status: bytes, content_type: bytes) -> RpcError:
     number = int(status) if status.isdigit() else 0
     if number == 200:
-        return RpcError(Code.UNKNOWN, f"not a gRPC response: content-type {content.decode('latin-1')!r}")
+        return RpcError(Code.UNKNOWN, f"not a gRPC response: content-type {content_type.decode('latin-1')!r}")
     return RpcError(HTTP_TO_CODE.get(number, Code.UNKNOWN), f"HTTP status {number}")
 
 
@@ -266,7 +269,7 @@
     options: Options | None = None,
     source: str | None = None,
 ) -> Co[ClientConnection]:
-    """Connect and wait until the server has shown its settings. OSError, TimedOut or RpcError."""
+    """Connect and wait for the server's SETTINGS. Raises OSError, TimedOut or RpcError."""
     task = yield from current()
     transport = yield from connect(loop, task, address, limit_ms, source)
     authority = "localhost" if isinstance(address, str) else f"{address[0]}:{address[1]}"
@@ -274,6 +277,6 @@
     try:
         yield from connection.ready()
     except BaseException:
-        connection.abort("given up")
+        connection.abort("connecting was abandoned")
         raise
     return connection
--- a/sprucepost/wire/connection.py
+++ b/sprucepost/wire/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/2 connection on a transport: calls, flushing, keepalive, stalls and the end; both roles build on it."""
+"""One HTTP/2 connection on a transport: calls, flushing, keepalive, stalled calls and closing, for both roles."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from sprucepost.wire.rate_limits import PingPolicy
 from sprucepost.wire.status import Code, RpcError
 
-LINGER_MS = 1000.0  # for the peer to read our last word
+LINGER_MS = 1000.0  # for the peer to read the last frames before the connection is reset
 
 
 @dataclass(frozen=True)
@@ -29,18 +29,16 @@
     max_connections: int = 4096
     keepalive_ms: float = 20_000.0
     keepalive_timeout_ms: float = 10_000.0
-    handshake_timeout_ms: float = 10_000.0  # an accepted connection must have sent its preface and settings by then
-    idle_timeout_ms: float = 300_000.0  # a server closes a connection without calls after this
-    stall_timeout_ms: float = 30_000.0  # a call whose data the peer has not let out for so long is ended
-    max_transport_bytes: int = 1_048_576  # bytes waiting for the socket before calls have to wait
+    handshake_timeout_ms: float = 10_000.0  # from accept until the peer's preface and SETTINGS
+    idle_timeout_ms: float = 300_000.0  # a server closes a connection that has no calls for this long
+    stall_timeout_ms: float = 30_000.0  # a call ends if the peer's window lets none of its data out for this long
+    max_transport_bytes: int = 1_048_576  # unsent bytes at the socket from which calls are held back
     min_ping_interval_ms: float = 10_000.0
-    max_send_delay_ms: float | None = (
-        None  # messages that could not go out so soon after they were sent are not to go out at all
-    )
+    max_send_delay_ms: float | None = None  # messages that are not written within this time are never sent
 
 
 class Connection:
-    """The shared part. ``counters`` gathers named errors for the metrics."""
+    """The part that both roles share. ``counters`` counts errors by name for the metrics."""
 
     def __init__(
         self, loop: Loop, transport: Transport, client: bool, options: Options, counters: Counter[str]
@@ -62,15 +60,15 @@
         self.on_closed: Callable[[], None] = lambda: None
         self.closed = False
         self.draining = False
-        self.received_valid = False  # anything valid came from the peer
+        self.received_valid = False  # whether the peer has sent valid HTTP/2
         self._calls_to_flush: dict[Call, None] = {}
-        self._blocked_calls: dict[Call, float] = {}  # calls that wait for the peer's window, since when
+        self._blocked_calls: dict[Call, float] = {}  # calls waiting for the peer's window, since when (ms)
         self._flush_scheduled = False
         self._last_read_ms = loop.now()
         self._ping_sent_ms: float | None = None
         self._timer: Timer = loop.call_later(self._check_interval_ms(), self._check_timeouts)
         self._opened_ms = loop.now()
-        self._last_call_ended_ms = loop.now()  # when the last call ended
+        self._last_call_ended_ms = loop.now()
         self.transport.on_data = self._on_bytes
         self.transport.on_end = self._on_end
         self.transport.on_lost = lambda error: self.handle_lost(str(error) if error else "connection lost")
@@ -89,11 +87,11 @@
         try:
             self.http2.receive(data, self._last_read_ms)
             self.received_valid = True
-        except Http2Error as broken:
-            self.counters[broken.name] += 1
-            self.reply_to_invalid_peer(broken)
+        except Http2Error as error:
+            self.counters[error.name] += 1
+            self.reply_to_invalid_peer(error)
             self._linger()
-            self.handle_lost(f"{broken.name}: {broken}")
+            self.handle_lost(f"{error.name}: {error}")
             return
         self.flush_soon()
 
@@ -101,14 +99,14 @@
         self.transport.close()
         self.handle_lost("the peer closed the connection")
 
-    def reply_to_invalid_peer(self, broken: Http2Error) -> None:
-        """A word for a peer that speaks something else."""
+    def reply_to_invalid_peer(self, error: Http2Error) -> None:
+        """Reply to a peer that violated the protocol, if its protocol is known."""
 
     def _on_drained(self) -> None:
         if self._calls_to_flush:
             self.flush_soon()
 
-    # From the state machine
+    # From the HTTP/2 endpoint
 
     def on_headers(self, stream: int, headers: Headers, end: bool) -> None:
         raise NotImplementedError
@@ -134,7 +132,7 @@
         raise NotImplementedError
 
     def on_error(self, stream: int, name: str, code: int) -> None:
-        """The peer broke a rule on that stream, which has been reset; the others go on."""
+        """The peer violated the protocol on a stream, which has been reset; the other streams continue."""
         self.counters[name] += 1
         self.on_reset(stream, code)
 
@@ -144,44 +142,51 @@
         self._blocked_calls.clear()
         self.flush_soon()
 
-    def on_goaway(self, code: int, last: int, text: bytes) -> None:
-        """The peer takes no more streams that this end opens (RFC 9113 6.8): for a server that means nothing, since it
-        opens none, and the calls that such a peer still opens are served."""
+    def on_goaway(self, code: int, last_stream: int, text: bytes) -> None:
+        """The peer accepts no more streams from this end (RFC 9113 6.8).
+
+        Ignored by a server, which opens none; it still serves calls that such a peer opens.
+        """
 
     def on_ping_ack(self, payload: bytes) -> None:
-        """The peer answered a ping; that it sent anything is noted already."""
+        """The peer acknowledged a ping. Any bytes from the peer have already satisfied the keepalive."""
 
     # For calls
 
     def consumed(self, call: Call, size: int) -> None:
+        """Return ``size`` bytes of the call's window to the peer."""
         self.http2.consumed(call.stream, size)
         self.flush_soon()
 
     def schedule_send(self, call: Call) -> None:
+        """Flush the call's buffer at the end of the turn."""
         if not self._calls_to_flush:
             self._unsent_since_ms = self.loop.now()
         self._calls_to_flush[call] = None
         self.flush_soon()
 
     def send_blocked(self, call: Call) -> bool:
-        """Whether the peer's window or the socket holds the call's bytes back."""
+        """Whether the peer's window or the socket holds back the call's bytes."""
         return call in self._blocked_calls or self.transport.blocked
 
     def _within_send_delay(self) -> bool:
-        """A process that was stopped in the midst of a turn sends its messages when it goes on, and they are then as old as
-        the pause was long."""
-        late = self.loop.now() - self._unsent_since_ms if self._unsent_since_ms else 0.0
+        """Whether the buffered messages are recent enough to be sent.
+
+        A process that is suspended within a turn sends its messages when it resumes; they are then as old as the pause.
+        """
+        delay_ms = self.loop.now() - self._unsent_since_ms if self._unsent_since_ms else 0.0
         self._unsent_since_ms = 0.0
-        if late <= (self.options.max_send_delay_ms or 0.0):
+        if delay_ms <= (self.options.max_send_delay_ms or 0.0):
             return True
         self.counters["stale"] += 1
         return False
 
     def call_done(self) -> None:
+        """Note that a call has ended."""
         self._last_call_ended_ms = self.loop.now()
 
     def flush_soon(self) -> None:
-        """Once at the end of this turn: many messages, one pass through the calls, one write."""
+        """Flush once at the end of this turn: one pass over the calls and one write for many messages."""
         if not self._flush_scheduled and not self.closed:
             self._flush_scheduled = True
             self.loop.at_turn_end(self._flush)
@@ -191,17 +196,17 @@
         if self.closed:
             return
         if self._calls_to_flush and self.transport.buffered < self.options.max_transport_bytes:
-            dirty, self._calls_to_flush = self._calls_to_flush, {}
-            for call in dirty:
-                before = call.unsent_bytes
+            calls, self._calls_to_flush = self._calls_to_flush, {}
+            for call in calls:
+                unsent_before = call.unsent_bytes
                 if call.end_status is not None or not call.flush():
                     self._blocked_calls.pop(call, None)
-                elif call not in self._blocked_calls or call.unsent_bytes < before:
+                elif call not in self._blocked_calls or call.unsent_bytes < unsent_before:
                     self._blocked_calls[call] = self.loop.now()
         data = self.http2.outgoing()
-        if (
-            not data
-        ):  # what was sent waits for the peer's window: that is no pause of ours, and not a later write's fault
+        if not data:
+            # The messages wait for the peer's window. That is no pause of this process, and must not count as the delay
+            # of a later write.
             self._unsent_since_ms = 0.0
         self.transport.write(data)
 
@@ -211,7 +216,7 @@
         return min(self.options.keepalive_ms, self.options.handshake_timeout_ms, self.options.stall_timeout_ms) / 2
 
     def _check_timeouts(self) -> None:
-        """Now and then: keepalive, stalled calls, idle and mute connections."""
+        """Check keepalive, stalled calls and idle connections; runs at a fixed interval."""
         if self.closed:
             return
         now, options = self.loop.now(), self.options
@@ -222,13 +227,13 @@
             elif now - since > options.stall_timeout_ms:
                 self.counters["stalled"] += 1
                 del self._blocked_calls[call]
-                self.fail_call(call, RpcError(Code.RESOURCE_EXHAUSTED, "the peer takes no data"))
+                self.fail_call(call, RpcError(Code.RESOURCE_EXHAUSTED, "the peer's window stays closed"))
         if (
             self.transport.buffered >= options.max_transport_bytes
             and now - self._last_read_ms > 2 * options.stall_timeout_ms
         ):
             self.counters["stalled"] += 1
-            self.abort("the peer reads nothing")
+            self.abort("the peer does not read")
             return
         if self._ping_sent_ms is not None:
             if now - self._ping_sent_ms > options.keepalive_timeout_ms:
@@ -242,20 +247,22 @@
         self.flush_soon()
 
     def check_idle(self, now: float) -> None:
-        """What a role adds to the look."""
+        """Close the connection if it is idle; a role may override this."""
 
     # The end
 
     def close(self, text: str = "") -> None:
-        """Say goodbye, send what is written, close."""
+        """Send a GOAWAY and what is buffered, then close."""
         if not self.closed:
             self.http2.close(H2Code.NO_ERROR, text.encode())
             self._linger()
             self.handle_lost(text or "closed")
 
     def _linger(self) -> None:
-        """Send what is left and wait a moment for the peer's end: closing with bytes unread would reset the
-        connection, and the last word with it."""
+        """Send what is left and wait briefly for the peer to close.
+
+        Closing a socket with unread bytes resets the connection, and the peer would lose the last frames.
+        """
         transport = self.transport
         transport.write(self.http2.outgoing())
         transport.shutdown_write()
@@ -266,12 +273,13 @@
         self.loop.call_later(LINGER_MS, transport.abort)
 
     def abort(self, text: str) -> None:
+        """Reset the connection and end its calls."""
         if not self.closed:
             self.transport.abort()
             self.handle_lost(text)
 
     def handle_lost(self, text: str) -> None:
-        """The connection is no more: every call on it ends."""
+        """End every call, as the connection is closed or lost."""
         if self.closed:
             return
         self.closed = True
--- a/sprucepost/wire/frames.py
+++ b/sprucepost/wire/frames.py
@@ -1,4 +1,4 @@
-"""HTTP/2 frames as RFC 9113 lays them out: kinds, flags, and what is wrong with a frame before anyone reads it."""
+"""HTTP/2 frames as defined by RFC 9113: types, flags, and the checks that need only the frame header."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
     "CONTINUATION",
 )  # fmt: skip
 END_STREAM, END_HEADERS, ACK, PADDED, WITH_PRIORITY = 1, 4, 1, 8, 0x20
-MAX_FRAME_BYTES = 16384  # bytes of payload that this side allows, RFC 9113 6.5.2
-MAX_UINT31 = 2**31 - 1
+MAX_FRAME_BYTES = 16384  # payload that this end accepts, RFC 9113 6.5.2
+MAX_UINT31 = 2**31 - 1  # the largest stream id and window
 _STREAM_FRAMES = frozenset((DATA, HEADERS, PRIORITY, RST_STREAM, PUSH_PROMISE, CONTINUATION))
 _CONNECTION_FRAMES = frozenset((SETTINGS, PING, GOAWAY))
 _FIXED_SIZES = {RST_STREAM: 4, PING: 8, WINDOW_UPDATE: 4}
 
 
 def encode(kind: int, flags: int, stream: int, payload: bytes = b"") -> bytes:
-    """A frame as it goes on the wire."""
+    """Return the bytes of a frame."""
     return struct.pack(">IBI", len(payload) << 8 | kind, flags, stream) + payload
 
 
 def window_update(stream: int, size: int) -> bytes:
+    """Return a WINDOW_UPDATE frame by ``size`` bytes."""
     return struct.pack(">IBII", 4 << 8 | WINDOW_UPDATE, 0, stream, size)
 
 
 def find_header_error(kind: int, flags: int, stream: int, size: int) -> tuple[Code, str] | None:
-    """What ends the connection in a frame's head: its code and text, or None. RFC 9113 section 6, kind by kind.
+    """Return the connection error in a frame header, as code and text, or None. RFC 9113 section 6 by frame type.
 
-    A wrong size is FRAME_SIZE_ERROR even where a parser would call it a protocol error.
+    A wrong size is FRAME_SIZE_ERROR, also where a parser reports a protocol error.
     """
     name = NAMES[kind] if kind < len(NAMES) else ""
     if kind in _STREAM_FRAMES and not stream:
@@ -49,9 +50,10 @@
 
 
 def without_priority(frame: bytes) -> bytes | None:
-    """A HEADERS frame without the deprecated priority fields (RFC 9113 5.3.2); None where they are cut short.
+    """Return a HEADERS frame without the deprecated priority fields (RFC 9113 5.3.2); None if they are truncated.
 
-    What they say is ignored, and so must their mistakes be: a stream that depends on itself would end the connection.
+    The fields are ignored, so errors in them must be ignored too: h2 would end the connection for a stream that depends
+    on itself.
     """
     flags, pad = frame[4], 1 if frame[4] & PADDED else 0
     if len(frame) < 9 + pad + 5:
--- a/sprucepost/wire/health.py
+++ b/sprucepost/wire/health.py
@@ -13,21 +13,23 @@
 
 
 class Health:
-    """What is serving: ``""`` is the server as a whole. Watchers hear of each change, from their first moment on."""
+    """The status of each service; ``""`` is the server as a whole. Watchers get the current status and each change."""
 
     def __init__(self) -> None:
         self._status: dict[str, pb.HealthCheckResponse.ServingStatus] = {}
         self._watchers: dict[ServerCall, str] = {}
 
     def set(self, service: str, status: pb.HealthCheckResponse.ServingStatus) -> None:
+        """Set the status of a service and notify its watchers if it changed."""
         if self._status.get(service) == status:
             return
         self._status[service] = status
-        for call, watched in list(self._watchers.items()):
-            if watched == service:
+        for call, watched_service in list(self._watchers.items()):
+            if watched_service == service:
                 call.send(pb.HealthCheckResponse(status=status).SerializeToString())
 
     def methods(self) -> dict[str, Method]:
+        """Return the methods of the service, by path."""
         return {
             "/grpc.health.v1.Health/Check": unary(pb.HealthCheckRequest.FromString, self._check),
             "/grpc.health.v1.Health/Watch": Method(attach=self._watch),
@@ -35,7 +37,7 @@
 
     def _check(self, request: pb.HealthCheckRequest, call: ServerCall) -> Co[pb.HealthCheckResponse]:
         if request.service not in self._status:
-            raise RpcError(Code.NOT_FOUND, f"service {request.service!r} is not known")
+            raise RpcError(Code.NOT_FOUND, f"service {request.service!r} is unknown")
         return pb.HealthCheckResponse(status=self._status[request.service])
         yield
 
--- a/sprucepost/wire/http1.py
+++ b/sprucepost/wire/http1.py
@@ -12,7 +12,7 @@
 """Returns the status, the content type and the body of a page."""
 
 REQUEST_TIMEOUT_MS = 5000.0  # from accept until the request is received and the response is read
-MAX_CONNECTIONS = 64
+MAX_CONNECTIONS = 64  # concurrent; health checks and metrics need no more
 
 
 class Http1Server:
--- a/sprucepost/wire/metadata.py
+++ b/sprucepost/wire/metadata.py
@@ -17,17 +17,21 @@
 
 
 def encode_metadata(metadata: Iterable[tuple[str, str | bytes]]) -> Headers:
-    """Header fields of custom metadata; ValueError names what cannot be sent. Keys ending in ``-bin`` take bytes."""
+    """Encode custom metadata as header fields. ``-bin`` keys take bytes. ValueError names a key that cannot be sent."""
     headers: Headers = []
     for key, value in metadata:
         if not _KEY.match(key) or key.startswith("grpc-") or key in _RESERVED:
-            raise ValueError(f"metadata {key!r}: not a key that may be sent")
+            raise ValueError(f"metadata {key!r}: the key is invalid or reserved")
         if key.endswith("-bin"):
             if isinstance(value, str):
                 raise ValueError(f"metadata {key!r}: a -bin value must be bytes")
             field = base64.b64encode(value).rstrip(b"=")
         else:
-            if isinstance(value, bytes) or not value.isascii() or any(not " " <= letter <= "~" for letter in value):
+            if (
+                isinstance(value, bytes)
+                or not value.isascii()
+                or any(not " " <= character <= "~" for character in value)
+            ):
                 raise ValueError(f"metadata {key!r}: the value must be printable ASCII text")
             field = value.strip(" ").encode()
         headers.append((key.encode(), field))
@@ -35,8 +39,8 @@
 
 
 def decode_metadata(headers: Headers) -> Metadata:
-    """Custom metadata in header fields; a ``-bin`` field that is not base64 is left out, as one that lies."""
-    found: list[tuple[str, str | bytes]] = []
+    """Return the custom metadata in header fields. A ``-bin`` field that is not valid base64 is left out."""
+    metadata: list[tuple[str, str | bytes]] = []
     for name, value in headers:
         if name.startswith((b":", b"grpc-")) or name.decode("latin-1") in _RESERVED:
             continue
@@ -45,16 +49,16 @@
             for part in value.split(b","):
                 part = part.strip()
                 try:
-                    found.append((key, base64.b64decode(part + b"=" * (-len(part) % 4), validate=True)))
+                    metadata.append((key, base64.b64decode(part + b"=" * (-len(part) % 4), validate=True)))
                 except binascii.Error:
                     continue
         else:
-            found.append((key, value.decode("latin-1")))
-    return tuple(found)
+            metadata.append((key, value.decode("latin-1")))
+    return tuple(metadata)
 
 
 def parse_timeout(value: bytes) -> float:
-    """``grpc-timeout`` in ms; ValueError where malformed."""
+    """Return the ms of a ``grpc-timeout`` value. ValueError if it is malformed."""
     match = _TIMEOUT.match(value)
     if match is None:
         raise ValueError(f"grpc-timeout {value[:20]!r}: malformed")
@@ -62,7 +66,7 @@
 
 
 def format_timeout(timeout_ms: float) -> bytes:
-    """``grpc-timeout`` for a time left, never longer than it and never more than eight digits."""
+    """Return the ``grpc-timeout`` value for a time in ms, rounded down, with at most eight digits."""
     for unit, size in ((b"u", 1e-3), (b"m", 1.0), (b"S", 1000.0), (b"M", 60_000.0)):
         count = int(max(0.0, timeout_ms) / size)
         if count < 10**8:
--- a/sprucepost/wire/reflection.py
+++ b/sprucepost/wire/reflection.py
@@ -1,4 +1,4 @@
-"""The standard reflection service, v1 and v1alpha, so that ordinary gRPC tools can ask what is served."""
+"""The standard reflection service, v1 and v1alpha, so that gRPC tools can list what is served."""
 
 from __future__ import annotations
 
@@ -15,47 +15,48 @@
 
 
 def _files(first: FileDescriptor) -> list[bytes]:
-    """A file and all that it imports."""
-    found: dict[str, bytes] = {}
-    todo = [first]
-    while todo:
-        file = todo.pop()
-        if file.name not in found:
+    """Return the serialized descriptors of a file and of all files that it imports."""
+    serialized: dict[str, bytes] = {}
+    pending = [first]
+    while pending:
+        file = pending.pop()
+        if file.name not in serialized:
             proto = descriptor_pb2.FileDescriptorProto()
             file.CopyToProto(proto)
-            found[file.name] = proto.SerializeToString()
-            todo.extend(file.dependencies)
-    return list(found.values())
+            serialized[file.name] = proto.SerializeToString()
+            pending.extend(file.dependencies)
+    return list(serialized.values())
 
 
 class Reflection:
-    """Answers for the given services, out of the default descriptor pool."""
+    """Describes the given services from the default descriptor pool."""
 
     def __init__(self, services: Iterable[str]) -> None:
         self._services = sorted({*services, *NAMES})
         self._pool = descriptor_pool.Default()
 
     def methods(self) -> dict[str, Method]:
+        """Return the methods of both versions, by path."""
         return {f"/{name}/ServerReflectionInfo": Method(attach=self._attach) for name in NAMES}
 
     def _attach(self, call: ServerCall) -> None:
-        def ask(message: bytes) -> None:
+        def on_request(message: bytes) -> None:
             call.send(self.answer(pb.ServerReflectionRequest.FromString(message)).SerializeToString())
 
-        call.on_message = ask
+        call.on_message = on_request
         call.on_end = call.finish
 
     def answer(self, request: pb.ServerReflectionRequest) -> pb.ServerReflectionResponse:
-        """The response to one request."""
+        """Return the response to one request."""
         reply = pb.ServerReflectionResponse(valid_host=request.host, original_request=request)
         kind = request.WhichOneof("message_request")
         try:
             if kind == "list_services":
                 reply.list_services_response.service.extend(pb.ServiceResponse(name=name) for name in self._services)
             elif kind == "file_by_filename":
-                self._give(reply, self._pool.FindFileByName(request.file_by_filename))
+                self._add_files(reply, self._pool.FindFileByName(request.file_by_filename))
             elif kind == "file_containing_symbol":
-                self._give(reply, self._pool.FindFileContainingSymbol(request.file_containing_symbol))
+                self._add_files(reply, self._pool.FindFileContainingSymbol(request.file_containing_symbol))
             elif kind == "all_extension_numbers_of_type":
                 name = request.all_extension_numbers_of_type
                 self._pool.FindMessageTypeByName(name)
@@ -67,5 +68,5 @@
             reply.error_response.error_message = f"not found: {error.args[0]}"
         return reply
 
-    def _give(self, reply: pb.ServerReflectionResponse, file: FileDescriptor) -> None:
+    def _add_files(self, reply: pb.ServerReflectionResponse, file: FileDescriptor) -> None:
         reply.file_descriptor_response.file_descriptor_proto.extend(_files(file))
--- a/sprucepost/wire/server.py
+++ b/sprucepost/wire/server.py
@@ -23,48 +23,48 @@
 
 
 class ServerCall(Call):
-    """A call that this server answers."""
+    """A call that this server handles."""
 
     def __init__(self, connection: ServerConnection, max_message_bytes: int) -> None:
         super().__init__(connection, max_message_bytes)
         self.path = ""
         self.metadata: Metadata = ()
-        self.deadline: float | None = None  # on the loop's clock
+        self.deadline: float | None = None  # on the loop's clock, in ms
         self.trailing_metadata: list[tuple[str, str | bytes]] = []
-        self._initial: list[tuple[str, str | bytes]] = []
+        self._initial_metadata: list[tuple[str, str | bytes]] = []
         self._started = False
         self.accepts_gzip = False
         self.finishing = False
 
     def remaining_ms(self) -> float | None:
-        """Time until the caller gives up, None where it set no limit."""
+        """Time left until the call's deadline; None if the caller set none."""
         return None if self.deadline is None else max(0.0, self.deadline - self.connection.loop.now())
 
     def send_initial_metadata(self, metadata: Iterable[tuple[str, str | bytes]] = (), compress: bool = False) -> None:
-        """Headers before the first message; ``compress`` where the caller accepts it."""
+        """Send the headers that precede the messages; ``compress`` applies if the caller accepts gzip."""
         if self._started or self.end_status is not None or self.finishing:
             return
-        self._initial.extend(metadata)
+        self._initial_metadata.extend(metadata)
         self._started = True
         headers = [(b":status", b"200"), (b"content-type", b"application/grpc")]
         if compress and self.accepts_gzip:
             self.gzip_out = True
             headers.append((b"grpc-encoding", b"gzip"))
         headers.append((b"grpc-accept-encoding", b"identity,gzip"))
-        self.connection.http2.send_headers(self.stream, headers + encode_metadata(self._initial))
+        self.connection.http2.send_headers(self.stream, headers + encode_metadata(self._initial_metadata))
         self.connection.flush_soon()
 
     def start_sending(self) -> None:
         self.send_initial_metadata()
 
     def finish(self, status: RpcError | None = None) -> None:
-        """End the call: what is buffered goes first, then the trailers."""
+        """End the call: send the buffered messages, then the trailers with ``status``, by default OK."""
         if self.end_status is not None or self.finishing:
             return
         self.finishing = True
         status = status or RpcError(Code.OK)
         if status.code is not Code.OK:
-            self._unsent.clear()  # an error does not wait for a peer that reads nothing
+            self._unsent.clear()  # an error does not wait for a peer that does not read
             self.unsent_bytes = 0
 
         def trailers() -> None:
@@ -75,7 +75,7 @@
                     (b":status", b"200"),
                     (b"content-type", b"application/grpc"),
                     (b"grpc-accept-encoding", b"identity,gzip"),
-                    *encode_metadata(self._initial),
+                    *encode_metadata(self._initial_metadata),
                 ]
             )
             fields.append((b"grpc-status", b"%d" % status.code))
@@ -84,7 +84,7 @@
             http2 = self.connection.http2
             http2.send_headers(self.stream, fields + encode_metadata(self.trailing_metadata), end=True)
             if not self._peer_ended:
-                http2.reset(self.stream, H2Code.NO_ERROR)  # whatever the caller still sends is not wanted
+                http2.reset(self.stream, H2Code.NO_ERROR)  # the rest of the request is not needed
             self.mark_done(status)
             self.connection.flush_soon()
 
@@ -98,17 +98,20 @@
 
 @dataclass(frozen=True)
 class Method:
-    """``handler`` runs as a coroutine; ``attach`` sets callbacks on the call instead (no switch for each message)."""
+    """How a method is served: ``handler`` runs as a coroutine, ``attach`` sets callbacks on the call instead.
+
+    Callbacks avoid a task switch for each message.
+    """
 
     handler: Handler | None = None
     attach: Attach | None = None
 
 
-Req = TypeVar("Req")
+Request = TypeVar("Request")
 
 
-def unary(parse: Callable[[bytes], Req], answer: Callable[[Req, ServerCall], Co[Message]]) -> Method:
-    """A method with one message each way."""
+def unary(parse: Callable[[bytes], Request], answer: Callable[[Request, ServerCall], Co[Message]]) -> Method:
+    """Return a method with one request and one response message."""
 
     def handler(call: ServerCall) -> Co[None]:
         reply = yield from answer(parse((yield from receive_single(call))), call)
@@ -118,7 +121,7 @@
 
 
 def receive_single(call: ServerCall) -> Co[bytes]:
-    """The only message of a call that has one."""
+    """Receive the request of a call that has exactly one message."""
     message = yield from call.receive()
     if message is None:
         raise RpcError(Code.INTERNAL, "no request message")
@@ -128,19 +131,21 @@
 
 
 class ServerConnection(Connection):
+    """An accepted connection of a server."""
+
     def __init__(self, server: Server, sock: Sock) -> None:
         self.server = server
         super().__init__(server.loop, Transport(server.loop, sock), False, server.options, server.counters)
 
-    def reply_to_invalid_peer(self, broken: Http2Error) -> None:
-        if broken.name == "http1":
+    def reply_to_invalid_peer(self, error: Http2Error) -> None:
+        if error.name == "http1":
             self.transport.write(
                 b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 33\r\n"
                 b"Content-Type: text/plain\r\n\r\nthis port speaks gRPC on HTTP/2.\n"
             )
 
     def on_headers(self, stream: int, headers: Headers, end: bool) -> None:
-        if stream in self.calls:  # trailers of a request: only their end means something
+        if stream in self.calls:  # request trailers: gRPC uses only their END_STREAM
             if end:
                 self.calls[stream].handle_end()
             return
@@ -166,17 +171,18 @@
 
     def _read_request(self, call: ServerCall, headers: Headers) -> Method | None:
         fields = dict(headers)
-        content = fields.get(b"content-type", b"")
-        for wrong, status in (
+        content_type = fields.get(b"content-type", b"")
+        for invalid, status in (
             (fields.get(b":method") != b"POST", b"405"),
             (
                 not (
-                    content == b"application/grpc" or content.startswith((b"application/grpc+", b"application/grpc;"))
+                    content_type == b"application/grpc"
+                    or content_type.startswith((b"application/grpc+", b"application/grpc;"))
                 ),
                 b"415",
             ),
         ):
-            if wrong:  # not gRPC: an HTTP answer
+            if invalid:  # not a gRPC request: reply with an HTTP status
                 self.counters["request"] += 1
                 self.http2.send_headers(call.stream, [(b":status", status)], end=True)
                 self.http2.reset(call.stream, H2Code.NO_ERROR)
@@ -191,17 +197,17 @@
         call.metadata = decode_metadata(headers)
         if (timeout := fields.get(b"grpc-timeout")) is not None:
             try:
-                limit = parse_timeout(timeout)
+                timeout_ms = parse_timeout(timeout)
             except ValueError as error:
                 raise RpcError(Code.INTERNAL, str(error)) from None
-            call.deadline = self.loop.now() + limit
-            call.timer = self.loop.call_later(limit, lambda: self._expire(call))
+            call.deadline = self.loop.now() + timeout_ms
+            call.timer = self.loop.call_later(timeout_ms, lambda: self._expire(call))
         method = self.server.methods.get(call.path)
         if method is None:
             service = call.path.rsplit("/", 1)[0]
-            known = any(path.rsplit("/", 1)[0] == service for path in self.server.methods)
-            what = "method" if known else "service"
-            raise RpcError(Code.UNIMPLEMENTED, f"unknown {what} {call.path}")
+            service_known = any(path.rsplit("/", 1)[0] == service for path in self.server.methods)
+            missing = "method" if service_known else "service"
+            raise RpcError(Code.UNIMPLEMENTED, f"unknown {missing} {call.path}")
         return method
 
     def _expire(self, call: ServerCall) -> None:
@@ -223,13 +229,16 @@
     def check_idle(self, now: float) -> None:
         if not self.received_valid and now - self._opened_ms > self.options.handshake_timeout_ms:
             self.counters["mute"] += 1
-            self.abort("no preface in time")
+            self.abort("no HTTP/2 preface before the timeout")
         elif not self.calls and now - max(self._last_call_ended_ms, self._opened_ms) > self.options.idle_timeout_ms:
             self.close("idle")
 
 
 class Server:
-    """Serves ``methods`` (path to Method) on a listener within ``scope``, whose end cancels the handlers."""
+    """Serves ``methods``, by path, on its listeners. Handlers run in ``scope`` and are cancelled when it ends.
+
+    ``on_error(path, error)`` is called when a handler raises an unexpected exception.
+    """
 
     def __init__(
         self,
@@ -249,10 +258,11 @@
         self._tasks: dict[ServerCall, Task[Any]] = {}
 
     def listen(self, address: Address) -> Address:
-        """Bind and serve; the address that was bound. OSError where it cannot be."""
+        """Listen on an address and serve it; return the bound address. OSError if it cannot be bound."""
         return self.serve(self.loop.listen(address))
 
     def serve(self, listener: Listener) -> Address:
+        """Serve a listening socket and return its address."""
         self._acceptors.append(Acceptor(self.loop, listener, self._accept))
         return listener.address
 
@@ -269,6 +279,7 @@
         self.connections.pop(connection, None)
 
     def dispatch(self, method: Method, call: ServerCall) -> None:
+        """Start a method for a call."""
         self.counters["calls"] += 1
         if method.attach is not None:
             try:
@@ -293,7 +304,7 @@
         except Cancelled:
             call.finish(RpcError(Code.CANCELLED, "cancelled by the server"))
             raise
-        except Exception as error:  # a handler's defect ends its call, not the server
+        except Exception as error:  # an error in a handler ends its call, not the server
             self.counters["handler"] += 1
             self._on_error(call.path, error)
             call.finish(RpcError(Code.UNKNOWN, f"{type(error).__name__}: {error}"))
@@ -301,26 +312,27 @@
             self._tasks.pop(call, None)
 
     def cancel_handler(self, call: ServerCall, status: RpcError) -> None:
-        """A call that ended before its handler did: the handler is cancelled."""
+        """Cancel the handler of a call that ended with an error before it."""
         task = self._tasks.get(call)
         if task is not None and status.code is not Code.OK:
             task.cancel()
 
     def drain(self, grace_ms: float) -> Co[None]:
-        """Take no new connection or call, let open calls end for at most ``grace_ms``, then close."""
+        """Accept no new connection or call, wait at most ``grace_ms`` for open calls to end, then close."""
         self.draining = True
         for acceptor in self._acceptors:
             acceptor.close()
         for connection in list(self.connections):
             connection.http2.goaway(last=2**31 - 1)
             connection.flush_soon()
-        until = self.loop.now() + grace_ms
-        while any(connection.calls for connection in self.connections) and self.loop.now() < until:
+        deadline = self.loop.now() + grace_ms
+        while any(connection.calls for connection in self.connections) and self.loop.now() < deadline:
             yield from sleep(min(20.0, grace_ms))
         self.close()
         yield from sleep(0)
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         self.draining = True
         for acceptor in self._acceptors:
             acceptor.close()
--- a/sprucepost/wire/session.py
+++ b/sprucepost/wire/session.py
@@ -1,7 +1,7 @@
-"""A session of numbered frames that continues over several streams. Performs no I/O; ``docs/protocol.md`` has the rules.
+"""A session of numbered frames that continues over several streams. No I/O; ``docs/protocol.md`` has the rules.
 
 Each end numbers the frames that it sends from 1 and keeps each until the other end has acknowledged it. When a stream
-breaks, each end tells on the next stream the number of the last frame that it received: later frames are sent again, and
+breaks, each end sends on the next stream the number of the last frame that it received. Later frames are sent again, and
 repeated frames are dropped here. Every frame thus takes effect once and in order as long as both ends keep the session.
 """
 
--- a/sprucepost/wire/status.py
+++ b/sprucepost/wire/status.py
@@ -12,6 +12,8 @@
 
 
 class Code(IntEnum):
+    """gRPC status codes."""
+
     OK = 0
     CANCELLED = 1
     UNKNOWN = 2
@@ -34,7 +36,7 @@
 class RpcError(Exception):
     """A call that ended with a status other than OK.
 
-    ``unprocessed`` is True only where the peer is known not to have looked at the call: it never ran.
+    ``unprocessed`` is True only if the peer is known not to have processed the call, so that it may be retried.
     """
 
     def __init__(self, code: Code, message: str = "", unprocessed: bool = False) -> None:
@@ -53,7 +55,7 @@
     504: Code.UNAVAILABLE,
 }
 
-REFUSED_STREAM = 7
+REFUSED_STREAM = 7  # HTTP/2 error code
 H2_TO_CODE = {
     REFUSED_STREAM: Code.UNAVAILABLE,
     8: Code.CANCELLED,  # CANCEL
@@ -63,7 +65,7 @@
 
 
 def parse_code(text: str) -> Code:
-    """The code in a ``grpc-status`` header; UNKNOWN where it is none."""
+    """Return the code in a ``grpc-status`` header; UNKNOWN if it is invalid."""
     return Code(int(text)) if text.isdecimal() and int(text) in Code._value2member_map_ else Code.UNKNOWN
 
 
@@ -71,11 +73,11 @@
 
 
 def percent_encode(text: str) -> str:
-    """``grpc-message``: UTF-8, with all but printable ASCII, and ``%`` itself, as ``%XX``."""
+    """Encode a ``grpc-message``: UTF-8, with ``%`` and all bytes but printable ASCII as ``%XX``."""
     raw = text.encode("utf-8", "replace")
     return _ESCAPED.sub(lambda match: b"%%%02X" % match[0][0], raw).decode("ascii")
 
 
 def percent_decode(text: str) -> str:
-    """The reverse; what is no valid escape stays as it is."""
+    """Decode a ``grpc-message``; invalid escapes are kept as they are."""
     return unquote_to_bytes(text.encode("utf-8", "surrogateescape")).decode("utf-8", "replace")
