--- a/tests/interop/service.py
+++ b/tests/interop/service.py
@@ -1,4 +1,4 @@
-"""The interoperability test service on our server."""
+"""The gRPC interoperability test service on this project's server."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 def _check(expected: pb.BoolValue | None, call: ServerCall) -> None:
     if expected is not None and expected.value != call.last_compressed:
-        raise RpcError(Code.INVALID_ARGUMENT, "compression of the request is not as expected")
+        raise RpcError(Code.INVALID_ARGUMENT, "the request's compression is not as expected")
 
 
 def _empty(request: pb.Empty, call: ServerCall) -> Co[pb.Empty]:
--- a/tests/interop/serving.py
+++ b/tests/interop/serving.py
@@ -1,4 +1,4 @@
-"""Our server in a process of its own, for clients that block."""
+"""The server in its own process, for clients that block."""
 
 from __future__ import annotations
 
@@ -28,6 +28,7 @@
 
 @contextmanager
 def our_server() -> Iterator[str]:
+    """Run the server in a process and yield its address."""
     process = subprocess.Popen([sys.executable, "-m", "tests.interop.serving"], stdout=subprocess.PIPE, text=True)
     try:
         assert process.stdout is not None
--- a/tests/interop/test_our_client.py
+++ b/tests/interop/test_our_client.py
@@ -1,4 +1,4 @@
-"""Our client against the official server: the published interoperability cases by their names."""
+"""This project's client against grpcio's server: the published interoperability cases."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from tests.interop.service import ECHO_INITIAL, ECHO_TRAILING, SERVICE
 
 
-class TheirService:
-    """The test service on grpcio."""
+class GrpcioService:
+    """The test service on grpcio's server."""
 
     def empty(self, request: pb.Empty, context: Any) -> pb.Empty:
         return pb.Empty()
@@ -56,22 +56,22 @@
             context.set_trailing_metadata([(ECHO_TRAILING, found[ECHO_TRAILING])])
 
     def handler(self) -> Any:
-        def serial(m: Any) -> bytes:
+        def serialize(m: Any) -> bytes:
             return bytes(m.SerializeToString())
 
         return grpc.method_handlers_generic_handler(
             SERVICE[1:],
             {
-                "EmptyCall": grpc.unary_unary_rpc_method_handler(self.empty, pb.Empty.FromString, serial),
-                "UnaryCall": grpc.unary_unary_rpc_method_handler(self.unary, pb.SimpleRequest.FromString, serial),
+                "EmptyCall": grpc.unary_unary_rpc_method_handler(self.empty, pb.Empty.FromString, serialize),
+                "UnaryCall": grpc.unary_unary_rpc_method_handler(self.unary, pb.SimpleRequest.FromString, serialize),
                 "StreamingOutputCall": grpc.unary_stream_rpc_method_handler(
-                    self.output, pb.StreamingOutputCallRequest.FromString, serial
+                    self.output, pb.StreamingOutputCallRequest.FromString, serialize
                 ),
                 "StreamingInputCall": grpc.stream_unary_rpc_method_handler(
-                    self.input, pb.StreamingInputCallRequest.FromString, serial
+                    self.input, pb.StreamingInputCallRequest.FromString, serialize
                 ),
                 "FullDuplexCall": grpc.stream_stream_rpc_method_handler(
-                    self.duplex, pb.StreamingOutputCallRequest.FromString, serial
+                    self.duplex, pb.StreamingOutputCallRequest.FromString, serialize
                 ),
             },
         )
@@ -80,7 +80,7 @@
 @pytest.fixture(scope="module")
 def port() -> Iterator[int]:
     server = grpc.server(futures.ThreadPoolExecutor(8), options=[("grpc.max_receive_message_length", -1)])
-    server.add_generic_rpc_handlers((TheirService().handler(),))
+    server.add_generic_rpc_handlers((GrpcioService().handler(),))
     port = server.add_insecure_port("127.0.0.1:0")
     server.start()
     yield port
@@ -111,7 +111,7 @@
     return run
 
 
-def asking(*sizes: int, body: int = 0, interval_us: int = 0) -> bytes:
+def output_request(*sizes: int, body: int = 0, interval_us: int = 0) -> bytes:
     return pb.StreamingOutputCallRequest(
         response_parameters=[pb.ResponseParameters(size=size, interval_us=interval_us) for size in sizes],
         payload=pb.Payload(body=bytes(body)),
@@ -123,7 +123,7 @@
     return len(pb.StreamingOutputCallResponse.FromString(message).payload.body)
 
 
-def fails(run: Run, body: Callable[[ClientConnection], Co[Any]]) -> RpcError:
+def call_error(run: Run, body: Callable[[ClientConnection], Co[Any]]) -> RpcError:
     with pytest.raises(RpcError) as error:
         run(body)
     return error.value
@@ -158,7 +158,7 @@
 def test_server_streaming(run: Run) -> None:
     def body(connection: ClientConnection) -> Co[list[int]]:
         call = connection.call(f"{SERVICE}/StreamingOutputCall")
-        call.send(asking(31415, 9, 2653, 58979))
+        call.send(output_request(31415, 9, 2653, 58979))
         call.end()
         sizes = []
         while (message := (yield from call.receive())) is not None:
@@ -174,7 +174,7 @@
         call = connection.call(f"{SERVICE}/FullDuplexCall")
         sizes = []
         for response, request in ((31415, 27182), (9, 8), (2653, 1828), (58979, 45904)):
-            call.send(asking(response, body=request))
+            call.send(output_request(response, body=request))
             sizes.append(size_of((yield from call.receive())))
         call.end()
         yield from call.result()
@@ -200,33 +200,33 @@
         call.cancel()
         yield from call.result()
 
-    assert fails(run, body).code is Code.CANCELLED
+    assert call_error(run, body).code is Code.CANCELLED
 
 
 def test_cancel_after_first_response(run: Run) -> None:
     def body(connection: ClientConnection) -> Co[None]:
         call = connection.call(f"{SERVICE}/FullDuplexCall")
-        call.send(asking(31415, body=27182))
+        call.send(output_request(31415, body=27182))
         assert size_of((yield from call.receive())) == 31415
         call.cancel()
         yield from call.result()
 
-    assert fails(run, body).code is Code.CANCELLED
+    assert call_error(run, body).code is Code.CANCELLED
 
 
 def test_timeout_on_sleeping_server(run: Run) -> None:
     def body(connection: ClientConnection) -> Co[None]:
         call = connection.call(f"{SERVICE}/FullDuplexCall", timeout_ms=30)
-        call.send(asking(1, body=27182, interval_us=500_000))
+        call.send(output_request(1, body=27182, interval_us=500_000))
         yield from call.result()
 
-    assert fails(run, body).code is Code.DEADLINE_EXCEEDED
+    assert call_error(run, body).code is Code.DEADLINE_EXCEEDED
 
 
 @pytest.mark.parametrize("message", ["test status message", "\t\ntest ☺ and 😈 100%\r\n"])
 def test_status_code_and_message_and_special_status_message(run: Run, message: str) -> None:
     request = pb.SimpleRequest(response_status=pb.EchoStatus(code=2, message=message)).SerializeToString()
-    error = fails(run, lambda connection: connection.unary(f"{SERVICE}/UnaryCall", request))
+    error = call_error(run, lambda connection: connection.unary(f"{SERVICE}/UnaryCall", request))
     assert (error.code, error.message) == (Code.UNKNOWN, message)
 
 
@@ -249,7 +249,7 @@
     "path", [f"{SERVICE}/UnimplementedCall", "/grpc.testing.UnimplementedService/UnimplementedCall"]
 )
 def test_unimplemented_method_and_service(run: Run, path: str) -> None:
-    assert fails(run, lambda connection: connection.unary(path, b"")).code is Code.UNIMPLEMENTED
+    assert call_error(run, lambda connection: connection.unary(path, b"")).code is Code.UNIMPLEMENTED
 
 
 def test_compressed_unary_both_ways(run: Run) -> None:
@@ -270,7 +270,7 @@
     assert run(body) == (True, 314159)
 
 
-def test_a_server_that_leaves_ends_new_calls_as_unprocessed(port: int) -> None:
+def test_new_calls_after_goaway_fail_as_unprocessed(port: int) -> None:
     loop = EpollLoop(1)
 
     def main() -> Co[RpcError]:
@@ -280,7 +280,7 @@
             connection.call("/any")
         except RpcError as error:
             return error
-        raise AssertionError("the call was taken")
+        raise AssertionError("the call was accepted")
 
     error = loop.run(main)
     loop.close()
--- a/tests/interop/test_our_server.py
+++ b/tests/interop/test_our_server.py
@@ -1,4 +1,4 @@
-"""The official client, blocking and aio, against our server: the published interoperability cases by their names."""
+"""grpcio's clients, blocking and aio, against this project's server: the published interoperability cases."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     )
 
 
-def asking(*sizes: int, body: int = 0, interval_us: int = 0) -> pb.StreamingOutputCallRequest:
+def output_request(*sizes: int, body: int = 0, interval_us: int = 0) -> pb.StreamingOutputCallRequest:
     return pb.StreamingOutputCallRequest(
         response_parameters=[pb.ResponseParameters(size=size, interval_us=interval_us) for size in sizes],
         payload=pb.Payload(body=bytes(body)),
@@ -69,13 +69,13 @@
         f"{SERVICE}/StreamingOutputCall", lambda m: m.SerializeToString(), pb.StreamingOutputCallResponse.FromString
     )
     sizes = [31415, 9, 2653, 58979]
-    assert [len(reply.payload.body) for reply in call(asking(*sizes), timeout=10)] == sizes
+    assert [len(reply.payload.body) for reply in call(output_request(*sizes), timeout=10)] == sizes
 
 
 def test_ping_pong(channel: Any) -> None:
     sizes = [(31415, 27182), (9, 8), (2653, 1828), (58979, 45904)]
     sent: list[pb.StreamingOutputCallRequest] = []
-    waiting: list[pb.StreamingOutputCallRequest] = [asking(sizes[0][0], body=sizes[0][1])]
+    waiting: list[pb.StreamingOutputCallRequest] = [output_request(sizes[0][0], body=sizes[0][1])]
 
     def requests() -> Iterator[pb.StreamingOutputCallRequest]:
         while len(sent) < len(sizes):
@@ -88,7 +88,7 @@
     for reply in duplex(channel)(requests(), timeout=10):
         got.append(len(reply.payload.body))
         if len(got) < len(sizes):
-            waiting.append(asking(sizes[len(got)][0], body=sizes[len(got)][1]))
+            waiting.append(output_request(sizes[len(got)][0], body=sizes[len(got)][1]))
     assert got == [size for size, _ in sizes]
 
 
@@ -114,7 +114,7 @@
     stop: list[bool] = []
 
     def requests() -> Iterator[pb.StreamingOutputCallRequest]:
-        yield asking(31415, body=27182)
+        yield output_request(31415, body=27182)
         while not stop:
             time.sleep(0.001)
 
@@ -129,7 +129,7 @@
 
 def test_timeout_on_sleeping_server(channel: Any) -> None:
     with pytest.raises(grpc.RpcError) as error:
-        list(duplex(channel)(iter([asking(1, body=27182, interval_us=1_000_000)]), timeout=0.05))
+        list(duplex(channel)(iter([output_request(1, body=27182, interval_us=1_000_000)]), timeout=0.05))
     assert error.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED
 
 
@@ -154,7 +154,7 @@
     _, call = unary(channel).with_call(pb.SimpleRequest(response_size=1), metadata=metadata, timeout=10)
     assert metadata[0] in [tuple(pair) for pair in call.initial_metadata()]
     assert metadata[1] in [tuple(pair) for pair in call.trailing_metadata()]
-    stream = duplex(channel)(iter([asking(1)]), metadata=metadata, timeout=10)
+    stream = duplex(channel)(iter([output_request(1)]), metadata=metadata, timeout=10)
     assert len(list(stream)) == 1
     assert metadata[0] in [tuple(pair) for pair in stream.initial_metadata()]
     assert metadata[1] in [tuple(pair) for pair in stream.trailing_metadata()]
@@ -173,7 +173,7 @@
     request = pb.SimpleRequest(
         expect_compressed=pb.BoolValue(value=True), response_size=314159, payload=pb.Payload(body=bytes(271828))
     )
-    with pytest.raises(grpc.RpcError) as error:  # the probe: not compressed though it says so
+    with pytest.raises(grpc.RpcError) as error:  # the case's probe: announced as compressed but sent uncompressed
         unary(channel)(request, timeout=10)
     assert error.value.code() is grpc.StatusCode.INVALID_ARGUMENT
     assert len(unary(channel)(request, timeout=10, compression=grpc.Compression.Gzip).payload.body) == 314159
@@ -209,19 +209,19 @@
     assert [len(reply.payload.body) for reply in call(request, timeout=10)] == [31415, 92653]
 
 
-def test_messages_far_above_the_windows_both_ways(channel: Any) -> None:
+def test_messages_much_larger_than_the_windows_in_both_directions(channel: Any) -> None:
     request = pb.SimpleRequest(response_size=7_000_000, payload=pb.Payload(body=bytes(7_000_000)))
     assert len(unary(channel)(request, timeout=30).payload.body) == 7_000_000
 
 
-def test_a_message_over_the_limit_ends_the_call_alone(channel: Any) -> None:
+def test_a_message_over_the_limit_ends_only_its_call(channel: Any) -> None:
     with pytest.raises(grpc.RpcError) as error:
         unary(channel)(pb.SimpleRequest(payload=pb.Payload(body=bytes(9_000_000))), timeout=30)
     assert error.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
     assert unary(channel, "EmptyCall", pb.Empty)(pb.Empty(), timeout=10) == pb.Empty()
 
 
-def test_a_connection_that_is_idle_for_several_keepalives_stays(channel: Any) -> None:
+def test_a_connection_stays_open_while_idle_for_several_keepalive_intervals(channel: Any) -> None:
     call = unary(channel, "EmptyCall", pb.Empty)
     call(pb.Empty(), timeout=10)
     time.sleep(1.5)
@@ -244,13 +244,13 @@
 
 @pytest.mark.parametrize("version", ["v1", "v1alpha"])
 def test_reflection(channel: Any, version: str) -> None:
-    pb_ = reflection_pb2
+    reflection_pb = reflection_pb2
     call = channel.stream_stream(
         f"/grpc.reflection.{version}.ServerReflection/ServerReflectionInfo",
         lambda m: m.SerializeToString(),
-        pb_.ServerReflectionResponse.FromString,
+        reflection_pb.ServerReflectionResponse.FromString,
     )
-    ask = pb_.ServerReflectionRequest
+    ask = reflection_pb.ServerReflectionRequest
     requests = [
         ask(list_services="*"),
         ask(file_containing_symbol="grpc.testing.TestService"),
@@ -269,7 +269,7 @@
         )()
         total = 0
         for n in range(20):
-            await call.write(asking(100 + number + n))
+            await call.write(output_request(100 + number + n))
             total += len((await call.read()).payload.body)
         await call.done_writing()
         assert await call.read() is grpc.aio.EOF
@@ -292,7 +292,7 @@
                 await unary(channel)(pb.SimpleRequest(response_status=pb.EchoStatus(code=9, message="ö%")))
             assert (error.value.code(), error.value.details()) == (grpc.StatusCode.FAILED_PRECONDITION, "ö%")
             call = duplex(channel)()
-            await call.write(asking(10))
+            await call.write(output_request(10))
             await call.read()
             call.cancel()
             with pytest.raises(asyncio.CancelledError):
--- a/tests/wire/support.py
+++ b/tests/wire/support.py
@@ -1,4 +1,4 @@
-"""A server of ours and raw peers on one loop."""
+"""A server and raw peers on one event loop."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Peer:
-    """A raw connection: what it sends is up to the test."""
+    """A raw connection that sends any bytes and keeps the received ones in ``got``."""
 
     def __init__(self, transport: Transport) -> None:
         self.transport, self.got, self.ended = transport, bytearray(), False
@@ -28,24 +28,27 @@
         self.transport.write(data)
 
     def until_closed(self, limit_ms: float = 3000) -> Co[bytes]:
+        """Wait until the other end closes; return all received bytes."""
         yield from wait_for(lambda: self.ended, limit_ms)
         return bytes(self.got)
 
 
 def wait_for(ready: Callable[[], Any], limit_ms: float = 3000) -> Co[None]:
+    """Poll until ``ready`` is true. AssertionError after ``limit_ms``."""
     for _ in range(int(limit_ms / 2)):
         if ready():
             return
         yield from sleep(2)
-    raise AssertionError("did not happen in time")
+    raise AssertionError("condition not met in time")
 
 
 def peer(loop: EpollLoop, address: Address) -> Co[Peer]:
+    """Open a raw connection."""
     return Peer((yield from connect(loop, (yield from current()), address, 1000)))
 
 
 def echo(call: ServerCall) -> None:
-    """Every message back, by callbacks."""
+    """Send every message back, by callbacks."""
     call.on_message = call.send
     call.on_end = call.finish
 
@@ -55,7 +58,7 @@
     methods: dict[str, Method] | None = None,
     options: Options | None = None,
 ) -> Any:
-    """Run ``body`` beside a server, within 20 s."""
+    """Run ``body`` with a server, by default one that echoes, for at most 20 s."""
     loop = EpollLoop(1)
 
     def main(scope: Scope) -> Co[Any]:
--- a/tests/wire/test_hostile.py
+++ b/tests/wire/test_hostile.py
@@ -1,4 +1,4 @@
-"""Hostile and broken peers: each ends with a bounded cost, a named error and a counter, and other streams go on."""
+"""Hostile and faulty peers: each is stopped at a bounded cost with a named error and a counter; others are served."""
 
 from __future__ import annotations
 
@@ -43,19 +43,19 @@
     (":method", "POST"), (":scheme", "http"), (":path", "/t.T/Echo"), (":authority", "x"), ("te", "trailers"),
     ("content-type", "application/grpc"),
 ]  # fmt: skip
-OPEN = PREFACE + frame(SETTINGS)
+CONNECTION_START = PREFACE + frame(SETTINGS)
 
 
-def head(*more: tuple[str, str]) -> bytes:
-    """The preface and one open call on stream 1."""
-    machine = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
-    machine.initiate_connection()
-    machine.send_headers(1, [*REQUEST, *more])
-    return bytes(machine.data_to_send())
+def open_call(*more: tuple[str, str]) -> bytes:
+    """Return the preface and one open call on stream 1."""
+    client_connection = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
+    client_connection.initiate_connection()
+    client_connection.send_headers(1, [*REQUEST, *more])
+    return bytes(client_connection.data_to_send())
 
 
 def goaway(data: bytes) -> tuple[int, bytes]:
-    """Code and text of the GOAWAY in what a peer received."""
+    """Return code and text of the GOAWAY among the received bytes."""
     at = 0
     while at + 9 <= len(data):
         size = int.from_bytes(data[at : at + 3], "big")
@@ -66,7 +66,7 @@
 
 
 def answered(data: bytes) -> bool:
-    """Whether a HEADERS frame has come."""
+    """Whether a complete HEADERS frame was received."""
     at = 0
     while at + 9 <= len(data):
         end = at + 9 + int.from_bytes(data[at : at + 3], "big")
@@ -79,27 +79,30 @@
 FLOODS = {
     "random": (b"\x00\xff\x13garbage" * 50, "preface"),
     "tls": (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" + bytes(100), "preface"),
-    "frame_size": (OPEN + frame(DATA, 0, 1, b"")[:0] + b"\xff\xff\xff\0\0\0\0\0\1", "frame_size"),
-    "ping": (OPEN + frame(PING, 0, 0, b"12345678") * 5000, "too_many_pings"),
-    "ping_ack": (OPEN + frame(PING, 1, 0, b"12345678") * 5000, "flood_ping"),
-    "settings": (OPEN + frame(SETTINGS) * 5000, "flood_settings"),
-    "priority": (OPEN + frame(PRIORITY, 0, 3, b"\0\0\0\0\1") * 5000, "flood_priority"),
-    "window": (OPEN + frame(WINDOW_UPDATE, 0, 0, b"\0\0\0\1") * 5000, "flood_window_update"),
-    "window_overflow": (OPEN + frame(WINDOW_UPDATE, 0, 0, b"\x7f\xff\xff\xff") * 2, "window"),
-    "empty_data": (head() + frame(DATA, 0, 1) * 5000, "flood_data"),
-    "continuation": (OPEN + frame(HEADERS, 0, 1, b"\0") + frame(CONTINUATION, 0, 1, b"\0\1a\1b") * 50_000, "protocol"),
-    "empty_continuation": (OPEN + frame(HEADERS, 0, 1, b"\x82") + frame(CONTINUATION, 0, 1) * 50_000, None),
-    "headers_too_large": (head(*[(f"x-{n}", "v" * 500) for n in range(60)]), "headers"),
-    "data_on_idle": (OPEN + frame(DATA, 0, 7, b"x"), "protocol"),
-    "padding": (head() + frame(DATA, 8, 1, b"\xff12"), "padding"),
-    "unknown_kinds": (OPEN + frame(77, 0, 0, b"x") * 5000, "flood_unknown"),
-    "push": (OPEN + frame(5, 4, 1, b"\0\0\0\2"), "protocol"),
-    "data_in_headers": (OPEN + frame(HEADERS, 0, 1, b"\x82") + frame(DATA, 0, 1, b"x"), "protocol"),
+    "frame_size": (CONNECTION_START + frame(DATA, 0, 1, b"")[:0] + b"\xff\xff\xff\0\0\0\0\0\1", "frame_size"),
+    "ping": (CONNECTION_START + frame(PING, 0, 0, b"12345678") * 5000, "too_many_pings"),
+    "ping_ack": (CONNECTION_START + frame(PING, 1, 0, b"12345678") * 5000, "flood_ping"),
+    "settings": (CONNECTION_START + frame(SETTINGS) * 5000, "flood_settings"),
+    "priority": (CONNECTION_START + frame(PRIORITY, 0, 3, b"\0\0\0\0\1") * 5000, "flood_priority"),
+    "window": (CONNECTION_START + frame(WINDOW_UPDATE, 0, 0, b"\0\0\0\1") * 5000, "flood_window_update"),
+    "window_overflow": (CONNECTION_START + frame(WINDOW_UPDATE, 0, 0, b"\x7f\xff\xff\xff") * 2, "window"),
+    "empty_data": (open_call() + frame(DATA, 0, 1) * 5000, "flood_data"),
+    "continuation": (
+        CONNECTION_START + frame(HEADERS, 0, 1, b"\0") + frame(CONTINUATION, 0, 1, b"\0\1a\1b") * 50_000,
+        "protocol",
+    ),
+    "empty_continuation": (CONNECTION_START + frame(HEADERS, 0, 1, b"\x82") + frame(CONTINUATION, 0, 1) * 50_000, None),
+    "headers_too_large": (open_call(*[(f"x-{n}", "v" * 500) for n in range(60)]), "headers"),
+    "data_on_idle": (CONNECTION_START + frame(DATA, 0, 7, b"x"), "protocol"),
+    "padding": (open_call() + frame(DATA, 8, 1, b"\xff12"), "padding"),
+    "unknown_kinds": (CONNECTION_START + frame(77, 0, 0, b"x") * 5000, "flood_unknown"),
+    "push": (CONNECTION_START + frame(5, 4, 1, b"\0\0\0\2"), "protocol"),
+    "data_in_headers": (CONNECTION_START + frame(HEADERS, 0, 1, b"\x82") + frame(DATA, 0, 1, b"x"), "protocol"),
 }
 
 
 @pytest.mark.parametrize("name", FLOODS)
-def test_a_flood_ends_its_connection_and_no_other(name: str) -> None:
+def test_a_flood_ends_only_its_own_connection(name: str) -> None:
     data, counter = FLOODS[name]
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
@@ -121,12 +124,12 @@
 
 
 def test_a_rapid_reset_flood_is_bounded() -> None:
-    machine = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
-    machine.initiate_connection()
+    client_connection = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
+    client_connection.initiate_connection()
     for n in range(5000):
-        machine.send_headers(1 + 2 * n, REQUEST)
-        machine.reset_stream(1 + 2 * n)
-    data = machine.data_to_send()
+        client_connection.send_headers(1 + 2 * n, REQUEST)
+        client_connection.reset_stream(1 + 2 * n)
+    data = client_connection.data_to_send()
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         bad = yield from peer(loop, address)
@@ -139,7 +142,7 @@
     assert RST_STREAM == 3
 
 
-def test_http1_on_the_grpc_port_gets_an_answer_it_can_read() -> None:
+def test_http1_on_the_grpc_port_gets_an_http1_response() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         bad = yield from peer(loop, address)
         bad.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -149,18 +152,18 @@
     assert got.startswith(b"HTTP/1.1 400") and counters == {"http1": 1}
 
 
-def test_too_many_pings_is_told_by_its_usual_name() -> None:
+def test_too_many_pings_is_reported_by_its_grpc_name() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         bad = yield from peer(loop, address)
-        bad.send(OPEN + frame(PING, 0, 0, b"12345678") * 10)
+        bad.send(CONNECTION_START + frame(PING, 0, 0, b"12345678") * 10)
         return goaway((yield from bad.until_closed()))
 
     assert serve(body) == (11, b"too_many_pings")
 
 
-def test_a_compressed_bomb_is_not_unpacked() -> None:
-    bomb = zlib.compressobj(wbits=31)
-    packed = bomb.compress(bytes(100_000_000)) + bomb.flush()
+def test_a_decompression_bomb_is_not_unpacked() -> None:
+    compressor = zlib.compressobj(wbits=31)
+    packed = compressor.compress(bytes(100_000_000)) + compressor.flush()
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         client = yield from open_client(loop, address)
@@ -180,7 +183,7 @@
     assert serve(body) == (b"first", Code.RESOURCE_EXHAUSTED, b"on", 1)
 
 
-def test_a_broken_message_ends_its_call_alone() -> None:
+def test_a_malformed_message_ends_only_its_call() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         client = yield from open_client(loop, address)
         results = []
@@ -199,27 +202,27 @@
     assert serve(body) == ([Code.INTERNAL, Code.INTERNAL, Code.RESOURCE_EXHAUSTED], b"on")
 
 
-def test_a_slow_reader_costs_a_bounded_buffer_and_then_its_call() -> None:
+def test_a_peer_that_does_not_read_uses_a_bounded_buffer_and_loses_its_call() -> None:
     def source(call: ServerCall) -> Co[None]:
         while True:
             yield from call.send_wait(bytes(10_000))
-            most[0] = max(most[0], call.unsent_bytes)
+            max_unsent[0] = max(max_unsent[0], call.unsent_bytes)
 
-    most = [0]
+    max_unsent = [0]
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         bad = yield from peer(loop, address)
         bad.transport.pause()
-        bad.send(head())
+        bad.send(open_call())
         yield from wait_for(lambda: server.counters["stalled"])
-        return most[0], server.counters["stalled"]
+        return max_unsent[0], server.counters["stalled"]
 
     held, stalled = serve(body, {"/t.T/Echo": Method(source)}, Options(stall_timeout_ms=200.0))
     assert stalled == 1 and held < 300_000
 
 
-def test_a_zero_window_peer_costs_its_call_only() -> None:
-    zero = head() + frame(SETTINGS, 0, 0, struct.pack(">HI", 4, 0))
+def test_a_peer_with_a_zero_window_loses_only_its_call() -> None:
+    zero = open_call() + frame(SETTINGS, 0, 0, struct.pack(">HI", 4, 0))
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         bad = yield from peer(loop, address)
@@ -233,11 +236,11 @@
     assert serve(body, options=Options(stall_timeout_ms=200.0)) == b"on"
 
 
-def test_mute_connections_are_closed_and_their_number_is_bounded() -> None:
+def test_silent_connections_are_closed_and_their_number_is_bounded() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         peers = []
         for _ in range(60):
-            with contextlib.suppress(ConnectionResetError):  # over the limit
+            with contextlib.suppress(ConnectionResetError):  # over the limit of 40
                 peers.append((yield from peer(loop, address)))
         yield from wait_for(lambda: all(p.ended for p in peers))
         assert not server.connections
@@ -246,11 +249,11 @@
         call.send(b"on")
         return (yield from call.receive()), server.counters["connections"], server.counters["mute"]
 
-    message, refused, mute = serve(body, options=Options(max_connections=40, handshake_timeout_ms=300.0))
-    assert (message, refused, mute) == (b"on", 20, 40)
+    message, refused, silent = serve(body, options=Options(max_connections=40, handshake_timeout_ms=300.0))
+    assert (message, refused, silent) == (b"on", 20, 40)
 
 
-def test_thousands_of_idle_connections_cost_the_others_little() -> None:
+def test_thousands_of_idle_connections_hardly_slow_the_others() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     count = min(2000, (hard - 200) // 2)
@@ -259,7 +262,7 @@
         peers = []
         for _ in range(count):
             idle = yield from peer(loop, address)
-            idle.send(OPEN)
+            idle.send(CONNECTION_START)
             peers.append(idle)
         yield from wait_for(lambda: sum(c.received_valid for c in server.connections) == count)
         good = yield from open_client(loop, address)
@@ -279,18 +282,18 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_wrong_requests_get_an_answer_of_their_own() -> None:
+def test_each_kind_of_invalid_request_gets_its_own_status() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         codes = []
         for change in ({":method": "GET"}, {"content-type": "text/html"}, {"grpc-encoding": "snappy"},
                        {"grpc-timeout": "x"}, {":path": "/t.T/None"}):  # fmt: skip
-            machine = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
-            machine.initiate_connection()
-            machine.send_headers(1, [*{**dict(REQUEST), **change}.items()], end_stream=True)
+            client_connection = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
+            client_connection.initiate_connection()
+            client_connection.send_headers(1, [*{**dict(REQUEST), **change}.items()], end_stream=True)
             bad = yield from peer(loop, address)
-            bad.send(machine.data_to_send())
+            bad.send(client_connection.data_to_send())
             yield from wait_for(lambda bad=bad: answered(bytes(bad.got)))  # type: ignore[misc]
-            events = machine.receive_data(bytes(bad.got))
+            events = client_connection.receive_data(bytes(bad.got))
             found = [
                 {bytes(k): bytes(v) for k, v in event.headers or ()}
                 for event in events
--- a/tests/wire/test_http1.py
+++ b/tests/wire/test_http1.py
@@ -1,4 +1,4 @@
-"""The small HTTP/1.1 port."""
+"""The HTTP/1.1 server for health and metrics."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         (b"GET / HTTP/1.1\r\n" + b"x: " + b"y" * 20_000, b"HTTP/1.1 431", b"malformed request\n"),
     ],
 )
-def test_one_request(request_bytes: bytes, first: bytes, body: bytes) -> None:
+def test_response_to_one_request(request_bytes: bytes, first: bytes, body: bytes) -> None:
     def run(loop: EpollLoop, server: Server, address: Address) -> Co[bytes]:
         http = Http1Server(loop, ("127.0.0.1", 0), PAGES)
         caller = yield from peer(loop, http.address)
--- a/tests/wire/test_session.py
+++ b/tests/wire/test_session.py
@@ -1,4 +1,4 @@
-"""Sessions: every frame once, in order, however often the stream breaks."""
+"""Sessions: every frame arrives once and in order, however often the stream breaks."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
                 got.append(frame)
         elif step == "ack":
             sender.receive_ack(receiver.ack())
-        elif step == "lose":  # the stream breaks with everything on it; some of it twice
+        elif step == "lose":  # the stream breaks, its frames are lost, and one arrives a second time
             kept = wire[:1]
             resume()
             wire[:0] = [pair for pair in kept if pair[0] <= receiver.last_received]
@@ -41,7 +41,7 @@
     assert sender.unacknowledged == 0 and not receiver.ack_due
 
 
-def test_broken_numbering_is_noticed() -> None:
+def test_invalid_numbering_is_reported() -> None:
     session: Session[str] = Session(max_unacknowledged=2)
     with pytest.raises(SessionBroken, match="frame 2 after 0"):
         session.accept(2)
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -1,4 +1,4 @@
-"""Our client against our server, and the cores without any socket."""
+"""The client against the server, and the parts that need no socket."""
 
 from __future__ import annotations
 
@@ -61,8 +61,8 @@
     assert serve(body, {"/t.T/Slow": Method(handler)}) is Code.UNAVAILABLE
 
 
-def test_a_call_that_is_ended_twice_or_written_to_after_its_end_leaves_its_connection_whole() -> None:
-    """Each machine that objects to a number has all streams ended: the second END_STREAM ended the whole process."""
+def test_a_second_end_or_a_send_after_the_end_does_not_break_the_connection() -> None:
+    """A machine that rejects a sequence number gets all its streams ended; a second END_STREAM ended the process."""
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         client = yield from open_client(loop, address)
@@ -81,15 +81,15 @@
     assert serve(body, methods) == b"whole"
 
 
-def test_messages_that_wait_for_the_peer_s_window_do_not_make_a_later_ping_stale() -> None:
+def test_messages_that_wait_for_the_window_do_not_count_as_delay_of_a_later_ping() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         client = yield from open_client(loop, address, options=Options(max_send_delay_ms=100.0))
         call = client.call("/t.T/Hold")
         for _ in range(6):
-            call.send(bytes(200_000))  # the server keeps some and opens no more window
+            call.send(bytes(200_000))  # the server buffers some and returns no more window
         yield from sleep(50)
         assert call.send_blocked
-        call.send(b"waits")  # nothing of it can go out
+        call.send(b"waits")  # none of it can be sent
         yield from sleep(250)
         client.http2.ping(b"12345678")
         client.flush_soon()
@@ -100,7 +100,7 @@
     assert serve(body, {"/t.T/Hold": Method(attach=held.append)}) == (False, 0)
 
 
-def test_a_handlers_defect_ends_its_call_and_is_counted() -> None:
+def test_an_error_in_a_handler_ends_its_call_and_is_counted() -> None:
     def handler(call: ServerCall) -> Co[None]:
         raise KeyError("planted")
         yield
@@ -115,7 +115,7 @@
     assert serve(body, {"/t.T/Bad": Method(handler)}) == (Code.UNKNOWN, 1)
 
 
-def test_draining_lets_open_calls_end_and_takes_no_new_ones() -> None:
+def test_draining_completes_open_calls_and_refuses_new_ones() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         client = yield from open_client(loop, address)
         call = client.call("/t.T/Echo")
@@ -135,7 +135,7 @@
     assert serve(body) == (b"two", Code.UNAVAILABLE, True)
 
 
-def test_a_dead_peer_is_noticed_by_keepalive() -> None:
+def test_keepalive_detects_a_peer_that_hangs() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[str]:
         client = yield from open_client(loop, address, options=Options(keepalive_ms=100, keepalive_timeout_ms=100))
         call = client.call("/t.T/Echo")
@@ -150,9 +150,9 @@
     assert serve(body) == "no answer to a keepalive ping"
 
 
-def test_a_slow_consumer_of_one_stream_does_not_stop_another() -> None:
+def test_a_slow_receiver_on_one_stream_does_not_block_another() -> None:
     def lazy(call: ServerCall) -> Co[None]:
-        yield from sleep(60_000)  # never takes a message
+        yield from sleep(60_000)  # never receives a message
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         client = yield from open_client(loop, address)
@@ -171,20 +171,23 @@
     call.on_message, call.on_end = call.send, call.finish
 
 
-def test_data_beyond_a_window_is_noticed() -> None:
-    server, client = Http2Endpoint(Nothing(), client=False, now=0.0), Http2Endpoint(Nothing(), client=True, now=0.0)
+def test_data_beyond_the_window_is_a_connection_error() -> None:
+    server, client = (
+        Http2Endpoint(ByteCounter(), client=False, now=0.0),
+        Http2Endpoint(ByteCounter(), client=True, now=0.0),
+    )
     stream = client.open_stream([(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/"), (b":authority", b"x")])
     server.receive(client.outgoing(), 0.0)
     frame = (16384).to_bytes(3, "big") + b"\0\0" + stream.to_bytes(4, "big") + bytes(16384)
     for _ in range(16):
         server.receive(frame, 0.0)
-    with pytest.raises(Http2Error) as broken:
+    with pytest.raises(Http2Error) as error:
         server.receive(frame, 0.0)
-    assert broken.value.name == "window" and broken.value.code == 3
+    assert error.value.name == "window" and error.value.code == 3
 
 
-class Nothing:
-    """A sink that only counts."""
+class ByteCounter:
+    """Counts the received bytes and ignores other events."""
 
     def __init__(self) -> None:
         self.data = 0
@@ -196,7 +199,7 @@
     def on_reset(self, stream: int, code: int) -> None: ...
     def on_error(self, stream: int, name: str, code: int) -> None: ...
     def on_window(self) -> None: ...
-    def on_goaway(self, code: int, last: int, text: bytes) -> None: ...
+    def on_goaway(self, code: int, last_stream: int, text: bytes) -> None: ...
     def on_ping_ack(self, payload: bytes) -> None: ...
 
 
@@ -204,30 +207,30 @@
 @given(
     st.lists(st.tuples(st.integers(0, 12), st.integers(0, 255), st.integers(0, 9), st.binary(max_size=60)), max_size=30)
 )
-def test_any_frames_end_in_broken_or_in_nothing(frames: list[tuple[int, int, int, bytes]]) -> None:
-    core = Http2Endpoint(Nothing(), client=False, now=0.0)
+def test_arbitrary_frames_raise_only_http2_errors(frames: list[tuple[int, int, int, bytes]]) -> None:
+    endpoint = Http2Endpoint(ByteCounter(), client=False, now=0.0)
     try:
-        core.receive(PREFACE, 0.0)
+        endpoint.receive(PREFACE, 0.0)
         for kind, flags, stream, payload in frames:
             head = len(payload).to_bytes(3, "big") + bytes([kind, flags]) + stream.to_bytes(4, "big")
-            core.receive(head + payload, 0.0)
-    except Http2Error as broken:
-        assert broken.name
-    assert len(core.outgoing()) < 10_000
+            endpoint.receive(head + payload, 0.0)
+    except Http2Error as error:
+        assert error.name
+    assert len(endpoint.outgoing()) < 10_000
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=400), st.booleans())
-def test_any_bytes_end_in_broken_or_in_nothing(data: bytes, client: bool) -> None:
-    core = Http2Endpoint(Nothing(), client=client, now=0.0)
+def test_arbitrary_bytes_raise_only_http2_errors(data: bytes, client: bool) -> None:
+    endpoint = Http2Endpoint(ByteCounter(), client=client, now=0.0)
     try:
-        core.receive(data, 0.0)
-    except Http2Error as broken:
-        assert broken.name
+        endpoint.receive(data, 0.0)
+    except Http2Error as error:
+        assert error.name
 
 
 @given(st.lists(st.binary(max_size=300), max_size=8), st.booleans(), st.integers(1, 50))
-def test_messages_survive_any_cut(messages: list[bytes], gzip: bool, cut: int) -> None:
+def test_messages_are_decoded_from_chunks_of_any_size(messages: list[bytes], gzip: bool, cut: int) -> None:
     stream = b"".join(encode_message(message, gzip) for message in messages)
     decoder, got = MessageDecoder(1000, gzip), []
     for at in range(0, len(stream), cut):
@@ -236,7 +239,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_the_decoder_never_raises_anything_else(data: bytes) -> None:
+def test_the_decoder_raises_only_rpc_errors(data: bytes) -> None:
     decoder = MessageDecoder(100, True)
     try:
         for message in decoder.feed(data):
@@ -246,14 +249,14 @@
 
 
 @given(st.text())
-def test_status_messages_survive(text: str) -> None:
+def test_status_messages_are_encoded_and_decoded(text: str) -> None:
     encoded = percent_encode(text)
     assert encoded.isascii() and encoded.isprintable()
     assert percent_decode(encoded) == text.encode("utf-8", "replace").decode()
 
 
 @given(st.binary(), st.text("abc XYZ~!", min_size=1))
-def test_metadata_survives(raw: bytes, text: str) -> None:
+def test_metadata_is_encoded_and_decoded(raw: bytes, text: str) -> None:
     sent: list[tuple[str, str | bytes]] = [("key-bin", raw), ("key", text)]
     assert decode_metadata(encode_metadata(sent)) == (("key-bin", raw), ("key", text.strip(" ")))
 
@@ -261,18 +264,18 @@
 @pytest.mark.parametrize(
     "key, value", [("grpc-x", "v"), ("Upper", "v"), ("a", "ö"), ("a", b"v"), ("a-bin", "v"), ("te", "v")]
 )
-def test_metadata_that_cannot_be_sent_is_named(key: str, value: str | bytes) -> None:
+def test_an_error_names_metadata_that_cannot_be_sent(key: str, value: str | bytes) -> None:
     with pytest.raises(ValueError, match=key):
         encode_metadata([(key, value)])
 
 
 @given(st.floats(0, 1e12))
-def test_a_timeout_is_never_longer_than_asked(timeout: float) -> None:
+def test_an_encoded_timeout_is_never_longer_than_requested(timeout: float) -> None:
     text = format_timeout(timeout)
     assert len(text) <= 9 and parse_timeout(text) <= timeout + 1e-9
 
 
-def test_a_budget_bounds_floods_and_lets_honest_peers_be() -> None:
+def test_a_budget_bounds_floods_but_not_well_behaved_peers() -> None:
     budget = FrameBudget(0.0)
     assert sum(budget.spend(0.0) for _ in range(5000)) == 1000
     budget = FrameBudget(0.0)
