--- a/tests/wire/test_hostile.py
+++ b/tests/wire/test_hostile.py
@@ -106,14 +106,14 @@
     data, counter = FLOODS[name]
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
-        good = yield from open_client(loop, address)
-        call = good.call("/t.T/Echo")
-        bad = yield from peer(loop, address)
-        bad.send(data)
-        yield from bad.until_closed()
+        client = yield from open_client(loop, address)
+        call = client.call("/t.T/Echo")
+        raw = yield from peer(loop, address)
+        raw.send(data)
+        yield from raw.until_closed()
         call.send(b"still here")
         message = yield from call.receive()
-        good.close()
+        client.close()
         return message, dict(server.counters), len(server.connections)
 
     message, counters, _ = serve(body)
@@ -132,9 +132,9 @@
     data = client_connection.data_to_send()
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
-        bad = yield from peer(loop, address)
-        bad.send(data)
-        got = yield from bad.until_closed()
+        raw = yield from peer(loop, address)
+        raw.send(data)
+        got = yield from raw.until_closed()
         return goaway(got), dict(server.counters)
 
     (code, _), counters = serve(body)
@@ -144,9 +144,9 @@
 
 def test_http1_on_the_grpc_port_gets_an_http1_response() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
-        bad = yield from peer(loop, address)
-        bad.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-        return (yield from bad.until_closed()), dict(server.counters)
+        raw = yield from peer(loop, address)
+        raw.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+        return (yield from raw.until_closed()), dict(server.counters)
 
     got, counters = serve(body)
     assert got.startswith(b"HTTP/1.1 400") and counters == {"http1": 1}
@@ -154,9 +154,9 @@
 
 def test_too_many_pings_is_reported_by_its_grpc_name() -> None:
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
-        bad = yield from peer(loop, address)
-        bad.send(CONNECTION_START + frame(PING, 0, 0, b"12345678") * 10)
-        return goaway((yield from bad.until_closed()))
+        raw = yield from peer(loop, address)
+        raw.send(CONNECTION_START + frame(PING, 0, 0, b"12345678") * 10)
+        return goaway((yield from raw.until_closed()))
 
     assert serve(body) == (11, b"too_many_pings")
 
@@ -211,25 +211,25 @@
     max_unsent = [0]
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
-        bad = yield from peer(loop, address)
-        bad.transport.pause()
-        bad.send(open_call())
+        raw = yield from peer(loop, address)
+        raw.transport.pause()
+        raw.send(open_call())
         yield from wait_for(lambda: server.counters["stalled"])
         return max_unsent[0], server.counters["stalled"]
 
-    held, stalled = serve(body, {"/t.T/Echo": Method(source)}, Options(stall_timeout_ms=200.0))
-    assert stalled == 1 and held < 300_000
+    max_bytes, stalled = serve(body, {"/t.T/Echo": Method(source)}, Options(stall_timeout_ms=200.0))
+    assert stalled == 1 and max_bytes < 300_000
 
 
 def test_a_peer_with_a_zero_window_loses_only_its_call() -> None:
     zero = open_call() + frame(SETTINGS, 0, 0, struct.pack(">HI", 4, 0))
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
-        bad = yield from peer(loop, address)
-        bad.send(zero + frame(DATA, 0, 1, encode_message(b"hello")))
+        raw = yield from peer(loop, address)
+        raw.send(zero + frame(DATA, 0, 1, encode_message(b"hello")))
         yield from wait_for(lambda: server.counters["stalled"])
-        good = yield from open_client(loop, address)
-        call = good.call("/t.T/Echo")
+        client = yield from open_client(loop, address)
+        call = client.call("/t.T/Echo")
         call.send(b"on")
         return (yield from call.receive())
 
@@ -244,8 +244,8 @@
                 peers.append((yield from peer(loop, address)))
         yield from wait_for(lambda: all(p.ended for p in peers))
         assert not server.connections
-        good = yield from open_client(loop, address)
-        call = good.call("/t.T/Echo")
+        client = yield from open_client(loop, address)
+        call = client.call("/t.T/Echo")
         call.send(b"on")
         return (yield from call.receive()), server.counters["connections"], server.counters["mute"]
 
@@ -265,8 +265,8 @@
             idle.send(CONNECTION_START)
             peers.append(idle)
         yield from wait_for(lambda: sum(c.received_valid for c in server.connections) == count)
-        good = yield from open_client(loop, address)
-        call = good.call("/t.T/Echo")
+        client = yield from open_client(loop, address)
+        call = client.call("/t.T/Echo")
         began, turns = loop.now(), loop.turns
         for n in range(100):
             call.send(b"%d" % n)
@@ -290,17 +290,17 @@
             client_connection = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
             client_connection.initiate_connection()
             client_connection.send_headers(1, [*{**dict(REQUEST), **change}.items()], end_stream=True)
-            bad = yield from peer(loop, address)
-            bad.send(client_connection.data_to_send())
-            yield from wait_for(lambda bad=bad: answered(bytes(bad.got)))  # type: ignore[misc]
-            events = client_connection.receive_data(bytes(bad.got))
+            raw = yield from peer(loop, address)
+            raw.send(client_connection.data_to_send())
+            yield from wait_for(lambda raw=raw: answered(bytes(raw.got)))  # type: ignore[misc]
+            events = client_connection.receive_data(bytes(raw.got))
             found = [
                 {bytes(k): bytes(v) for k, v in event.headers or ()}
                 for event in events
                 if isinstance(event, ResponseReceived)
             ]
             codes.append((found[0].get(b"grpc-status") or found[0][b":status"]).decode())
-            bad.transport.close()
+            raw.transport.close()
         return codes
 
     assert serve(body) == ["405", "415", "12", "13", "12"]
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -53,7 +53,7 @@
         client = yield from open_client(loop, address)
         call = client.call("/t.T/Slow")
         yield from wait_for(lambda: server._tasks)
-        client.abort("planted")
+        client.abort("test")
         yield from wait_for(lambda: ended)
         assert call.end_status is not None
         return call.end_status.code
@@ -62,7 +62,7 @@
 
 
 def test_a_second_end_or_a_send_after_the_end_does_not_break_the_connection() -> None:
-    """A machine that rejects a sequence number gets all its streams ended; a second END_STREAM ended the process."""
+    """When a machine rejects a placer's number, its streams are all ended: a second END_STREAM ended the process."""
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
         client = yield from open_client(loop, address)
@@ -102,7 +102,7 @@
 
 def test_an_error_in_a_handler_ends_its_call_and_is_counted() -> None:
     def handler(call: ServerCall) -> Co[None]:
-        raise KeyError("planted")
+        raise KeyError("test")
         yield
 
     def body(loop: EpollLoop, server: Server, address: Address) -> Co[Any]:
