--- a/sprucepost/wire/connection.py
+++ b/sprucepost/wire/connection.py
@@ -227,13 +227,13 @@
             elif now - since > options.stall_timeout_ms:
                 self.counters["stalled"] += 1
                 del self._blocked_calls[call]
-                self.fail_call(call, RpcError(Code.RESOURCE_EXHAUSTED, "the peer's window stays closed"))
+                self.fail_call(call, RpcError(Code.RESOURCE_EXHAUSTED, "the peer takes no data"))
         if (
             self.transport.buffered >= options.max_transport_bytes
             and now - self._last_read_ms > 2 * options.stall_timeout_ms
         ):
             self.counters["stalled"] += 1
-            self.abort("the peer does not read")
+            self.abort("the peer reads nothing")
             return
         if self._ping_sent_ms is not None:
             if now - self._ping_sent_ms > options.keepalive_timeout_ms:
--- a/sprucepost/wire/fields.py
+++ b/sprucepost/wire/fields.py
@@ -56,9 +56,9 @@
     host, regular_seen = None, False
     for name, value in fields:
         if not _NAME.fullmatch(name):
-            return f"invalid field name {name[:40]!r}"
+            return f"field name {name[:40]!r}"
         if _INVALID_VALUE.search(value):
-            return f"invalid value of {name[:40]!r}"
+            return f"value of {name[:40]!r}"
         if name[0] == 58:  # colon
             if regular_seen:
                 return f"{name.decode()} after a regular field"
@@ -68,32 +68,32 @@
             continue
         regular_seen = True
         if name in _CONNECTION_FIELDS or (name == b"te" and value.lower() != b"trailers"):
-            return f"{name.decode()} is not allowed in HTTP/2"
+            return f"{name.decode()} does not belong into HTTP/2"
         if name == b"host":
             if host is not None and host != value:
-                return "two different host fields"
+                return "two hosts"
             host = value
     if kind is SectionKind.TRAILERS:
         return "pseudo-field in trailers" if pseudo else ""
     if kind is SectionKind.RESPONSE:
         if pseudo.keys() != {b":status"} or not _STATUS.fullmatch(pseudo[b":status"]):
-            return "a response must have a :status of three digits and no other pseudo-field"
+            return "a response has a :status of three digits and no other pseudo-field"
         return ""
     return _find_request_error(pseudo, host)
 
 
 def _find_request_error(pseudo: dict[bytes, bytes], host: bytes | None) -> str:
     if unknown := [name for name in pseudo if name not in _REQUEST_PSEUDO_FIELDS]:
-        return f"unknown pseudo-field {unknown[0].decode()}"
+        return f"pseudo-field {unknown[0].decode()}"
     if not pseudo.get(b":method"):
         return "no :method"
     if pseudo[b":method"] == b"CONNECT":
-        return "" if pseudo.keys() == {b":method", b":authority"} else "CONNECT must have only :method and :authority"
+        return "" if pseudo.keys() == {b":method", b":authority"} else "CONNECT has :method and :authority only"
     if not pseudo.get(b":scheme"):
         return "no :scheme"
     path = pseudo.get(b":path", b"")
     if not path.startswith(b"/") and not (path == b"*" and pseudo[b":method"] == b"OPTIONS"):
-        return f"invalid :path {path[:40]!r}" if path else "no :path"
+        return f":path {path[:40]!r}" if path else "no :path"
     if host is not None and pseudo.get(b":authority", host) != host:
         return "host and :authority differ"
     return ""
@@ -106,5 +106,5 @@
         return None
     lengths = {int(value) for value in values if _DIGITS.fullmatch(value)}
     if len(lengths) != 1 or not all(_DIGITS.fullmatch(value) for value in values):
-        raise ValueError("invalid content-length")
+        raise ValueError("content-length")
     return lengths.pop()
--- a/sprucepost/wire/health.py
+++ b/sprucepost/wire/health.py
@@ -37,7 +37,7 @@
 
     def _check(self, request: pb.HealthCheckRequest, call: ServerCall) -> Co[pb.HealthCheckResponse]:
         if request.service not in self._status:
-            raise RpcError(Code.NOT_FOUND, f"service {request.service!r} is unknown")
+            raise RpcError(Code.NOT_FOUND, f"service {request.service!r} is not known")
         return pb.HealthCheckResponse(status=self._status[request.service])
         yield
 
--- a/sprucepost/wire/http2.py
+++ b/sprucepost/wire/http2.py
@@ -194,7 +194,7 @@
         self._send_window_opened = True
         if not stream:
             if not increment:
-                raise Http2Error("protocol", "WINDOW_UPDATE with an increment of 0")
+                raise Http2Error("protocol", "WINDOW_UPDATE by 0")
             self._h2.outbound_flow_control_window += increment
             if self._h2.outbound_flow_control_window > MAX_UINT31:
                 raise Http2Error("window", "the connection's window overflows", Code.FLOW_CONTROL_ERROR)
@@ -220,7 +220,7 @@
         streams could open any number of them despite the limit on concurrent streams.
         """
         if not self._budget.spend(now):
-            raise Http2Error("flood_stream_errors", "too many stream errors", Code.ENHANCE_YOUR_CALM)
+            raise Http2Error("flood_stream_errors", "too many broken streams", Code.ENHANCE_YOUR_CALM)
         self.reset(stream, code)
         self._handler.on_error(stream, name, code)
 
@@ -228,7 +228,7 @@
         size, data = len(payload), payload
         if flags & PADDED:
             if not size or payload[0] >= size:
-                raise Http2Error("padding", "padding exceeds the DATA frame")
+                raise Http2Error("padding", "DATA with more padding than data")
             data = payload[1 : size - payload[0]]
         if data:
             self._budget.earn()
@@ -236,7 +236,7 @@
             raise Http2Error("flood_data", "too many empty DATA frames", Code.ENHANCE_YOUR_CALM)
         self._receive_window -= size
         if self._receive_window < 0:
-            raise Http2Error("window", "DATA exceeds the connection's window", Code.FLOW_CONTROL_ERROR)
+            raise Http2Error("window", "DATA beyond the connection's window", Code.FLOW_CONTROL_ERROR)
         left = self._receive_windows.get(stream)
         if left is None:
             if (not self._client and stream > self._last_peer_stream) or (self._client and stream % 2 == 0):
@@ -248,7 +248,7 @@
             self._replenish_connection_window()
             return
         if size > left:
-            raise Http2Error("window", "DATA exceeds the stream's window", Code.FLOW_CONTROL_ERROR)
+            raise Http2Error("window", "DATA beyond the stream's window", Code.FLOW_CONTROL_ERROR)
         self._receive_windows[stream] = left - size
         self._replenish_connection_window()
         if padding := size - len(data):
@@ -331,11 +331,11 @@
         if frame[4] & WITH_PRIORITY:
             stripped = frames.without_priority(frame)
             if stripped is None:
-                raise Http2Error("protocol", "truncated HEADERS frame", Code.FRAME_SIZE_ERROR)
+                raise Http2Error("protocol", "HEADERS cut short", Code.FRAME_SIZE_ERROR)
             frame = stripped
         stream = int.from_bytes(frame[5:9], "big") & MAX_UINT31
         if self._client and stream % 2 == 0:
-            raise Http2Error("protocol", "a server must not open streams")
+            raise Http2Error("protocol", "a server opens no streams")
         # h2 ends the connection for trailers without END_STREAM; they are a stream error (RFC 9113 8.1).
         if not self._client and stream in self._receive_windows and not frame[4] & END_STREAM:
             self._unended_trailers.add(stream)
--- a/sprucepost/wire/server.py
+++ b/sprucepost/wire/server.py
@@ -229,7 +229,7 @@
     def check_idle(self, now: float) -> None:
         if not self.received_valid and now - self._opened_ms > self.options.handshake_timeout_ms:
             self.counters["mute"] += 1
-            self.abort("no HTTP/2 preface before the timeout")
+            self.abort("no preface in time")
         elif not self.calls and now - max(self._last_call_ended_ms, self._opened_ms) > self.options.idle_timeout_ms:
             self.close("idle")
 
