--- a/sprucepost/configuration/history.py
+++ b/sprucepost/configuration/history.py
@@ -33,6 +33,7 @@
         return self.dropped > 0
 
     def add(self, entry: HistoryEntry) -> None:
+        """Adds an entry as the newest one, and drops the oldest ones that exceed the limits."""
         self.remove(entry.change.position)
         self._entries[entry.change.position] = entry
         self.size += entry.change.size
@@ -41,6 +42,7 @@
             self.dropped += 1
 
     def remove(self, position: Position) -> HistoryEntry | None:
+        """Removes and returns the entry at that position, if present."""
         entry = self._entries.pop(position, None)
         if entry is not None:
             self.size -= entry.change.size
--- a/sprucepost/configuration/state.py
+++ b/sprucepost/configuration/state.py
@@ -31,6 +31,7 @@
         self.size = 0  # bytes of canonical JSON
 
     def copy(self) -> SettingsState:
+        """Returns an independent copy."""
         other = SettingsState()
         other.values, other.setters = dict(self.values), dict(self.setters)
         other.digest, other.size = self.digest, self.size
--- a/sprucepost/configuration/timeline.py
+++ b/sprucepost/configuration/timeline.py
@@ -86,9 +86,11 @@
 
     @property
     def position(self) -> Position:
+        """The position of the change."""
         return self.change.position
 
     def history_entry(self) -> HistoryEntry:
+        """Returns the entry for the history."""
         return HistoryEntry(self.change, self._state(), self.reason, dict(self.superseded_by))
 
     def _state(self) -> ChangeState:
