--- a/sprucepost/configuration/change_store.py
+++ b/sprucepost/configuration/change_store.py
@@ -154,7 +154,7 @@
         """Records, for display only, a change that precedes the cut and is not in the base."""
         reason = f"{change.edits[0].key}: not in the base, which holds all changes up to {self.timeline.cut}"
         if self._forgotten:
-            reason += "; it may be in the base if it is older than the remembered changes"
+            reason += "; if it is older than the changes that are remembered it may have been"
         self.archive.remove(change.position)
         self.set_aside.add(HistoryEntry(change, ChangeState.SET_ASIDE, reason, {}))
 
--- a/sprucepost/configuration/document.py
+++ b/sprucepost/configuration/document.py
@@ -114,13 +114,13 @@
         if rest.startswith("["):
             element, closed, rest = rest[1:].partition("]")
             if not closed:
-                raise DocumentError(f"{key}: unclosed bracket")
+                raise DocumentError(f"{key}: a bracket isn't closed")
         if not name:
-            raise DocumentError(f"{key}: malformed key path")
+            raise DocumentError(f"{key}: not a key path")
         yield name, element
         if rest:
             if not rest.startswith(".") or rest == ".":
-                raise DocumentError(f"{key}: malformed key path")
+                raise DocumentError(f"{key}: not a key path")
             rest = rest[1:]
 
 
@@ -133,33 +133,33 @@
         last = depth == len(steps) - 1
         if last and element is None:
             if name in node.members:
-                raise DocumentError(f"{key}: another key is nested in it")
+                raise DocumentError(f"{key}: another key stands inside it")
             node.members[name] = value
             return
         inner = node.members.get(name)
         if inner is None and name not in node.members:
             inner = node.members[name] = _Node()
         if not isinstance(inner, _Node):
-            raise DocumentError(f"{key}: is nested in another key's value")
+            raise DocumentError(f"{key}: stands inside another key's value")
         node = inner
         if element is None:
             continue
         if not element:
             if not last or not isinstance(value, list):
-                raise DocumentError(f"{key}: must be the order of a list")
+                raise DocumentError(f"{key}: not the order of a list")
             node.order = [each for each in value if isinstance(each, str)]
             return
         if element not in node.named:
             node.named[element] = _Node()
         node = node.named[element]
     if value != {}:
-        raise DocumentError(f"{key}: a list element can only be set by its keys")
+        raise DocumentError(f"{key}: an element of a list is set by its keys")
 
 
 def _build(node: _Node) -> Value:
     if node.named or node.order is not None:
         if node.members:
-            raise DocumentError(f"{next(iter(node.members))}: is nested in a list of named objects")
+            raise DocumentError(f"{next(iter(node.members))}: stands in a list of named objects")
         ordered = [name for name in node.order or [] if name in node.named]
         ordered += sorted(node.named.keys() - set(ordered))
         return [{"name": name, **_build(node.named[name])} for name in ordered]
--- a/sprucepost/configuration/proposal_checker.py
+++ b/sprucepost/configuration/proposal_checker.py
@@ -67,9 +67,7 @@
         self._tokens = min(limits.proposals_burst, self._tokens + elapsed_s * limits.proposals_per_s)
         self._refilled_ms = max(self._refilled_ms, now)
         if self._tokens < 1.0:
-            raise ProposalRefusedError(
-                f"too many changes at this placer: the limit is {limits.proposals_per_s:g} a second"
-            )
+            raise ProposalRefusedError(f"too many changes at this placer: {limits.proposals_per_s:g} a second for long")
         self._tokens -= 1.0
 
     def check_form(self, proposal: Proposal, max_edits: int) -> None:
@@ -119,7 +117,7 @@
         problems = self._checker.problems(state)
         if problems:
             raise ProposalRefusedError(
-                f"{problems[0].reason} (in this placer's own file, which would become the baseline of the fleet)"
+                f"{problems[0].reason} (in this placer's own file, from which the fleet would begin)"
             )
         return state
 
@@ -128,10 +126,10 @@
         trial = state.copy()
         for edit in edits:
             if edit.removed and edit.key not in trial.values:
-                raise ProposalRefusedError(f"{edit.key}: has no value to remove")
+                raise ProposalRefusedError(f"{edit.key}: has no value that could be removed")
             trial.edit(edit, Position(0, ""))
         if trial.digest == state.digest:
-            raise ProposalRefusedError(f"{edits[0].key}: already has that value")
+            raise ProposalRefusedError(f"{edits[0].key}: has that value already")
         problems = self._checker.problems(trial)
         if problems:
             raise ProposalRefusedError(problems[0].reason)
--- a/sprucepost/configuration/replica.py
+++ b/sprucepost/configuration/replica.py
@@ -263,11 +263,11 @@
         unjudged = self._active.unconfirmed()
         if unjudged is not None:
             raise ProposalRefusedError(
-                f"{unjudged.reason}: it can't check changes until a placer that knows the key confirms them"
+                f"{unjudged.reason}: it can't judge changes until a placer that knows the key confirms them"
             )
         if self._store.is_full:
             raise ProposalRefusedError(
-                "this placer can't store more changes: it doesn't know a key of the configuration"
+                "this placer can't keep more changes: it doesn't know a key of the configuration"
             )
         if not self._timeline.has_baseline and not all(peer.caught_up for peer in self._peers.values()):
             raise ProposalRefusedError("not caught up with the connected placers yet: try again")
--- a/sprucepost/peers/configuration_codec.py
+++ b/sprucepost/peers/configuration_codec.py
@@ -124,23 +124,23 @@
         value = json.loads(text, parse_constant=_not_finite)
         canonical_json(value).encode()
     except (ValueError, RecursionError) as error:  # also raised for lone surrogates and overflowing floats
-        raise MalformedMessageError("value is not valid JSON") from error
+        raise MalformedMessageError("a value that isn't JSON") from error
     return value
 
 
 def _not_finite(text: str) -> Never:
-    raise ValueError(f"{text} is not a JSON number")
+    raise ValueError(f"{text} isn't a number of JSON")
 
 
 def _checked_text(text: str, max_chars: int = MAX_TEXT_CHARS) -> str:
     if len(text) > max_chars:
-        raise MalformedMessageError(f"text is longer than {max_chars} characters")
+        raise MalformedMessageError(f"a text of more than {max_chars} characters")
     return text
 
 
 def _decode_position(position: pb.ConfigurationPosition) -> Position:
     if position.clock > MAX_CLOCK:
-        raise MalformedMessageError("clock is out of range")
+        raise MalformedMessageError("a clock that can't be")
     return Position(position.clock, _checked_text(position.origin))
 
 
@@ -151,7 +151,7 @@
 
 def _decode_change(change: pb.ConfigurationChange) -> Change:
     if not isfinite(change.made_ms):
-        raise MalformedMessageError("time is not finite")
+        raise MalformedMessageError("a time that isn't finite")
     return Change(
         _decode_position(change.position),
         _checked_text(change.author),
