--- a/benchmarks/configuration_fleet.py
+++ b/benchmarks/configuration_fleet.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from benchmarks.view_fleet import all_see, cpu_s, sent
-from sprucepost.cli.configuration import call
+from sprucepost.cli.configuration import call_placer
 from sprucepost.placer.configuration_service import PROPOSE_PATH
 from sprucepost.settings import ConfigurationOptions
 from sprucepost.settings.cluster import Tenant
@@ -36,7 +36,7 @@
     """One change at a placer; whether it was accepted."""
     edits = [pb.ConfigurationKeyEdit(key=key, value=json.dumps(value))]
     request = pb.ConfigurationProposal(edits=edits, author="benchmark").SerializeToString()
-    receipt = pb.ConfigurationReceipt.FromString(call(f"127.0.0.1:{fleet.ports[number]}", PROPOSE_PATH, request))
+    receipt = pb.ConfigurationReceipt.FromString(call_placer(f"127.0.0.1:{fleet.ports[number]}", PROPOSE_PATH, request))
     if receipt.refusal:
         print(receipt.refusal, file=sys.stderr)
     return not receipt.refusal
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -24,7 +24,7 @@
 from benchmarks.whole_path import line
 from sprucepost.cli.tables import table
 from sprucepost.load.report import page
-from sprucepost.plotting import NoCharts
+from sprucepost.plotting import ChartsUnavailable
 from tests.placer.support import cluster
 
 HOGS, GENERATORS, LENGTH_S = 3, 3, 5.0
@@ -180,7 +180,7 @@
     try:
         chart = page("Five times what a placer can do", sides, {})
         out.with_suffix(".html").write_text("\n".join(text.rstrip() for text in chart.splitlines()) + "\n")
-    except NoCharts as error:
+    except ChartsUnavailable as error:
         print(error)
     out.write_text(json.dumps(result, indent=1) + "\n")
 
--- a/sprucepost/cli/configuration.py
+++ b/sprucepost/cli/configuration.py
@@ -199,7 +199,7 @@
 
     name, address = member["name"], member["address"]
     try:
-        reply = call(address, SHOW_PATH, pb.ConfigurationShowRequest().SerializeToString())
+        reply = call_placer(address, SHOW_PATH, pb.ConfigurationShowRequest().SerializeToString())
         shown = json.loads(pb.ConfigurationShown.FromString(reply).json)
     except ConfigurationOff as error:
         return MemberConfiguration(name, address, OFF, OFF, str(error))
@@ -222,7 +222,7 @@
     view = _view(address)
     target = next(member["address"] for member in view["members"] if member["name"] == view["name"])
     try:
-        receipt = pb.ConfigurationReceipt.FromString(call(target, PROPOSE_PATH, proposal.SerializeToString()))
+        receipt = pb.ConfigurationReceipt.FromString(call_placer(target, PROPOSE_PATH, proposal.SerializeToString()))
     except Unanswered as error:
         _fail(f"{target}: {error}")
     if receipt.refusal:
@@ -230,7 +230,7 @@
     click.echo(f"change {receipt.position} is in force at {view['name']}; version {receipt.version}")
 
 
-def call(address: str, path: str, request: bytes) -> bytes:
+def call_placer(address: str, path: str, request: bytes) -> bytes:
     """One call at a placer's gRPC port. Unanswered where there is no answer."""
     from sprucepost.loop import TimedOut
     from sprucepost.loop.epoll import EpollLoop
--- a/sprucepost/cli/load.py
+++ b/sprucepost/cli/load.py
@@ -17,7 +17,7 @@
 from sprucepost.load.run import Result, Run
 from sprucepost.loop import Address, Co, Scope, in_scope, sleep
 from sprucepost.loop.epoll import EpollLoop
-from sprucepost.plotting import NoCharts
+from sprucepost.plotting import ChartsUnavailable
 from sprucepost.rules.record import RecordError
 from sprucepost.settings import SettingsError
 from sprucepost.standin.daemons import address_of
@@ -95,7 +95,7 @@
             plans = {name: msgspec.to_builtins(plan) for name, _, plan in sides}
             try:
                 _write(chart, page("sprucepost load", figures, plans))
-            except NoCharts as error:
+            except ChartsUnavailable as error:
                 raise LoadError(f"--html: {error}", 2) from None
     except LoadError as error:
         print(f"sprucepost: {error}", file=sys.stderr)
--- a/sprucepost/cli/main.py
+++ b/sprucepost/cli/main.py
@@ -259,7 +259,7 @@
     from msgspec import structs
 
     from sprucepost.cli.badday import default_scenario, play
-    from sprucepost.cli.search import drawn, parse_seeds, search
+    from sprucepost.cli.search import parse_seeds, random_scenarios, search
     from sprucepost.settings.reading import decode
     from sprucepost.standin.scenario import Scenario
 
@@ -268,7 +268,7 @@
     if seeds is not None and seed is not None:
         raise click.UsageError("--seed and --seeds: give one of them")
     if random_day:
-        day_of = drawn(length_s or 24.0, peers)
+        day_of = random_scenarios(length_s or 24.0, peers)
     else:
         base = read_or_exit(scenario, Scenario) if scenario else decode(default_scenario(), Scenario)
         base = base.scaled(length_s) if length_s is not None else base
--- a/sprucepost/cli/scale.py
+++ b/sprucepost/cli/scale.py
@@ -43,7 +43,7 @@
 
     @wraps(command)
     def run(*arguments: P.args, **options: P.kwargs) -> None:
-        from sprucepost.plotting import NoCharts
+        from sprucepost.plotting import ChartsUnavailable
         from sprucepost.scale.fits import FitsError
         from sprucepost.scale.processes import ScaleError, Terminated
         from sprucepost.scale.results import ResultsError
@@ -51,7 +51,7 @@
 
         try:
             status = command(*arguments, **options)
-        except (ResultsError, FitsError, NoCharts, ScaleError, SettingsError, OSError) as error:
+        except (ResultsError, FitsError, ChartsUnavailable, ScaleError, SettingsError, OSError) as error:
             for line in str(error).splitlines():
                 click.echo(f"sprucepost: {line}", err=True)
             status = UNUSABLE
--- a/sprucepost/cli/search.py
+++ b/sprucepost/cli/search.py
@@ -107,7 +107,7 @@
         signal.signal(signal.SIGTERM, before)
 
 
-def already(folder: Path) -> dict[int, dict[str, Any]]:
+def played_days(folder: Path) -> dict[int, dict[str, Any]]:
     """The days that an earlier, interrupted search has played; a line that broke off is played again."""
     played = {}
     if (folder / DAYS).exists():
@@ -124,7 +124,7 @@
 def search(seeds: list[int], jobs: int, folder: Path, day_of: Callable[[int], Scenario], quiet: bool) -> int:
     """Play every seed that ``folder`` has not got yet and print what was found; 0 all good, 1 a bad day, 3 one failed."""
     folder.mkdir(parents=True, exist_ok=True)
-    played = already(folder)
+    played = played_days(folder)
     left = [seed for seed in seeds if seed not in played]
     found = [played[seed] for seed in seeds if seed in played]
     with (
@@ -236,5 +236,5 @@
     return list(dict.fromkeys(seeds))
 
 
-def drawn(length_s: float, peers: bool = False) -> Callable[[int], Scenario]:
+def random_scenarios(length_s: float, peers: bool = False) -> Callable[[int], Scenario]:
     return lambda seed: draw(seed, length_s, peers)
--- a/sprucepost/load/report.py
+++ b/sprucepost/load/report.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from sprucepost.plotting import COLOURS, html_page, html_table, pyplot, svg
+from sprucepost.plotting import COLOURS, html_page, html_table, pyplot, svg_element
 
 
 def rows(figures: dict[str, Any]) -> dict[str, float]:
@@ -52,11 +52,11 @@
         axes.set_ylim(bottom=0)
         if axes.get_legend_handles_labels()[0]:
             axes.legend(loc="upper left", fontsize="small")
-    return svg(figure)
+    return svg_element(figure)
 
 
 def page(title: str, sides: dict[str, dict[str, Any]], plans: dict[str, Any]) -> str:
-    """The HTML of one or two runs, by name. NoCharts where matplotlib is missing."""
+    """The HTML of one or two runs, by name. ChartsUnavailable where matplotlib is missing."""
     names = list(sides)
     if len(names) == 1:
         table = html_table(
--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -23,7 +23,7 @@
 from sprucepost.placer.owners import Owners
 from sprucepost.placer.pages import pages
 from sprucepost.settings import PlacerFile
-from sprucepost.settings.reload import changes, refused
+from sprucepost.settings.reload import changed_keys, restart_required
 from sprucepost.settings.running import settings_fingerprint
 from sprucepost.view import Record
 from sprucepost.view.messages import ViewChanged
@@ -378,8 +378,8 @@
     def reload(self, new: PlacerFile) -> list[str]:
         """Apply other settings, whole or not at all; the lines that say why not."""
         new = self._without_agreed_keys(new)
-        changed = changes(self.file, new)
-        lines = refused(changed)
+        changed = changed_keys(self.file, new)
+        lines = restart_required(changed)
         if lines:
             return lines
         old, self.file = self.file, new
--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -62,7 +62,15 @@
         self.task_catalog = catalog = TaskCatalog(cluster)
         margin = options.answer_margin_ms
         self.driver = FleetSchedulerDriver(
-            loop, settings, seed, options.clock_slew, cluster.clock_apart_ms, generation, ask_list, log, self.counters
+            loop,
+            settings,
+            seed,
+            options.clock_slew,
+            cluster.max_clock_skew_ms,
+            generation,
+            ask_list,
+            log,
+            self.counters,
         )
         self.reporter = OutcomeReporter(self.driver, self.ledger, cluster, self.admission, self.counters)
         self.attempts = Attempts(loop, self.driver, self.reporter, margin, self.counters)
--- a/sprucepost/placing/fleet_driver.py
+++ b/sprucepost/placing/fleet_driver.py
@@ -24,7 +24,7 @@
         settings: i.Settings,
         seed: int,
         slew: float,
-        clock_apart_ms: float,
+        max_clock_skew_ms: float,
         generation: Generation,
         request_list: Callable[[], None],
         log: Callable[..., None],
@@ -34,7 +34,7 @@
         self._number = settings.number
         self._generation, self.side = generation, Side.NEW
         self._all_informed, self._disputed = True, False  # until the fleet's view reports otherwise
-        self._clock_guard = ClockSkewMonitor(clock_apart_ms)
+        self._clock_guard = ClockSkewMonitor(max_clock_skew_ms)
         self._slot_timer: Timer | None = None
 
     def now(self) -> float:
--- a/sprucepost/placing/roster.py
+++ b/sprucepost/placing/roster.py
@@ -41,7 +41,7 @@
             late_messages,
             log,
         )
-        self._kinds, self._warm_after_ms = cluster.kinds, cluster.warm_after_ms + cluster.clock_apart_ms
+        self._kinds, self._warm_after_ms = cluster.kinds, cluster.warm_after_ms + cluster.max_clock_skew_ms
         self._entries: dict[str, i.MachineEntry] = {}
         self._attached: set[str] = set()  # machines that have a stream
         self._hidden: set[str] = set()  # ready machines that the scheduler sees as draining
--- a/sprucepost/plotting/__init__.py
+++ b/sprucepost/plotting/__init__.py
@@ -15,16 +15,16 @@
 )
 
 
-class NoCharts(Exception):
+class ChartsUnavailable(Exception):
     """The charts' library is not installed."""
 
 
 def pyplot() -> Any:
-    """The charts' library, set to write SVG. NoCharts where it is not installed."""
+    """The charts' library, set to write SVG. ChartsUnavailable where it is not installed."""
     try:
         import matplotlib
     except ImportError:
-        raise NoCharts("charts need matplotlib, which is not installed") from None
+        raise ChartsUnavailable("charts need matplotlib, which is not installed") from None
     matplotlib.use("svg")
     from matplotlib import pyplot as library
 
@@ -32,7 +32,7 @@
     return library
 
 
-def svg(figure: Any) -> str:
+def svg_element(figure: Any) -> str:
     """The element of a figure, which is closed."""
     text = io.StringIO()
     figure.savefig(text, format="svg", metadata={"Date": None})
--- a/sprucepost/scale/charts.py
+++ b/sprucepost/scale/charts.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from sprucepost.plotting import COLOURS, html_page, html_table, pyplot, svg
+from sprucepost.plotting import COLOURS, html_page, html_table, pyplot, svg_element
 from sprucepost.scale.fits import Slope
 from sprucepost.scale.kept import KeptRun
 from sprucepost.scale.predictions import Target
@@ -15,8 +15,8 @@
 
 
 def report(run: KeptRun, target: Target, tables: list[Table]) -> str:
-    """The page of one run. NoCharts where matplotlib is missing."""
-    parts = [svg(_figure(slopes, target)) for slopes in _by_figure(run) if slopes]
+    """The page of one run. ChartsUnavailable where matplotlib is missing."""
+    parts = [svg_element(_figure(slopes, target)) for slopes in _by_figure(run) if slopes]
     parts += [f"<h2>{table.name}</h2>" + html_table(table.head, table.rows) for table in tables if table.rows]
     return html_page(f"sprucepost scale, {run.results.version}", "".join(parts))
 
--- a/sprucepost/settings/cluster.py
+++ b/sprucepost/settings/cluster.py
@@ -97,7 +97,7 @@
         return found
 
     @property
-    def clock_apart_ms(self) -> float:
+    def max_clock_skew_ms(self) -> float:
         """How far a placer's clock may be from the list's before it takes no seat. A machine counts as cold for so much
         longer, since a clock that leads finds it warm too early: a host's clock stepped, and two machines got an offer too
         many in the last 15 ms of their time."""
@@ -139,7 +139,7 @@
             accepts_memory=self.accepts_memory,
             cold_bears=self.cold_bears,
             fall=self.fall_ms,
-            warm_after=self.warm_after_ms + self.clock_apart_ms,
+            warm_after=self.warm_after_ms + self.max_clock_skew_ms,
             ask_every=self.list_ask_every_ms,
             tick=tick_ms,
             tenants=tuple(
--- a/sprucepost/settings/reload.py
+++ b/sprucepost/settings/reload.py
@@ -17,7 +17,7 @@
 )
 
 
-def changes(old: PlacerFile, new: PlacerFile) -> list[tuple[str, Any, Any]]:
+def changed_keys(old: PlacerFile, new: PlacerFile) -> list[tuple[str, Any, Any]]:
     """Every key whose value differs, with both values."""
     found: list[tuple[str, Any, Any]] = []
 
@@ -32,7 +32,7 @@
     return found
 
 
-def refused(changed: list[tuple[str, Any, Any]]) -> list[str]:
+def restart_required(changed: list[tuple[str, Any, Any]]) -> list[str]:
     """One line for each change that only a restart can make."""
     return [
         f"{path}: cannot change while running (from {before!r} to {after!r})"
--- a/tests/placer/test_lifecycle.py
+++ b/tests/placer/test_lifecycle.py
@@ -22,7 +22,7 @@
 from sprucepost.placer.lifecycle import Facts, State, judge
 from sprucepost.placer.notify import Notifier, activated
 from sprucepost.settings import PlacerFile
-from sprucepost.settings.reload import changes, refused
+from sprucepost.settings.reload import changed_keys, restart_required
 from sprucepost.standin.tap import Condition
 from tests.placer.support import World, cluster, play, task
 from tests.test_settings import good
@@ -194,9 +194,9 @@
 def test_what_a_reload_may_change_is_listed() -> None:
     old = msgspec.convert(good(), PlacerFile)
     new = msgspec.structs.replace(old, placer=msgspec.structs.replace(old.placer, stop_ms=3.0, zone="room-b"))
-    assert changes(old, new) == [("placer.stop_ms", None, 3.0), ("placer.zone", "room-a", "room-b")]
-    assert [line.split(":")[0] for line in refused(changes(old, new))] == ["placer.zone"]
-    assert refused(changes(old, old)) == []
+    assert changed_keys(old, new) == [("placer.stop_ms", None, 3.0), ("placer.zone", "room-a", "room-b")]
+    assert [line.split(":")[0] for line in restart_required(changed_keys(old, new))] == ["placer.zone"]
+    assert restart_required(changed_keys(old, old)) == []
 
 
 def test_a_reload_of_the_open_tasks_moves_the_bound() -> None:
--- a/tests/placing/test_attempts.py
+++ b/tests/placing/test_attempts.py
@@ -162,7 +162,7 @@
     harness.tell_list("m1", started=0.0)
     assert (
         harness.engine.attempts.cold_until["m1"]
-        == started + harness.cluster.warm_after_ms + harness.cluster.clock_apart_ms
+        == started + harness.cluster.warm_after_ms + harness.cluster.max_clock_skew_ms
     )
     harness.loop.pass_ms(0.0)
     harness.submit(task_class="once")
@@ -183,9 +183,9 @@
 def test_the_cold_period_is_extended_by_the_allowed_clock_difference() -> None:
     """Otherwise a placer whose host's clock has stepped 100 ms ahead takes a machine for warm that others treat as cold."""
     harness = PlacerHarness()
-    clock_apart_ms = harness.cluster.clock_apart_ms
+    max_clock_skew_ms = harness.cluster.max_clock_skew_ms
     settings = harness.engine.driver.scheduler.settings
     assert (
-        clock_apart_ms == harness.cluster.fall_ms / 4
-        and settings.warm_after == harness.cluster.warm_after_ms + clock_apart_ms
+        max_clock_skew_ms == harness.cluster.fall_ms / 4
+        and settings.warm_after == harness.cluster.warm_after_ms + max_clock_skew_ms
     )
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -48,16 +48,16 @@
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     played = tell(monkeypatch, lambda scenario: {"3": 1} if scenario.seed == 8 else {})
-    assert s.search([7, 8], 2, tmp_path, s.drawn(24.0), True) == 1
+    assert s.search([7, 8], 2, tmp_path, s.random_scenarios(24.0), True) == 1
     out = capsys.readouterr().out
     assert "seed 8: bad: rule broken" in out and "2 days: 1 good, 1 bad, 0 failed; 20 asks" in out
     assert not (tmp_path / "7").exists() and (tmp_path / "8").exists()
     with (tmp_path / s.DAYS).open("a") as log:
         log.write('{"seed": 9, "verd')  # interrupted in the midst of a line
-    assert s.search([7, 8, 9], 2, tmp_path, s.drawn(24.0), True) == 1
+    assert s.search([7, 8, 9], 2, tmp_path, s.random_scenarios(24.0), True) == 1
     assert played == [7, 8, 9]
     monkeypatch.undo()
-    assert s.search([7], 2, tmp_path, s.drawn(24.0), True) == 0
+    assert s.search([7], 2, tmp_path, s.random_scenarios(24.0), True) == 0
 
 
 def test_a_day_that_could_not_be_played_is_neither_good_nor_kept_as_played(tmp_path: Path) -> None:
@@ -66,7 +66,7 @@
     result = s.outcome(day)  # type: ignore[arg-type]
     assert result["verdict"] == "failed" and result["wrong"] == ["sprucepost: placer-1 ended with status 1"]
     (tmp_path / s.DAYS).write_text(json.dumps(result) + "\n")
-    assert s.already(tmp_path) == {}
+    assert s.played_days(tmp_path) == {}
 
 
 def test_shrinking_leaves_the_faults_that_break_together(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -19,7 +19,7 @@
 import click
 import msgspec
 
-from sprucepost.cli.search import Day, drawn, play_all
+from sprucepost.cli.search import Day, play_all, random_scenarios
 from sprucepost.cli.tables import table
 
 ROOT = Path(__file__).parent.parent
@@ -56,7 +56,7 @@
     with tempfile.TemporaryDirectory(prefix="sprucepost-mutant-") as temporary:
         folder = Path(temporary)
         plant(mutation, folder)
-        day_of = drawn(24.0, peers=mutation.rule == VIEW)
+        day_of = random_scenarios(24.0, peers=mutation.rule == VIEW)
 
         def done(day: Day, result: dict[str, Any]) -> None:
             row["days"] += 1
