--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -15,7 +15,7 @@
 from functools import partial
 from pathlib import Path
 
-from sprucepost.play.cold_conditions import (
+from sprucepost.simulation.cold_conditions import (
     ColdStart,
     Conditions,
     Delays,
@@ -25,7 +25,7 @@
     Summary,
     summarise,
 )
-from sprucepost.play.cold_starts import FleetPlay
+from sprucepost.simulation.cold_starts import FleetPlay
 
 RESULTS = Path("docs/results/cold-starts.json")
 SIZES = (16, 24, 32)
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -31,8 +31,8 @@
 )
 from sprucepost.configuration.document import Settings, Value, canonical_json, expand, flatten
 from sprucepost.configuration.messages import Changes, Digest, Message, Send
-from sprucepost.play.agenda import Agenda
 from sprucepost.settings import Cluster
+from sprucepost.simulation.event_queue import Agenda
 from sprucepost.view import Record
 from sprucepost.view.rings import ring_successors
 
--- a/benchmarks/view_rough.py
+++ b/benchmarks/view_rough.py
@@ -9,7 +9,7 @@
 import random
 import sys
 
-from sprucepost.play import World
+from sprucepost.simulation import World
 from sprucepost.view.messages import ViewChanged
 from sprucepost.view.view import TICK_MS
 from tests.view.schedules import Fleet
--- a/sprucepost/play/__init__.py
+++ b/sprucepost/simulation/__init__.py
@@ -12,7 +12,7 @@
 the ``network`` those of :mod:`sprucepost.agreement.actions`. Anything else is noted as told. Same seed, same play.
 """
 
-from sprucepost.play.network import DatagramNetwork, DiskProcess
-from sprucepost.play.world import Process, World
+from sprucepost.simulation.network import DatagramNetwork, DiskProcess
+from sprucepost.simulation.world import Process, World
 
 __all__ = ["DatagramNetwork", "DiskProcess", "Process", "World"]
--- a/sprucepost/play/cold_starts.py
+++ b/sprucepost/simulation/cold_starts.py
@@ -15,9 +15,9 @@
 
 from sprucepost import interface as i
 from sprucepost.membership import Generation, Side, assign_slot
-from sprucepost.play.agenda import Agenda
-from sprucepost.play.cold_conditions import ColdStart, Conditions, Life
 from sprucepost.scheduler import Scheduler
+from sprucepost.simulation.cold_conditions import ColdStart, Conditions, Life
+from sprucepost.simulation.event_queue import Agenda
 
 EPOCH_MS = 1_000_000.0  # when a play begins, by the wall clock
 LEAD_FALLS = 1.5  # the first cold start comes so many `fall` later: no process is new any more
--- a/sprucepost/play/network.py
+++ b/sprucepost/simulation/network.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from sprucepost.agreement.actions import Send, Write
-from sprucepost.play.agenda import Agenda
+from sprucepost.simulation.event_queue import Agenda
 
 
 class StateMachine(Protocol):
--- a/sprucepost/play/world.py
+++ b/sprucepost/simulation/world.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from sprucepost.play.agenda import Agenda
+from sprucepost.simulation.event_queue import Agenda
 from sprucepost.view.messages import Close, Dial, Send
 
 DIAL_LIMIT_MS = 1000.0  # a dial that nobody answers fails after that
--- a/tests/agreement/schedules.py
+++ b/tests/agreement/schedules.py
@@ -16,7 +16,7 @@
 from sprucepost.agreement import Bounds, Change, Members, PersistentState, RaftServer, Role, Timing
 from sprucepost.agreement.actions import Apply, LeaderChanged, ReadReady, ReadRejected, RestoreSnapshot, Write
 from sprucepost.agreement.entries import Entry, Snapshot
-from sprucepost.play.network import DatagramNetwork, DiskProcess
+from sprucepost.simulation.network import DatagramNetwork, DiskProcess
 
 TICK_MS = 20.0
 RECOVERY_MS = 6000.0  # after the last fault: somebody leads, and a command is committed
--- a/tests/configuration/schedules.py
+++ b/tests/configuration/schedules.py
@@ -13,7 +13,7 @@
 from sprucepost.configuration import ChangeState, KeyEdit, Limits, Position, Proposal, Receipt, SavedState, Version
 from sprucepost.configuration.document import Value
 from sprucepost.configuration.messages import Held
-from sprucepost.play import Process, World
+from sprucepost.simulation import Process, World
 from tests.configuration.member import TICK_MS, Member, Observed, Program
 from tests.configuration.oracle import fold
 from tests.configuration.support import FILE, KNOWN
--- a/tests/play/test_cold_starts.py
+++ b/tests/simulation/test_cold_starts.py
@@ -8,9 +8,9 @@
 
 from benchmarks.cold_starts import CONDITIONS, allowances
 from sprucepost import interface as i
-from sprucepost.play.cold_conditions import ColdStart, Conditions, Life, Restarts, Summary, summarise
-from sprucepost.play.cold_starts import FleetPlay
 from sprucepost.scheduler import Machine, Scheduler
+from sprucepost.simulation.cold_conditions import ColdStart, Conditions, Life, Restarts, Summary, summarise
+from sprucepost.simulation.cold_starts import FleetPlay
 
 SIZE = 16
 NOTIFIED_IN_TIME = [name for name in CONDITIONS if "known machine" not in name and "address" not in name]
--- a/tests/view/schedules.py
+++ b/tests/view/schedules.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from sprucepost.play import Process, World
+from sprucepost.simulation import Process, World
 from sprucepost.view import Record, View
 from sprucepost.view.messages import ViewChanged
 from sprucepost.view.view import MAX_REPORT_DELAY_MS, TICK_MS
--- a/tests/view/test_view.py
+++ b/tests/view/test_view.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucepost.play import Process, World
+from sprucepost.simulation import Process, World
 from sprucepost.view import Record, View, merge
 from sprucepost.view import view as module
 from sprucepost.view.messages import Close, Dial, Hello, RecordUpdates, Send, Summary, ViewChanged, ViewMessage
