--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -25,7 +25,7 @@
     Summary,
     summarise,
 )
-from sprucepost.simulation.cold_starts import FleetPlay
+from sprucepost.simulation.cold_starts import FleetSimulation
 
 RESULTS = Path("docs/results/cold-starts.json")
 SIZES = (16, 24, 32)
@@ -81,7 +81,7 @@
 
 
 def play(conditions: Conditions, seed: int) -> list[ColdStart]:
-    return FleetPlay(conditions, seed).starts()
+    return FleetSimulation(conditions, seed).starts()
 
 
 def measure(pool: Executor, conditions: Conditions, starts: int) -> Summary:
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -32,7 +32,7 @@
 from sprucepost.configuration.document import Settings, Value, canonical_json, expand, flatten
 from sprucepost.configuration.messages import Changes, Digest, Message, Send
 from sprucepost.settings import Cluster
-from sprucepost.simulation.event_queue import Agenda
+from sprucepost.simulation.event_queue import EventQueue
 from sprucepost.view import Record
 from sprucepost.view.rings import ring_successors
 
@@ -68,7 +68,7 @@
     return [Problem(ProblemKind.INVALID, line.partition(":")[0], line) for line in cluster.problems()]
 
 
-class Spread(Agenda):
+class Spread(EventQueue):
     """Members and the streams between them; ``known`` has the moments at which a change came to each."""
 
     def __init__(self, members: int, seed: int) -> None:
--- a/benchmarks/view_rough.py
+++ b/benchmarks/view_rough.py
@@ -31,19 +31,19 @@
         world.reset(0.05)
         resets += 1
         if resets % 5 == 0:
-            world.stop(fleet.processes[rng.choice(list(fleet.numbers))], 1000.0)
+            world.pause(fleet.processes[rng.choice(list(fleet.numbers))], 1000.0)
             stops += 1
         world.run(world.now + 1000.0)
     told = [
         (round(moment), process.address, sorted(what.away))
         for process in fleet.living
-        for moment, what in process.told
+        for moment, what in process.notifications
         if isinstance(what, ViewChanged) and what.away and moment > SETTLE_MS
     ]
     print(
         f"{members} members, {minutes} minutes, seed {seed}: {resets} times 5 % of streams reset, {stops} stops of 1 s"
     )
-    print(f"{len(told)} times somebody told a living member as away {told[:5]}; {world.words} words")
+    print(f"{len(told)} times somebody told a living member as away {told[:5]}; {world.messages_sent} words")
     return 1 if told else 0
 
 
--- a/sprucepost/simulation/cold_starts.py
+++ b/sprucepost/simulation/cold_starts.py
@@ -17,7 +17,7 @@
 from sprucepost.membership import Generation, Side, assign_slot
 from sprucepost.scheduler import Scheduler
 from sprucepost.simulation.cold_conditions import ColdStart, Conditions, Life
-from sprucepost.simulation.event_queue import Agenda
+from sprucepost.simulation.event_queue import EventQueue
 
 EPOCH_MS = 1_000_000.0  # when a play begins, by the wall clock
 LEAD_FALLS = 1.5  # the first cold start comes so many `fall` later: no process is new any more
@@ -71,7 +71,7 @@
     def __init__(self, scheduler: Scheduler, skew_ms: float) -> None:
         self.scheduler, self.skew_ms = scheduler, skew_ms
         self.alive = True
-        self.stopped_until = 0.0
+        self.paused_until = 0.0
         self.told: dict[str, tuple[float, float]] = {}  # by machine: the start that it knows of, and since when
         self.attempts: Counter[int] = Counter()  # offers made so far, by request
         self.idle: Counter[str] = Counter()  # connections on which no offer is open, by machine
@@ -88,7 +88,7 @@
     decided: float
 
 
-class FleetPlay(Agenda):
+class FleetSimulation(EventQueue):
     """One play of all processes and machines; :meth:`starts` plays it to its end."""
 
     def __init__(
@@ -249,7 +249,7 @@
 
     def _stop(self, number: int, length: float) -> None:
         if (process := self._processes.get(number)) is not None:
-            process.stopped_until = self.now + length
+            process.paused_until = self.now + length
 
     def _take_seat(self, generation: Generation, number: int, side: Side) -> None:
         found = assign_slot(generation, number, side, self.now)
@@ -262,8 +262,8 @@
         """Now, or when the process runs again."""
         if not process.alive:
             return
-        if self.now < process.stopped_until:
-            self.at(process.stopped_until, partial(self._do, process, call))
+        if self.now < process.paused_until:
+            self.at(process.paused_until, partial(self._do, process, call))
         else:
             call()
 
--- a/sprucepost/simulation/event_queue.py
+++ b/sprucepost/simulation/event_queue.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 
-class Agenda:
+class EventQueue:
     """Calls by their moment, in ms; those of one moment in the order in which they were asked for."""
 
     def __init__(self) -> None:
--- a/sprucepost/simulation/network.py
+++ b/sprucepost/simulation/network.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from sprucepost.agreement.actions import Send, Write
-from sprucepost.simulation.event_queue import Agenda
+from sprucepost.simulation.event_queue import EventQueue
 
 
 class StateMachine(Protocol):
@@ -28,7 +28,7 @@
     """One process and its disk. ``clock_rate``: how fast its clock goes; ``write_ms``: how long a write takes."""
 
     def __init__(self, name: str, machine: StateMachine, clock_rate: float, write_ms: tuple[float, float]) -> None:
-        self.name, self.machine, self.clock_rate, self.write_ms = name, machine, clock_rate, write_ms
+        self.name, self.state_machine, self.clock_rate, self.write_ms = name, machine, clock_rate, write_ms
         self.alive = True
         self.paused_until = 0.0
         self.fail_next_write = False
@@ -36,7 +36,7 @@
         self.disk_free_at = 0.0
 
 
-class DatagramNetwork(Agenda):
+class DatagramNetwork(EventQueue):
     """``on_durable`` is told of each write that a restart will find, ``on_action`` of all other actions."""
 
     def __init__(
@@ -90,7 +90,7 @@
 
     def _tick(self, process: DiskProcess) -> None:
         if process.alive:
-            self.do(process, lambda: process.machine.tick(self.clock(process)))
+            self.do(process, lambda: process.state_machine.tick(self.clock(process)))
             self.at(max(self.now + self._tick_ms, process.paused_until), lambda: self._tick(process))
 
     def _is_cut(self, sender: str, receiver: str) -> bool:
@@ -106,7 +106,7 @@
     def _deliver(self, sender: str, action: Send) -> None:
         process = self.processes.get(action.to)
         if process is not None and not self._is_cut(sender, action.to):
-            self.do(process, lambda: process.machine.receive(self.clock(process), sender, action.message))
+            self.do(process, lambda: process.state_machine.receive(self.clock(process), sender, action.message))
 
     def _write(self, process: DiskProcess, write: Write) -> None:
         process.pending_writes.append(write)
@@ -118,8 +118,8 @@
             return
         if process.fail_next_write:  # nobody knows what of it, and of the following ones, is there
             process.fail_next_write, process.pending_writes = False, []
-            self.do(process, lambda: process.machine.write_failed(self.clock(process)))
+            self.do(process, lambda: process.state_machine.write_failed(self.clock(process)))
             return
         process.pending_writes.remove(write)
         self._on_durable(process.name, write)
-        self.do(process, lambda: process.machine.write_completed(self.clock(process), write.sequence))
+        self.do(process, lambda: process.state_machine.write_completed(self.clock(process), write.sequence))
--- a/tests/agreement/schedules.py
+++ b/tests/agreement/schedules.py
@@ -81,7 +81,7 @@
         self.network.start(process)
 
     def server(self, name: str) -> RaftServer:
-        machine = self.network.processes[name].machine
+        machine = self.network.processes[name].state_machine
         assert isinstance(machine, RaftServer)
         return machine
 
--- a/tests/configuration/schedules.py
+++ b/tests/configuration/schedules.py
@@ -90,7 +90,7 @@
     def do(self, address: str, call: Callable[[Member], tuple[Receipt, list[Any]]], proposal: Proposal | None) -> None:
         """An operator asks something of a member, if it runs."""
         process = self.processes.get(address)
-        if process is None or not process.alive or self.world.now < process.stopped_until:
+        if process is None or not process.alive or self.world.now < process.paused_until:
             return
         receipt, actions = call(member_of(process))
         if receipt.position is not None:
@@ -112,8 +112,8 @@
 
 
 def member_of(process: Process) -> Member:
-    assert isinstance(process.machine, Member)
-    return process.machine
+    assert isinstance(process.state_machine, Member)
+    return process.state_machine
 
 
 def _cut(rng: random.Random, fleet: Fleet) -> Callable[[Process, Process], bool]:
@@ -155,8 +155,8 @@
         kind = rng.choice(("cut", "cut", "cut", "reset", "pause", "crash", "crash", "late"))
         if kind == "cut":
             cut = _cut(rng, self.fleet)
-            self.at(began, lambda: self.world.cuts.append(cut))
-            self.at(began + length, lambda: self.world.cuts.remove(cut))
+            self.at(began, lambda: self.world.partitions.append(cut))
+            self.at(began + length, lambda: self.world.partitions.remove(cut))
         elif kind == "reset":
             for step in range(rng.choice((1, 5))):
                 self.at(began + 700 * step, lambda: self.world.reset(0.4))
@@ -275,7 +275,7 @@
 
     def _pause(self, address: str, length_ms: float) -> None:
         if address in self.fleet.processes:
-            self.world.stop(self.fleet.processes[address], length_ms)
+            self.world.pause(self.fleet.processes[address], length_ms)
 
     def _lag(self, address: str, lag_ms: float) -> None:
         if address in self.fleet.processes:
@@ -286,7 +286,7 @@
     """Play a drawn schedule to the moment at which all must hold."""
     rng = random.Random(seed)
     world = World(seed, TICK_MS, rng.choice(((0.2, 2.0), (1.0, 60.0), (5.0, 200.0))))
-    world.repeats = rng.choice((0.0, 0.2))
+    world.duplication = rng.choice((0.0, 0.2))
     fleet = Fleet(world, rng, TINY if rng.random() < 0.4 else USUAL)
     members = rng.randint(2, 8)
     limited = rng.choice((0, 0, 1, 2))
--- a/tests/simulation/test_cold_starts.py
+++ b/tests/simulation/test_cold_starts.py
@@ -10,7 +10,7 @@
 from sprucepost import interface as i
 from sprucepost.scheduler import Machine, Scheduler
 from sprucepost.simulation.cold_conditions import ColdStart, Conditions, Life, Restarts, Summary, summarise
-from sprucepost.simulation.cold_starts import FleetPlay
+from sprucepost.simulation.cold_starts import FleetSimulation
 
 SIZE = 16
 NOTIFIED_IN_TIME = [name for name in CONDITIONS if "known machine" not in name and "address" not in name]
@@ -21,7 +21,7 @@
 
 
 def simulate(conditions: Conditions, scheduler: type[Scheduler] = Scheduler) -> Summary:
-    return summarise(FleetPlay(conditions, 1, scheduler).starts(), conditions.bound)
+    return summarise(FleetSimulation(conditions, 1, scheduler).starts(), conditions.bound)
 
 
 @pytest.mark.parametrize("bears", [12.0, 16.0])
@@ -110,4 +110,4 @@
 
 def test_the_same_seed_gives_the_same_result() -> None:
     conditions = replace(CONDITIONS["much at once"], size=SIZE, bears=allowances(SIZE)[0])
-    assert FleetPlay(conditions, 3).starts() == FleetPlay(conditions, 3).starts()
+    assert FleetSimulation(conditions, 3).starts() == FleetSimulation(conditions, 3).starts()
--- a/tests/view/schedules.py
+++ b/tests/view/schedules.py
@@ -70,8 +70,8 @@
 
 
 def _view(process: Process) -> View:
-    assert isinstance(process.machine, View)
-    return process.machine
+    assert isinstance(process.state_machine, View)
+    return process.state_machine
 
 
 def _cut(rng: random.Random, fleet: Fleet) -> Callable[[Process, Process], bool]:
@@ -133,7 +133,7 @@
         elif kind == "reset":
             self._fault(began, 0.0, _later(self.world.reset, 0.3))
         elif kind in ("late", "deaf"):
-            attribute, value, usual = ("lag_ms", 900.0, 0.0) if kind == "late" else ("deaf", True, False)
+            attribute, value, usual = ("lag_ms", 900.0, 0.0) if kind == "late" else ("cannot_dial", True, False)
             self._fault(began, length, _later(self._be, number, attribute, value))
             self._fault(began + length, 0.0, _later(self._be, number, attribute, usual))
         elif kind == "leave":
@@ -146,11 +146,11 @@
         self.over = max(self.over, began + length)
 
     def _cut_off(self, cut: Callable[[Process, Process], bool], began: float, length: float) -> None:
-        self._fault(began, length, _later(self.world.cuts.append, cut))
-        self.world.at(began + length, _later(self.world.cuts.remove, cut))
+        self._fault(began, length, _later(self.world.partitions.append, cut))
+        self.world.at(began + length, _later(self.world.partitions.remove, cut))
 
     def _stop(self, number: int, length: float) -> None:
-        self.world.stop(self.fleet.processes[number], length)
+        self.world.pause(self.fleet.processes[number], length)
 
     def _kill(self, numbers: list[int], silently: bool) -> None:
         for number in numbers:
@@ -167,7 +167,7 @@
 
     def _leave(self, number: int) -> None:
         process = self.fleet.processes[number]
-        if process.alive and self.world.now >= process.stopped_until:
+        if process.alive and self.world.now >= process.paused_until:
             self.world.do(process, _view(process).leave)
             self.world.at(self.world.now + 300, _later(self._kill, [number], False))
 
@@ -184,7 +184,7 @@
     """Play a drawn schedule; what broke."""
     rng = random.Random(seed)
     world = World(seed, TICK_MS, rng.choice(((0.2, 2.0), (1.0, 60.0), (5.0, 200.0))))
-    world.repeats = rng.choice((0.0, 0.2))
+    world.duplication = rng.choice((0.0, 0.2))
     fleet = Fleet(world, members, rooms=rng.choice((1, 2, 3)))
     others = Fleet(world, 2, "another", first=900)
     others.seeds = fleet.seeds  # somebody has copied a file of settings
@@ -216,7 +216,7 @@
     world.run(began + KNOWN_MS)
     found = []
     for process in fleet.living:
-        told = [what.away & living for moment, what in process.told if moment > began and isinstance(what, ViewChanged)]
+        told = [what.away & living for moment, what in process.notifications if moment > began and isinstance(what, ViewChanged)]
         if told != [names]:
             found.append(f"{process.address} told {[sorted(away) for away in told]} for {sorted(names)}")
     return found
@@ -229,10 +229,10 @@
         world.at(began + 1000 * second, _later(world.reset, 0.05))
     for _ in range(3):
         process = rng.choice(fleet.living)
-        world.at(began + rng.uniform(0, 8000), _later(world.stop, process, 1000.0))
+        world.at(began + rng.uniform(0, 8000), _later(world.pause, process, 1000.0))
     world.run(began + 12_000)
     for process in fleet.living:
-        for moment, told in process.told:
+        for moment, told in process.notifications:
             if moment > began + MAX_REPORT_DELAY_MS and isinstance(told, ViewChanged) and told.away & living:
                 return [f"{process.address} told living ones as away: {sorted(told.away & living)}"]
     return []
--- a/tests/view/test_view.py
+++ b/tests/view/test_view.py
@@ -115,10 +115,10 @@
 def test_all_start_at_once_halves_part_and_heal_a_tenth_dies() -> None:
     world, fleet = fleet_of(40)
     assert settle(world, fleet, 5000) <= 5000
-    world.cuts.append(lambda one, other: int(one.address[1:]) % 2 != int(other.address[1:]) % 2)
+    world.partitions.append(lambda one, other: int(one.address[1:]) % 2 != int(other.address[1:]) % 2)
     world.run(world.now + 15_000)
     assert {len(_view(process).here) for process in fleet.living} == {20}
-    world.cuts.clear()
+    world.partitions.clear()
     settle(world, fleet, 10_000)
     for number in range(4):
         world.kill(fleet.processes[number * 7])
@@ -137,12 +137,12 @@
     fleet.start(1)  # a seed is back; those who remember it dial it
     settle(world, fleet, 15_000)
 
-    world.cuts.append(lambda one, other: (one.address in "a1 a9 a10") != (other.address in "a1 a9 a10"))
+    world.partitions.append(lambda one, other: (one.address in "a1 a9 a10") != (other.address in "a1 a9 a10"))
     world.run(world.now + 12_000)
     fleet.start(10)  # its only seed that lives is in the minority
     world.run(world.now + 5000)
     assert _view(fleet.processes[10]).here == {"p1", "p9", "p10"}
-    world.cuts.clear()
+    world.partitions.clear()
     settle(world, fleet, 15_000)
 
 
@@ -185,9 +185,9 @@
     settle(world, fleet, 5000)
     began = world.now
     others = {name for name, _ in _view(fleet.processes[0]).own_record.sees[:1]}
-    world.cuts.append(lambda one, other: one.address == "a0" and _view(other).own_record.name in others)
+    world.partitions.append(lambda one, other: one.address == "a0" and _view(other).own_record.name in others)
     world.run(began + 30_000)
-    told = [what for process in fleet.living for moment, what in process.told if moment > began + 1000]
+    told = [what for process in fleet.living for moment, what in process.notifications if moment > began + 1000]
     assert not [what for what in told if isinstance(what, ViewChanged) and what.away]
 
 
@@ -256,7 +256,7 @@
 world.run(3000)
 world.kill(fleet.processes[2])
 world.run(9000)
-print(world.words, [process.machine.digest for process in fleet.living])
+print(world.messages_sent, [process.state_machine.digest for process in fleet.living])
 """
 
 
@@ -271,7 +271,7 @@
     assert len(played) == 1
     world, _ = fleet_of(9, 4)
     world.run(9000)
-    assert str(world.words) not in next(iter(played)), "another seed plays otherwise"
+    assert str(world.messages_sent) not in next(iter(played)), "another seed plays otherwise"
 
 
 def test_dials_are_bounded_and_paced() -> None:
