--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -20,7 +20,7 @@
     Conditions,
     Delays,
     Demand,
-    News,
+    Discovery,
     Restarts,
     Summary,
     summarise,
@@ -38,39 +38,41 @@
 BASE = Conditions(SIZES[0], SMALL_ALLOWANCE)
 CONDITIONS: dict[str, Conditions] = {
     "shares rounded, tasks waiting everywhere": BASE,
-    "all told in one tick": replace(BASE, news=News(together=True)),
+    "all told in one tick": replace(BASE, discovery=Discovery(together=True)),
     "clocks 50 ms apart, tasks waiting": replace(BASE, skew_ms=50.0),
     "clocks 50 ms apart, usual traffic, busy loops": replace(BASE, skew_ms=50.0, demand=USUAL, delays=BUSY),
-    "uneven traffic": replace(BASE, demand=Demand(load=1.0, uneven=1.0)),
-    "a burst, eightfold": replace(BASE, demand=Demand(load=0.5, burst_times=8.0)),
+    "uneven traffic": replace(BASE, demand=Demand(load=1.0, skew_exponent=1.0)),
+    "a burst, eightfold": replace(BASE, demand=Demand(load=0.5, burst_factor=8.0)),
     "written up to 60 ms late": replace(BASE, delays=BUSY),
     "half of the loops stop, 0.1 to 2 s": replace(BASE, delays=replace(BUSY, stop_share=0.5, stop_ms=(100.0, 2000.0))),
-    "3 in 10 dials up to 1 s late": replace(BASE, delays=Delays(late_dials=0.3)),
+    "3 in 10 dials up to 1 s late": replace(BASE, delays=Delays(late_dial_share=0.3)),
     "all dials up to 1 s late, told in one tick": replace(
-        BASE, delays=Delays(late_dials=1.0), news=News(together=True)
+        BASE, delays=Delays(late_dial_share=1.0), discovery=Discovery(together=True)
     ),
-    "all dials up to 1 s late, usual traffic": replace(BASE, delays=Delays(late_dials=1.0), demand=USUAL),
+    "all dials up to 1 s late, usual traffic": replace(BASE, delays=Delays(late_dial_share=1.0), demand=USUAL),
     "7 in 10 restarted": replace(BASE, restarts=Restarts(0.7)),
     "1 in 10 restarted, old life beside the new for 3 s": replace(BASE, restarts=Restarts(0.1, overlap_ms=3000.0)),
     "half live": replace(BASE, live_share=0.5),
     "half live, each restarted twice": replace(BASE, live_share=0.5, restarts=Restarts(1.0, times=2)),
-    "started again within the ramp": replace(BASE, starts_again=True),
-    "address taken by another within the ramp": replace(BASE, address_taken=True),
+    "started again within the ramp": replace(BASE, machine_restarts=True),
+    "address taken by another within the ramp": replace(BASE, address_reused=True),
     "fleet grows by half": replace(BASE, growth=1.5),
-    "told 0 to 3 s late": replace(BASE, news=News((0.0, 3000.0))),
-    "told out of order: there, gone, there": replace(BASE, news=News(out_of_order_share=1.0)),
-    "known machine, told 0 to 0.2 s late, usual traffic": replace(BASE, news=News(known_before=True), demand=USUAL),
+    "told 0 to 3 s late": replace(BASE, discovery=Discovery((0.0, 3000.0))),
+    "told out of order: there, gone, there": replace(BASE, discovery=Discovery(out_of_order_share=1.0)),
+    "known machine, told 0 to 0.2 s late, usual traffic": replace(
+        BASE, discovery=Discovery(known_before=True), demand=USUAL
+    ),
     "known machine, told 0 to 3 s late, usual traffic": replace(
-        BASE, news=News((0.0, 3000.0), known_before=True), demand=USUAL
+        BASE, discovery=Discovery((0.0, 3000.0), known_before=True), demand=USUAL
     ),
     "answers after 0.2 to 2 s": replace(BASE, delays=Delays(answer_ms=(200.0, 2000.0))),
     "much at once": replace(
         BASE,
         skew_ms=50.0,
-        demand=Demand(load=1.0, uneven=0.5, burst_times=4.0),
-        delays=replace(BUSY, late_dials=0.3, stop_share=0.2, stop_ms=(100.0, 1000.0)),
+        demand=Demand(load=1.0, skew_exponent=0.5, burst_factor=4.0),
+        delays=replace(BUSY, late_dial_share=0.3, stop_share=0.2, stop_ms=(100.0, 1000.0)),
         restarts=Restarts(0.3),
-        news=News(out_of_order_share=0.3),
+        discovery=Discovery(out_of_order_share=0.3),
     ),
 }
 
@@ -81,7 +83,7 @@
 
 
 def play(conditions: Conditions, seed: int) -> list[ColdStart]:
-    return FleetSimulation(conditions, seed).starts()
+    return FleetSimulation(conditions, seed).simulate()
 
 
 def measure(pool: Executor, conditions: Conditions, starts: int) -> Summary:
@@ -106,7 +108,7 @@
         for size in arguments.sizes:
             for bears in [arguments.allowance] if arguments.allowance else allowances(size):
                 for name, conditions in wanted.items():
-                    found = measure(pool, replace(conditions, size=size, bears=bears), arguments.starts)
+                    found = measure(pool, replace(conditions, size=size, cold_limit=bears), arguments.starts)
                     print(f"{size:3} {bears:4.0f} {name:52} {found}", flush=True)
                     keep(arguments.name, f"{size} processes, {bears:.0f} borne", name, found)
     return 0
--- a/sprucepost/simulation/cold_conditions.py
+++ b/sprucepost/simulation/cold_conditions.py
@@ -14,12 +14,12 @@
     """What clients ask.
 
     ``load`` is the offers wanted per `fall` and cold machine, over the whole fleet, as a share of what the machine bears;
-    with None tasks wait at every process at all times. ``uneven`` is the exponent of the processes' shares (Zipf).
+    with None tasks wait at every process at all times. ``skew_exponent`` is the exponent of the processes' shares (Zipf).
     """
 
     load: float | None = None
-    uneven: float = 0.0
-    burst_times: float = 1.0  # the load during a burst, as a multiple of the usual one
+    skew_exponent: float = 0.0
+    burst_factor: float = 1.0  # the load during a burst, as a multiple of the usual one
     burst_ms: float = 500.0
 
 
@@ -28,7 +28,7 @@
     """What lies between a decision and its answer. Ranges are drawn from evenly."""
 
     write_ms: Range = (0.0, 0.0)  # from the decision to the write, as on a busy loop
-    late_dials: float = 0.0  # share of new connections that come up late, by up to ``late_dial_ms``
+    late_dial_share: float = 0.0  # share of new connections that come up late, by up to ``late_dial_ms``
     late_dial_ms: float = 1000.0
     answer_ms: Range = (1.0, 10.0)
     stop_share: float = 0.0  # share of processes whose loop stops once within the ramp
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class News:
+class Discovery:
     """How processes are told of a machine's start: each after a drawn delay."""
 
     delay_ms: Range = (0.0, 200.0)
@@ -60,7 +60,7 @@
     """One kind of play. ``size`` processes are configured; ``live_share`` of them run."""
 
     size: int
-    bears: float
+    cold_limit: float
     fall_ms: float = 1500.0
     live_share: float = 1.0
     machines: int = 10
@@ -69,15 +69,15 @@
     demand: Demand = Demand()
     delays: Delays = Delays()
     restarts: Restarts = Restarts()
-    news: News = News()
-    starts_again: bool = False  # each machine dies within its ramp and starts again under its name
-    address_taken: bool = False  # each machine is replaced within its ramp by another one at its address
+    discovery: Discovery = Discovery()
+    machine_restarts: bool = False  # each machine dies within its ramp and starts again under its name
+    address_reused: bool = False  # each machine is replaced within its ramp by another one at its address
     growth: float = 1.0  # the fleet's size is changed by this factor within the ramp
 
     @property
     def bound(self) -> float:
         """Offers in one window of `fall` up to which an excess is put down to chance."""
-        return self.bears + 2.0 * math.sqrt(self.bears) + 2.0
+        return self.cold_limit + 2.0 * math.sqrt(self.cold_limit) + 2.0
 
 
 @dataclass(frozen=True)
@@ -88,13 +88,13 @@
     worst_told: int  # those of them from processes that had been told of the start
     used: float
 
-    def beyond(self, bound: float) -> bool:
+    def exceeds(self, bound: float) -> bool:
         """Whether the excess is more than chance, and over two thirds of it came from processes that knew."""
         return self.worst > bound and 3 * self.worst_told > 2 * self.worst
 
 
 @dataclass
-class Life:
+class MachineIncarnation:
     """One life of a machine: each offer's arrival, and whether its process had been told of this start."""
 
     name: str
@@ -142,6 +142,6 @@
         p999=windows[min(len(windows) - 1, int(0.999 * len(windows)))],
         worst=windows[-1],
         worst_told=max(start.worst_told for start in starts),
-        beyond=sum(start.beyond(bound) for start in starts),
+        beyond=sum(start.exceeds(bound) for start in starts),
         used=round(sum(start.used for start in starts) / len(starts), 3),
     )
--- a/sprucepost/simulation/cold_starts.py
+++ b/sprucepost/simulation/cold_starts.py
@@ -16,7 +16,7 @@
 from sprucepost import interface as i
 from sprucepost.membership import Generation, Side, assign_slot
 from sprucepost.scheduler import Scheduler
-from sprucepost.simulation.cold_conditions import ColdStart, Conditions, Life
+from sprucepost.simulation.cold_conditions import ColdStart, Conditions, MachineIncarnation
 from sprucepost.simulation.event_queue import EventQueue
 
 EPOCH_MS = 1_000_000.0  # when a play begins, by the wall clock
@@ -45,7 +45,7 @@
         max_attempts=10**9,
         accepts_cores=1.0,
         accepts_memory=1.0,
-        cold_bears=conditions.bears,
+        cold_bears=conditions.cold_limit,
         fall=conditions.fall_ms,
         warm_after=20 * conditions.fall_ms,
         ask_every=10_000.0,
@@ -62,7 +62,7 @@
     """Where machines listen, one after the other; ``life`` is None while nobody does."""
 
     def __init__(self) -> None:
-        self.life: Life | None = None
+        self.life: MachineIncarnation | None = None
 
 
 class Process:
@@ -89,7 +89,7 @@
 
 
 class FleetSimulation(EventQueue):
-    """One play of all processes and machines; :meth:`starts` plays it to its end."""
+    """One play of all processes and machines; :meth:`simulate` plays it to its end."""
 
     def __init__(
         self, conditions: Conditions, seed: int, scheduler: Callable[[i.Settings, int], Scheduler] = Scheduler
@@ -100,7 +100,7 @@
         self.now = EPOCH_MS
         self._first = EPOCH_MS + LEAD_FALLS * conditions.fall_ms
         self._end = self._first + conditions.ramp_falls * conditions.fall_ms
-        self._lives: list[Life] = []
+        self._incarnations: list[MachineIncarnation] = []
         self._addresses: dict[str, Address] = {}
         self._processes: dict[int, Process] = {}  # the latest life of each number
         self._running: list[Process] = []
@@ -108,7 +108,7 @@
         self._requests = 0
         self._settings = _settings(conditions)
 
-    def starts(self) -> list[ColdStart]:
+    def simulate(self) -> list[ColdStart]:
         """What every life of a cold machine got that lasted for a whole window."""
         conditions = self.conditions
         for n in range(conditions.machines):
@@ -122,8 +122,8 @@
         self._draw_change()
         self.run(self._end)
         return [
-            life.summary(conditions.fall_ms, conditions.bears, self._end)
-            for life in self._lives
+            life.summary(conditions.fall_ms, conditions.cold_limit, self._end)
+            for life in self._incarnations
             if min(self._end, life.ended) - life.started >= conditions.fall_ms
         ]
 
@@ -136,14 +136,14 @@
     def _draw_machine(self, name: str) -> None:
         conditions, fall = self.conditions, self.conditions.fall_ms
         self._addresses[name] = Address()
-        started = self._first + (0.0 if conditions.news.together else self.rng.uniform(0.0, fall))
-        if conditions.news.known_before:
+        started = self._first + (0.0 if conditions.discovery.together else self.rng.uniform(0.0, fall))
+        if conditions.discovery.known_before:
             self._listed[name] = _entry(name, 0.0)
         self.at(started, partial(self._start_machine, name, name))
-        if conditions.starts_again or conditions.address_taken:
+        if conditions.machine_restarts or conditions.address_reused:
             dies = started + self.rng.uniform(0.5, 1.5) * fall
             back = dies + self.rng.uniform(100.0, fall)
-            successor = f"{name}-next" if conditions.address_taken else name
+            successor = f"{name}-next" if conditions.address_reused else name
             self.at(dies, partial(self._end_machine, name))
             self.at(back, partial(self._start_machine, successor, name))
 
@@ -163,12 +163,12 @@
         demand, conditions = self.conditions.demand, self.conditions
         if demand.load is None:
             return
-        weights = [1.0 / (rank + 1) ** demand.uneven for rank in range(len(live))]
-        rate = demand.load * conditions.bears * conditions.machines / conditions.fall_ms
+        weights = [1.0 / (rank + 1) ** demand.skew_exponent for rank in range(len(live))]
+        rate = demand.load * conditions.cold_limit * conditions.machines / conditions.fall_ms
         burst = self._within_ramp()
         at = self._first
         while at < self._end:
-            times = demand.burst_times if burst <= at < burst + demand.burst_ms else 1.0
+            times = demand.burst_factor if burst <= at < burst + demand.burst_ms else 1.0
             at += self.rng.expovariate(rate * times)
             number = self.rng.choices(live, weights)[0]
             self.at(at, partial(self._ask_number, number))
@@ -188,8 +188,8 @@
 
     def _start_machine(self, name: str, address: str) -> None:
         """A machine starts cold at an address; whatever was listed there before is gone."""
-        life = Life(name, self.now)
-        self._lives.append(life)
+        life = MachineIncarnation(name, self.now)
+        self._incarnations.append(life)
         self._addresses.setdefault(name, self._addresses[address])
         self._addresses[name].life = life
         news = [_entry(name, self.now)]
@@ -204,7 +204,7 @@
         life.ended, self._addresses[name].life = self.now, None
 
     def _tell_all(self, entries: tuple[i.MachineEntry, ...]) -> None:
-        news = self.conditions.news
+        news = self.conditions.discovery
         for process in self._running:
             at = self.now + (0.0 if news.together else self.rng.uniform(*news.delay_ms))
             self.at(at, partial(self._do, process, partial(self._tell, process, entries)))
@@ -310,7 +310,7 @@
             self._write(attempt)
             return
         dial = self.rng.uniform(*DIAL_MS)
-        if self.rng.random() < delays.late_dials:
+        if self.rng.random() < delays.late_dial_share:
             dial += self.rng.uniform(0.0, delays.late_dial_ms)
         self.at(self.now + dial, partial(self._do, attempt.process, partial(self._write, attempt)))
 
@@ -326,7 +326,7 @@
         life.arrivals.append((self.now, self._knew(attempt.process, life)))
         self.at(self.now + self.rng.uniform(*self.conditions.delays.answer_ms), partial(self._answer, attempt))
 
-    def _knew(self, process: Process, life: Life) -> bool:
+    def _knew(self, process: Process, life: MachineIncarnation) -> bool:
         """Whether the process had been told of this start, for longer than the slack of all time limits."""
         started, since = process.told.get(life.name, (0.0, 0.0))
         return started >= life.started and self.now > since + TOLD_SLACK_MS
--- a/sprucepost/simulation/world.py
+++ b/sprucepost/simulation/world.py
@@ -24,20 +24,20 @@
 
 
 class Process:
-    """One process at an address; ``notifications`` is what its machine has said beside messages_sent, with the moment."""
+    """One process at an address; ``notifications`` is what its machine has said beside messages, with the moment."""
 
     def __init__(self, address: str, machine: StateMachine, place: str) -> None:
         self.address, self.state_machine, self.place = address, machine, place
         self.alive = True
         self.paused_until = 0.0
         self.lag_ms = 0.0  # how late it is with everything
-        self.cannot_dial = False  # it cannot dial
+        self.cannot_dial = False
         self.streams: dict[int, _Pipe] = {}
         self.notifications: list[tuple[float, Any]] = []
 
 
 class _Pipe:
-    """One stream: two ends, each with the number that it has there, and messages_sent on the way in both directions."""
+    """One stream: two ends, each with the number that it has there, and messages on the way in both directions."""
 
     def __init__(self, ends: tuple[Process, Process], idents: tuple[int, int]) -> None:
         self.ends, self.idents = ends, idents
@@ -54,8 +54,8 @@
         self._tick, self._delay = tick_ms, delay_ms
         self.processes: dict[str, Process] = {}
         self._number = 0
-        self.partitions: list[Callable[[Process, Process], bool]] = []  # whether messages_sent from one to the other are held up
-        self.duplication = 0.0  # share of messages_sent that come twice
+        self.partitions: list[Callable[[Process, Process], bool]] = []  # whether a message is held up
+        self.duplication = 0.0  # share of messages that come twice
         self.messages_sent = 0
 
     # Processes and faults
@@ -89,7 +89,7 @@
                     self._end(pipe, process)
 
     def is_held(self, one: Process, other: Process) -> bool:
-        """Whether messages_sent from one do not reach the other now."""
+        """Whether messages from one do not reach the other now."""
         return any(cut(one, other) for cut in self.partitions)
 
     # How it works
@@ -138,7 +138,7 @@
         self.do(receiver, lambda: receiver.state_machine.message_received(self.now, pipe.idents[to], word))
 
     def _end(self, pipe: _Pipe, by: Process) -> None:
-        """One end is closed; the other hears of it as soon as messages_sent from there reach it."""
+        """One end is closed; the other hears of it as soon as messages from there reach it."""
         to = 1 if pipe.ends[0] is by else 0
         by.streams.pop(pipe.idents[1 - to], None)
         if not pipe.over:
--- a/tests/simulation/test_cold_starts.py
+++ b/tests/simulation/test_cold_starts.py
@@ -9,7 +9,14 @@
 from benchmarks.cold_starts import CONDITIONS, allowances
 from sprucepost import interface as i
 from sprucepost.scheduler import Machine, Scheduler
-from sprucepost.simulation.cold_conditions import ColdStart, Conditions, Life, Restarts, Summary, summarise
+from sprucepost.simulation.cold_conditions import (
+    ColdStart,
+    Conditions,
+    MachineIncarnation,
+    Restarts,
+    Summary,
+    summarise,
+)
 from sprucepost.simulation.cold_starts import FleetSimulation
 
 SIZE = 16
@@ -21,13 +28,13 @@
 
 
 def simulate(conditions: Conditions, scheduler: type[Scheduler] = Scheduler) -> Summary:
-    return summarise(FleetSimulation(conditions, 1, scheduler).starts(), conditions.bound)
+    return summarise(FleetSimulation(conditions, 1, scheduler).simulate(), conditions.bound)
 
 
 @pytest.mark.parametrize("bears", [12.0, 16.0])
 @pytest.mark.parametrize("name", NOTIFIED_IN_TIME)
 def test_offers_of_all_processes_stay_within_the_bound_for_chance(name: str, bears: float) -> None:
-    summary = simulate(replace(CONDITIONS[name], size=SIZE, bears=bears))
+    summary = simulate(replace(CONDITIONS[name], size=SIZE, cold_limit=bears))
     assert summary.starts >= 10 and summary.used > 0.05
     assert summary.worst <= summary.bound
 
@@ -35,12 +42,12 @@
 @pytest.mark.parametrize("conditions", [LATE_CONNECTIONS, OUT_OF_ORDER, RESTARTED, CONDITIONS["much at once"]])
 def test_with_an_allowance_for_each_process_no_window_exceeds_the_limit(conditions: Conditions) -> None:
     """Each process keeps to its share in the machine's own windows, however late its offers arrive."""
-    assert simulate(replace(conditions, size=SIZE, bears=2.0 * SIZE)).worst <= 2 * SIZE
+    assert simulate(replace(conditions, size=SIZE, cold_limit=2.0 * SIZE)).worst <= 2 * SIZE
 
 
 @pytest.mark.parametrize("name", [name for name in CONDITIONS if name not in NOTIFIED_IN_TIME])
 def test_notified_processes_keep_the_limit_beside_others_that_were_not_notified(name: str) -> None:
-    summary = simulate(replace(CONDITIONS[name], size=SIZE, bears=4.0 * SIZE))
+    summary = simulate(replace(CONDITIONS[name], size=SIZE, cold_limit=4.0 * SIZE))
     assert summary.worst_told <= 4 * SIZE and not summary.beyond
 
 
@@ -95,19 +102,19 @@
     ],
 )
 def test_a_faulty_scheduler_is_detected(scheduler: type[Scheduler], conditions: Conditions) -> None:
-    conditions = replace(conditions, size=SIZE, bears=2.0 * SIZE)
+    conditions = replace(conditions, size=SIZE, cold_limit=2.0 * SIZE)
     assert simulate(conditions).worst <= 2 * SIZE
     summary = simulate(conditions, scheduler)
     assert summary.worst > summary.bound and summary.beyond
 
 
 def test_a_window_is_sliding_and_half_open() -> None:
-    life = Life("m", 0.0, arrivals=[(at, at < 1200.0) for at in (100.0, 1099.0, 1100.0, 1101.0, 5000.0)])
+    life = MachineIncarnation("m", 0.0, arrivals=[(at, at < 1200.0) for at in (100.0, 1099.0, 1100.0, 1101.0, 5000.0)])
     assert life.summary(1000.0, 2.0, until=10_000.0) == ColdStart(worst=3, worst_told=3, used=0.25)
-    assert not ColdStart(12, 8, 1.0).beyond(11.9) and ColdStart(12, 9, 1.0).beyond(11.9)
-    assert not ColdStart(12, 12, 1.0).beyond(12.0)
+    assert not ColdStart(12, 8, 1.0).exceeds(11.9) and ColdStart(12, 9, 1.0).exceeds(11.9)
+    assert not ColdStart(12, 12, 1.0).exceeds(12.0)
 
 
 def test_the_same_seed_gives_the_same_result() -> None:
-    conditions = replace(CONDITIONS["much at once"], size=SIZE, bears=allowances(SIZE)[0])
-    assert FleetSimulation(conditions, 3).starts() == FleetSimulation(conditions, 3).starts()
+    conditions = replace(CONDITIONS["much at once"], size=SIZE, cold_limit=allowances(SIZE)[0])
+    assert FleetSimulation(conditions, 3).simulate() == FleetSimulation(conditions, 3).simulate()
--- a/tests/view/schedules.py
+++ b/tests/view/schedules.py
@@ -216,7 +216,11 @@
     world.run(began + KNOWN_MS)
     found = []
     for process in fleet.living:
-        told = [what.away & living for moment, what in process.notifications if moment > began and isinstance(what, ViewChanged)]
+        told = [
+            what.away & living
+            for moment, what in process.notifications
+            if moment > began and isinstance(what, ViewChanged)
+        ]
         if told != [names]:
             found.append(f"{process.address} told {[sorted(away) for away in told]} for {sorted(names)}")
     return found
