--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -23,7 +23,7 @@
 
 from benchmarks.whole_path import line
 from sprucepost.cli.tables import table
-from sprucepost.load.report import page
+from sprucepost.load.report import render_page
 from sprucepost.plotting import NoCharts
 from tests.placer.support import cluster
 
@@ -178,7 +178,7 @@
     sides = {f"{version}, 5 times, credit": row for version, found in result.items() for row in found["above"]
              if row["times"] == 5.0 and row["owners"] == "credit"}  # fmt: skip
     try:
-        chart = page("Five times what a placer can do", sides, {})
+        chart = render_page("Five times what a placer can do", sides, {})
         out.with_suffix(".html").write_text("\n".join(text.rstrip() for text in chart.splitlines()) + "\n")
     except NoCharts as error:
         print(error)
--- a/sprucepost/cli/load.py
+++ b/sprucepost/cli/load.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from sprucepost.cli.tables import table
-from sprucepost.load.arrivals import Ask, asks
+from sprucepost.load.arrivals import TaskArrival, task_arrivals
 from sprucepost.load.plan import Plan, Replay
-from sprucepost.load.recorded import recorded
-from sprucepost.load.report import compared, page, rows
-from sprucepost.load.run import Result, Run
+from sprucepost.load.recorded import read_recorded_arrivals
+from sprucepost.load.report import comparison_rows, flat_figures, render_page
+from sprucepost.load.run import LoadResult, LoadRun
 from sprucepost.loop import Address, Co, Scope, in_scope, sleep
 from sprucepost.loop.epoll import EpollLoop
 from sprucepost.plotting import NoCharts
@@ -31,11 +31,11 @@
         self.status = status
 
 
-def _asks(plan: Plan) -> list[Ask]:
+def _asks(plan: Plan) -> list[TaskArrival]:
     if not isinstance(plan.arrivals, Replay):
-        return list(asks(plan))
+        return list(task_arrivals(plan))
     try:
-        return list(asks(plan, recorded(Path(plan.arrivals.record))))
+        return list(task_arrivals(plan, read_recorded_arrivals(Path(plan.arrivals.record))))
     except (RecordError, SettingsError) as error:
         raise LoadError(f"arrivals.record: {error}", 2) from None
 
@@ -50,9 +50,9 @@
     for group in groups:
         loop = EpollLoop(group[0][2].seed)
 
-        def main(scope: Scope, group: Any = group, loop: EpollLoop = loop) -> Co[list[Result]]:
-            runs = [Run(loop, scope, addresses, plan, name) for name, addresses, plan, _ in group]
-            jobs = [scope.spawn(run.play(what), name) for run, (name, _, _, what) in zip(runs, group, strict=True)]
+        def main(scope: Scope, group: Any = group, loop: EpollLoop = loop) -> Co[list[LoadResult]]:
+            runs = [LoadRun(loop, scope, addresses, plan, name) for name, addresses, plan, _ in group]
+            jobs = [scope.spawn(run.execute(what), name) for run, (name, _, _, what) in zip(runs, group, strict=True)]
             while not all(job.done for job in jobs):
                 yield from sleep(20.0)
             found = [job.take() for job in jobs]
@@ -86,15 +86,19 @@
         if save is not None:
             _write(save, json.dumps(figures[first] if not rest else figures, indent=1) + "\n")
         if rest:
-            print(table(["figure", first, rest[0], "ratio"], compared(figures[first], figures[rest[0]])))
+            print(table(["figure", first, rest[0], "ratio"], comparison_rows(figures[first], figures[rest[0]])))
         elif other is not None:
-            print(table(["figure", "before", "now", "ratio"], compared(other, figures[first])))
+            print(table(["figure", "before", "now", "ratio"], comparison_rows(other, figures[first])))
         else:
-            print(table(["figure", "value"], [[name, f"{value:g}"] for name, value in rows(figures[first]).items()]))
+            print(
+                table(
+                    ["figure", "value"], [[name, f"{value:g}"] for name, value in flat_figures(figures[first]).items()]
+                )
+            )
         if chart is not None:
             plans = {name: msgspec.to_builtins(plan) for name, _, plan in sides}
             try:
-                _write(chart, page("sprucepost load", figures, plans))
+                _write(chart, render_page("sprucepost load", figures, plans))
             except NoCharts as error:
                 raise LoadError(f"--html: {error}", 2) from None
     except LoadError as error:
--- a/sprucepost/load/arrivals.py
+++ b/sprucepost/load/arrivals.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class TaskArrival:
     """``at_ms`` from the beginning; ``owner`` from 0."""
 
     at_ms: float
@@ -26,7 +26,7 @@
     life_ms: float
 
 
-def moments(arrivals: Steady | Poisson | Bursts | Ramp, length_ms: float, rng: Rng) -> Iterator[float]:
+def arrival_times(arrivals: Steady | Poisson | Bursts | Ramp, length_ms: float, rng: Rng) -> Iterator[float]:
     """When asks are due, in ms, in order."""
     if isinstance(arrivals, Steady):
         for n in range(int(length_ms * arrivals.rate / 1000.0)):
@@ -63,20 +63,22 @@
             yield at
 
 
-def asks(plan: Plan, recorded: list[Ask] | None = None) -> Iterator[Ask]:
+def task_arrivals(plan: Plan, recorded: list[TaskArrival] | None = None) -> Iterator[TaskArrival]:
     """What a plan asks; ``recorded`` where it replays a day."""
     if isinstance(plan.arrivals, Replay):
         for ask in recorded or []:
             at = ask.at_ms / plan.arrivals.times
             if at < plan.length_s * 1000.0:
-                yield Ask(at, ask.task_class, ask.owner % plan.owners, ask.service, ask.cores, ask.memory, ask.left_ms,
-                          ask.aim_ms, ask.life_ms)  # fmt: skip
+                yield TaskArrival(
+                    at, ask.task_class, ask.owner % plan.owners, ask.service, ask.cores, ask.memory, ask.left_ms,
+                    ask.aim_ms, ask.life_ms,
+                )  # fmt: skip
         return
     when, what = Rng(f"moments {plan.seed}"), Rng(f"asks {plan.seed}")
     classes = list(accumulate(cls.share for cls in plan.classes))
     owners = list(accumulate((n + 1) ** -plan.owner_skew for n in range(plan.owners)))
-    for at in moments(plan.arrivals, plan.length_s * 1000.0, when):
+    for at in arrival_times(plan.arrivals, plan.length_s * 1000.0, when):
         cls = what.choices(plan.classes, cum_weights=classes)[0]
         owner = what.choices(range(plan.owners), cum_weights=owners)[0]
         service = f"service-{what.randrange(plan.services)}"
-        yield Ask(at, cls.name, owner, service, cls.cores, cls.memory, cls.left_ms, cls.aim_ms, cls.life_ms)
+        yield TaskArrival(at, cls.name, owner, service, cls.cores, cls.memory, cls.left_ms, cls.aim_ms, cls.life_ms)
--- a/sprucepost/load/recorded.py
+++ b/sprucepost/load/recorded.py
@@ -4,14 +4,14 @@
 
 from pathlib import Path
 
-from sprucepost.load.arrivals import Ask
+from sprucepost.load.arrivals import TaskArrival
 from sprucepost.rules import trace as t
 from sprucepost.rules.record import CAPTURE, CLUSTER, RecordError
 from sprucepost.settings import Cluster, read
 from sprucepost.wire.capture import read_capture
 
 
-def recorded(folder: Path) -> list[Ask]:
+def read_recorded_arrivals(folder: Path) -> list[TaskArrival]:
     """Every first ask in the record, from the first one on. RecordError or SettingsError where there is none.
 
     What owners asked again is left out: whether to ask again is for the owners of the replay. Owners are numbered in the
@@ -25,7 +25,7 @@
         raise RecordError(f"{folder}: {error.strerror}: {CAPTURE}") from None
     except ValueError as error:
         raise RecordError(f"{folder}: {error}") from None
-    found: list[Ask] = []
+    found: list[TaskArrival] = []
     owners: dict[bytes, int] = {}
     seen: set[str] = set()
     began: float | None = None
@@ -37,8 +37,10 @@
         task, owner = event.wants, owners.setdefault(event.session, len(owners))
         aim = aims.get(task.task_class, event.left_ms)
         found.append(
-            Ask(event.at - began, task.task_class, owner, task.service, task.cores, task.memory, event.left_ms, aim,
-                task.life_ms)
+            TaskArrival(
+                event.at - began, task.task_class, owner, task.service, task.cores, task.memory, event.left_ms, aim,
+                task.life_ms,
+            )
         )  # fmt: skip
     if not found:
         raise RecordError(f"{folder}: no asks in it")
--- a/sprucepost/load/report.py
+++ b/sprucepost/load/report.py
@@ -9,7 +9,7 @@
 from sprucepost.plotting import COLOURS, html_page, html_table, pyplot, svg
 
 
-def rows(figures: dict[str, Any]) -> dict[str, float]:
+def flat_figures(figures: dict[str, Any]) -> dict[str, float]:
     """The figures without their series, flat: ``placed_ms p99`` and so on."""
     flat: dict[str, float] = {}
 
@@ -24,9 +24,9 @@
     return flat
 
 
-def compared(one: dict[str, Any], other: dict[str, Any]) -> list[list[str]]:
+def comparison_rows(one: dict[str, Any], other: dict[str, Any]) -> list[list[str]]:
     """Figure, the first's, the second's, and second over first."""
-    first, second = rows(one), rows(other)
+    first, second = flat_figures(one), flat_figures(other)
     lines = []
     for name in dict.fromkeys([*first, *second]):
         was, now = first.get(name, 0.0), second.get(name, 0.0)
@@ -55,15 +55,15 @@
     return svg(figure)
 
 
-def page(title: str, sides: dict[str, dict[str, Any]], plans: dict[str, Any]) -> str:
+def render_page(title: str, sides: dict[str, dict[str, Any]], plans: dict[str, Any]) -> str:
     """The HTML of one or two runs, by name. NoCharts where matplotlib is missing."""
     names = list(sides)
     if len(names) == 1:
         table = html_table(
-            ["figure", names[0]], [[name, f"{value:g}"] for name, value in rows(sides[names[0]]).items()]
+            ["figure", names[0]], [[name, f"{value:g}"] for name, value in flat_figures(sides[names[0]]).items()]
         )
     else:
-        table = html_table(["figure", *names, "ratio"], compared(sides[names[0]], sides[names[1]]))
+        table = html_table(["figure", *names, "ratio"], comparison_rows(sides[names[0]], sides[names[1]]))
     plan = "".join(
         f"<h3>{html.escape(name)}</h3><pre>{html.escape(json.dumps(value, indent=1))}</pre>"
         for name, value in plans.items()
--- a/sprucepost/load/run.py
+++ b/sprucepost/load/run.py
@@ -13,7 +13,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from sprucepost.load.arrivals import Ask
+from sprucepost.load.arrivals import TaskArrival
 from sprucepost.load.plan import Plan
 from sprucepost.loop import Address, Co, Loop, Scope, sleep
 from sprucepost.standin.owner_link import HELD, OwnerLink
@@ -50,7 +50,7 @@
 
 
 @dataclass
-class Result:
+class LoadResult:
     """What came back. ``good``: placed within the aim; ``worth_good`` the same, each counted with its class's worth."""
 
     due: int = 0
@@ -93,18 +93,18 @@
 
 @dataclass(slots=True)
 class _Out:
-    ask: Ask
+    ask: TaskArrival
     due: float
 
 
-class Run:
+class LoadRun:
     """One plan against some placers."""
 
     def __init__(self, loop: Loop, scope: Scope, addresses: list[Address], plan: Plan, prefix: str = "load") -> None:
         self.loop, self.plan = loop, plan
         # Two generators that named their tasks alike would ask for the same ones, and the second gets the first's answer.
         self._prefix = f"{prefix}-{loop.token(6).hex()}"
-        self.result = Result()
+        self.result = LoadResult()
         self._out: dict[str, _Out] = {}
         self._links = [
             [OwnerLink(loop, scope, address, f"owner-{n}", self._frame, lambda resumed: None) for address in addresses]
@@ -142,7 +142,7 @@
             bucket.refused += 1
             result.held += answer.refused.why == HELD
 
-    def _ask(self, number: int, ask: Ask, due: float) -> None:
+    def _ask(self, number: int, ask: TaskArrival, due: float) -> None:
         result, name = self.result, f"{self._prefix}-{number}"
         task = common_pb2.Task(
             task_class=ask.task_class, service=ask.service, cores=ask.cores, memory=ask.memory, life_ms=ask.life_ms
@@ -168,7 +168,7 @@
                 return link
         return links[number % len(links)]
 
-    def play(self, asks: Iterable[Ask]) -> Co[Result]:
+    def execute(self, asks: Iterable[TaskArrival]) -> Co[LoadResult]:
         """Ask all; returns once every ask is answered or its time is over. ConnectionError where no placer answers."""
         until = self.loop.now() + COMING_UP_MS
         while not all(link.up for links in self._links for link in links):
--- a/tests/load/test_arrivals.py
+++ b/tests/load/test_arrivals.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sprucepost.load.arrivals import Ask, asks, moments
+from sprucepost.load.arrivals import TaskArrival, arrival_times, task_arrivals
 from sprucepost.load.plan import Bursts, Class, Plan, Poisson, Ramp, Replay, Steady, Surge
 from sprucepost.settings import SettingsError
 from sprucepost.settings.reading import decode
@@ -33,8 +33,8 @@
     shape: Steady | Poisson | Bursts | Ramp, seed: int, owners: int, skew: float
 ) -> None:
     plan = Plan(shape, CLASSES, 3.0, seed, owners, skew, 4)
-    found = list(asks(plan))
-    assert found == list(asks(plan))
+    found = list(task_arrivals(plan))
+    assert found == list(task_arrivals(plan))
     assert all(a.at_ms <= b.at_ms for a, b in pairwise(found))
     most = 3000.0 + (shape.jitter_ms if isinstance(shape, Bursts) else 0.0)
     assert all(0 <= ask.at_ms <= most and 0 <= ask.owner < owners for ask in found)
@@ -44,19 +44,19 @@
     def within(found: list[float], low: float, high: float) -> int:
         return sum(low <= at < high for at in found)
 
-    surge = list(moments(Poisson(100.0, [Surge(10.0, 15.0, 4.0)]), 20_000.0, random.Random(1)))
+    surge = list(arrival_times(Poisson(100.0, [Surge(10.0, 15.0, 4.0)]), 20_000.0, random.Random(1)))
     assert 850 < within(surge, 0, 10_000) < 1150 and 1800 < within(surge, 10_000, 15_000) < 2200
     assert 400 < within(surge, 15_000, 20_000) < 600
-    ramp = list(moments(Ramp(10.0, 400.0), 20_000.0, random.Random(1)))
+    ramp = list(arrival_times(Ramp(10.0, 400.0), 20_000.0, random.Random(1)))
     assert within(ramp, 0, 2000) < 120 and within(ramp, 18_000, 20_000) > 650
-    steady = list(moments(Steady(50.0), 2000.0, random.Random(1)))
+    steady = list(arrival_times(Steady(50.0), 2000.0, random.Random(1)))
     assert len(steady) == 100 and steady[1] == 20.0
-    bursts = Counter(moments(Bursts(30, 500.0), 2000.0, random.Random(1)))
+    bursts = Counter(arrival_times(Bursts(30, 500.0), 2000.0, random.Random(1)))
     assert bursts == {0.0: 30, 500.0: 30, 1000.0: 30, 1500.0: 30}
 
 
 def test_classes_and_owners_have_their_shares() -> None:
-    found = list(asks(Plan(Steady(1000.0), CLASSES, 10.0, 1, 4, 1.0)))
+    found = list(task_arrivals(Plan(Steady(1000.0), CLASSES, 10.0, 1, 4, 1.0)))
     classes, owners = Counter(ask.task_class for ask in found), Counter(ask.owner for ask in found)
     assert 7200 < classes["web"] < 7800
     assert 4500 < owners[0] < 5100 and 2200 < owners[1] < 2600 and 1000 < owners[3] < 1400
@@ -65,13 +65,13 @@
 def test_another_seed_asks_otherwise_and_owners_do_not_move_the_moments() -> None:
     base = Plan(Poisson(100.0), CLASSES, 2.0, 1, 4)
     other, owners = Plan(Poisson(100.0), CLASSES, 2.0, 2, 4), Plan(Poisson(100.0), CLASSES, 2.0, 1, 40)
-    assert [a.at_ms for a in asks(base)] != [a.at_ms for a in asks(other)]
-    assert [a.at_ms for a in asks(base)] == [a.at_ms for a in asks(owners)]
+    assert [a.at_ms for a in task_arrivals(base)] != [a.at_ms for a in task_arrivals(other)]
+    assert [a.at_ms for a in task_arrivals(base)] == [a.at_ms for a in task_arrivals(owners)]
 
 
 def test_a_replay_keeps_the_days_asks_and_hurries_as_told() -> None:
-    day = [Ask(n * 100.0, "web", n, "s", 1.0, 1.0, 900.0, 400.0, 50.0) for n in range(30)]
-    found = list(asks(Plan(Replay("x", 2.0), length_s=1.0, owners=4), day))
+    day = [TaskArrival(n * 100.0, "web", n, "s", 1.0, 1.0, 900.0, 400.0, 50.0) for n in range(30)]
+    found = list(task_arrivals(Plan(Replay("x", 2.0), length_s=1.0, owners=4), day))
     assert [ask.at_ms for ask in found] == [n * 50.0 for n in range(20)]
     assert {ask.owner for ask in found} == {0, 1, 2, 3} and found[3].left_ms == 900.0
 
@@ -98,7 +98,7 @@
 
 
 def test_a_record_without_asks_is_refused(tmp_path: Path) -> None:
-    from sprucepost.load.recorded import recorded
+    from sprucepost.load.recorded import read_recorded_arrivals
 
     with pytest.raises(SettingsError):
-        recorded(tmp_path)
+        read_recorded_arrivals(tmp_path)
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -11,8 +11,8 @@
 import msgspec
 import pytest
 
-from sprucepost.load.recorded import recorded
-from sprucepost.load.report import page, rows
+from sprucepost.load.recorded import read_recorded_arrivals
+from sprucepost.load.report import flat_figures, render_page
 from sprucepost.loop import sleep
 from sprucepost.rules.record import CAPTURE, CLUSTER
 from sprucepost.wire.capture import MAGIC
@@ -83,7 +83,7 @@
     assert capture.startswith(MAGIC)
     (tmp_path / CAPTURE).write_bytes(capture)
     (tmp_path / CLUSTER).write_text(json.dumps(msgspec.to_builtins(cluster())))
-    found = recorded(tmp_path)
+    found = read_recorded_arrivals(tmp_path)
     assert [ask.life_ms for ask in found] == [20.0 + n for n in range(6)] and {ask.owner for ask in found} == {0, 1}
     assert found[0].at_ms == 0.0 and found[0].left_ms == pytest.approx(900.0, abs=1.0)
 
@@ -110,5 +110,5 @@
         "bucket_ms": 250.0,
         "buckets": [[3, 2, 2, 1, 80.0], [0, 0, 0, 0, 0]],
     }
-    assert page("t", {"a": figures}, {}) == page("t", {"a": figures}, {})
-    assert rows(figures) == {"due": 3, "classes web due": 3}
+    assert render_page("t", {"a": figures}, {}) == render_page("t", {"a": figures}, {})
+    assert flat_figures(figures) == {"due": 3, "classes web due": 3}
--- a/tests/load/test_run.py
+++ b/tests/load/test_run.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-from sprucepost.load.arrivals import Ask, asks
+from sprucepost.load.arrivals import TaskArrival, task_arrivals
 from sprucepost.load.plan import Class, Plan, Poisson
-from sprucepost.load.run import Run
+from sprucepost.load.run import LoadRun
 from sprucepost.loop import Co
 from sprucepost.standin.tap import Condition
 from tests.placer.support import World, play
@@ -25,7 +25,7 @@
         placer = world.placer()
         yield from world.ready(placer, 1)
         what = plan(200.0, 1.0, 2)
-        found = yield from Run(world.loop, world.scope, [placer.grpc_address], what).play(asks(what))
+        found = yield from LoadRun(world.loop, world.scope, [placer.grpc_address], what).execute(task_arrivals(what))
         return found.figures(1.0)
 
     figures = play(body)
@@ -42,15 +42,15 @@
     def body(world: World) -> Co[Any]:
         placer = world.placer()
         front = world.tap.add("placer-0", placer.grpc_address)
-        run = Run(world.loop, world.scope, [front], plan(1.0, 1.0, 1, owners=1))
-        ask = Ask(0.0, "web", 0, "s", 0.01, 0.01, 700.0, 500.0, 10.0)
+        run = LoadRun(world.loop, world.scope, [front], plan(1.0, 1.0, 1, owners=1))
+        ask = TaskArrival(0.0, "web", 0, "s", 0.01, 0.01, 700.0, 500.0, 10.0)
 
-        def asked_in_silence() -> Iterator[Ask]:
+        def asked_in_silence() -> Iterator[TaskArrival]:
             # Taken once every link is up, and before the first ask leaves: no moment between that a busy machine misses.
             world.tap.set("silence", Condition(target="placer-0", hold=True))
             yield from [ask] * 3
 
-        return (yield from run.play(asked_in_silence())).figures(1.0)
+        return (yield from run.execute(asked_in_silence())).figures(1.0)
 
     figures = play(body)
     assert figures["unanswered"] == 3 and figures["answered_ms"]["p50"] >= 699
@@ -63,7 +63,7 @@
         yield from world.ready(placer, 1)
         front = world.tap.add("placer-0", placer.grpc_address)
         what = plan(100.0, 1.5, 3, owners=1)
-        job = world.scope.spawn(Run(world.loop, world.scope, [front], what).play(asks(what)), "load")
+        job = world.scope.spawn(LoadRun(world.loop, world.scope, [front], what).execute(task_arrivals(what)), "load")
         yield from wait_for(lambda: placer.engine.ledger.outcomes)
         world.tap.set("stall", Condition(target="placer-0", hold=True))
         world.loop.call_later(500.0, lambda: world.tap.set("stall", None))
