--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -26,7 +26,7 @@
 from sprucepost.rules import record
 from sprucepost.rules.checker import RunHistory
 from sprucepost.rules.cold_kept import ColdKept
-from sprucepost.rules.trace import trace
+from sprucepost.rules.trace import read_events
 from sprucepost.settings.cluster import Kind
 from sprucepost.standin.orders import order
 from sprucepost.wire.capture import read_capture
@@ -209,14 +209,14 @@
         results = record.check(self.folder)
         cold = ColdKept(self.cluster, RunHistory())
         records = read_capture((self.folder / record.CAPTURE).read_bytes())
-        for event in trace(records):
-            cold.take(event)
+        for event in read_events(records):
+            cold.observe(event)
         outcomes: dict[str, int] = {}
         for cls in owners["classes"].values():
             for name, count in cls["outcomes"].items():
                 outcomes[name] = outcomes.get(name, 0) + count
         self.result |= {
-            "worst_cold_window": cold.most,
+            "worst_cold_window": cold.max_offers,
             "cold_offers": cold.result.checked,
             "fallen": sorted(name for name, m in machines.items() if m["fallen"]),
             "outcomes": dict(sorted(outcomes.items())),
--- a/sprucepost/cli/badday.py
+++ b/sprucepost/cli/badday.py
@@ -21,7 +21,7 @@
 from sprucepost.loop import Co, Scope, Task, in_scope, sleep
 from sprucepost.loop.epoll import EpollLoop
 from sprucepost.rules import record
-from sprucepost.rules.views import LAST_MS, SETTLED_MS
+from sprucepost.rules.views import FINAL_WINDOW_MS, SETTLE_LIMIT_MS
 from sprucepost.standin.faults import FaultInjector
 from sprucepost.standin.scenario import Scenario
 from sprucepost.view.view import MAX_REPORT_DELAY_MS
@@ -114,10 +114,10 @@
     def _settled(self, fleet: Fleet) -> Co[None]:
         """Until all placers show one view, for as long as is promised at the most; then some beats more for the record."""
         since = self.loop.now()
-        while len(set(fleet.views())) > 1 and self.loop.now() - since < SETTLED_MS:
+        while len(set(fleet.views())) > 1 and self.loop.now() - since < SETTLE_LIMIT_MS:
             yield from sleep(250.0)
         self.note("peers_settled", {"after_ms": round(self.loop.now() - since)})
-        yield from sleep(MAX_REPORT_DELAY_MS + LAST_MS)
+        yield from sleep(MAX_REPORT_DELAY_MS + FINAL_WINDOW_MS)
 
     def _progress(self) -> None:
         if not self.quiet and sys.stderr.isatty():
--- a/sprucepost/load/recorded.py
+++ b/sprucepost/load/recorded.py
@@ -20,7 +20,7 @@
     cluster = read(folder / CLUSTER, Cluster)
     aims = {cls.name: cls.aim_ms for cls in cluster.classes}
     try:
-        events = list(t.trace(iter(list(read_capture((folder / CAPTURE).read_bytes())))))
+        events = list(t.read_events(iter(list(read_capture((folder / CAPTURE).read_bytes())))))
     except OSError as error:
         raise RecordError(f"{folder}: {error.strerror}: {CAPTURE}") from None
     except ValueError as error:
@@ -30,11 +30,11 @@
     seen: set[str] = set()
     began: float | None = None
     for event in events:
-        if not isinstance(event, t.TaskSubmitted) or event.wants is None or event.is_repeat or event.task in seen:
+        if not isinstance(event, t.TaskSubmitted) or event.task_spec is None or event.is_repeat or event.task in seen:
             continue
         seen.add(event.task)
         began = event.at if began is None else began
-        task, owner = event.wants, owners.setdefault(event.session, len(owners))
+        task, owner = event.task_spec, owners.setdefault(event.session, len(owners))
         aim = aims.get(task.task_class, event.left_ms)
         found.append(
             TaskArrival(
--- a/sprucepost/rules/checker.py
+++ b/sprucepost/rules/checker.py
@@ -56,7 +56,7 @@
         """Whether the run killed that placer about then."""
         return any(since - SLACK_MS <= at <= until + SLACK_MS for at in self.killed.get(placer, []))
 
-    def due_when_awake(self, placer: str, due: float) -> float:
+    def due_after_pauses(self, placer: str, due: float) -> float:
         """A moment by which the placer could act on what was due: after a pause that covers it."""
         for since, until in self.stalled.get(placer, []):
             if since <= due <= until + SLACK_MS:
@@ -93,7 +93,7 @@
 
 
 class Checker:
-    """``take`` each event, then ``finish``."""
+    """``observe`` each event, then ``finish``."""
 
     rule = ""
 
@@ -102,7 +102,7 @@
         self.classes: dict[str, TaskClass] = {cls.name: cls for cls in cluster.classes}
         self.result = RuleResult(self.rule)
 
-    def take(self, event: t.Event) -> None:
+    def observe(self, event: t.Event) -> None:
         """Take the next event of the run."""
         raise NotImplementedError
 
--- a/sprucepost/rules/checks.py
+++ b/sprucepost/rules/checks.py
@@ -21,7 +21,7 @@
     checkers = [kind(cluster, history) for kind in CHECKERS]
     for event in events:
         for checker in checkers:
-            checker.take(event)
+            checker.observe(event)
     for checker in checkers:
         checker.finish()
     return [checker.result for checker in checkers]
--- a/sprucepost/rules/cold_kept.py
+++ b/sprucepost/rules/cold_kept.py
@@ -18,9 +18,9 @@
         super().__init__(cluster, history)
         self._started: dict[tuple[str, str], float] = {}
         self._recent: dict[str, deque[tuple[float, float]]] = {}  # when, and how much earlier it may have been
-        self.most = 0
+        self.max_offers = 0
 
-    def take(self, event: t.Event) -> None:
+    def observe(self, event: t.Event) -> None:
         if isinstance(event, (t.MachineListed, t.MachineAttached)):
             if self.history.was_read(event.placer, event.at, event.connection_ended_at):
                 self._record_start(event.placer, event.machine, event.started_ms)
@@ -36,7 +36,7 @@
         recent.append((event.at, event.late_ms))
         while recent[0][0] <= event.at - self.cluster.fall_ms:
             recent.popleft()
-        self.most = max(self.most, len(recent))
+        self.max_offers = max(self.max_offers, len(recent))
         if len(recent) > self.cluster.cold_bears:
             text = f"{event.machine} is cold and gets {len(recent)} offers in {self.cluster.fall_ms:g} ms"
             surely = [at for at, late in recent if at - late > event.at - self.cluster.fall_ms]
--- a/sprucepost/rules/drains_kept.py
+++ b/sprucepost/rules/drains_kept.py
@@ -17,7 +17,7 @@
         self._since: dict[tuple[str, str], float] = {}  # word that the placer has read
         self._maybe_since: dict[tuple[str, str], float] = {}  # word that it may have read
 
-    def take(self, event: t.Event) -> None:
+    def observe(self, event: t.Event) -> None:
         if isinstance(event, t.MachineListed):
             key = (event.placer, event.machine)
             if event.state == 1:
@@ -42,7 +42,7 @@
             self.add_late(event.placer, since, event.at, event.late_ms, due, self._text(event, since))
 
     def _due(self, placer: str, since: float) -> float:
-        return self.history.due_when_awake(placer, since + self.cluster.drain_grace_ms) + SLACK_MS / 5
+        return self.history.due_after_pauses(placer, since + self.cluster.drain_grace_ms) + SLACK_MS / 5
 
     def _text(self, event: t.OfferSent, since: float) -> str:
         after = f"{event.at - since:.0f} ms after word that it drains or is gone"
--- a/sprucepost/rules/no_effect_twice.py
+++ b/sprucepost/rules/no_effect_twice.py
@@ -33,7 +33,7 @@
         self._open: dict[tuple[str, int, str], int] = {}  # by placer, incarnation and task: asks without an outcome
         self._before: dict[tuple[str, int, str], set[tuple[int, int, int]]] = {}  # requests of asks that are answered
 
-    def take(self, event: t.Event) -> None:
+    def observe(self, event: t.Event) -> None:
         match event:
             case t.OfferSent(is_repeat=False):
                 self.result.checked += 1
@@ -64,9 +64,9 @@
 
     def _handle_attached(self, event: t.MachineAttached) -> None:
         before = self._incarnations.get((event.placer, event.machine))
-        if before is not None and before != event.life:
+        if before is not None and before != event.machine_incarnation:
             self._machine_gone(event.placer, event.machine, event.at)
-        self._incarnations[event.placer, event.machine] = event.life
+        self._incarnations[event.placer, event.machine] = event.machine_incarnation
 
     def _handle_outcome(self, event: t.OutcomeSent) -> None:
         if event.kind == "refused":
--- a/sprucepost/rules/no_task_lost.py
+++ b/sprucepost/rules/no_task_lost.py
@@ -32,7 +32,7 @@
         self._began: dict[tuple[str, bytes], float] = {}  # when each session first had a stream
         self._cancelled: set[tuple[str, bytes, str]] = set()
 
-    def take(self, event: t.Event) -> None:
+    def observe(self, event: t.Event) -> None:
         match event:
             case t.TaskSubmitted():
                 self._handle_submission(event)
@@ -109,7 +109,7 @@
 
     def _due(self, placer: str, session: bytes, submission: _Submission) -> float:
         """When the outcome is due: later where the client's own stream was down, or the placer was stopped."""
-        due = self.history.due_when_awake(placer, submission.due)
+        due = self.history.due_after_pauses(placer, submission.due)
         for since, until in self._gaps.get((placer, session), []):
             if since <= due and until >= submission.at:
                 due = max(due, until + SLACK_MS)
--- a/sprucepost/rules/record.py
+++ b/sprucepost/rules/record.py
@@ -12,8 +12,8 @@
 
 from sprucepost.rules.checker import RuleResult, RunHistory
 from sprucepost.rules.checks import check_rules
-from sprucepost.rules.streams import messages
-from sprucepost.rules.trace import traced
+from sprucepost.rules.streams import read_messages
+from sprucepost.rules.trace import events_from_messages
 from sprucepost.rules.views import check_views
 from sprucepost.settings import Cluster, read
 from sprucepost.wire.capture import read_capture
@@ -26,7 +26,7 @@
     """The folder holds no record that can be checked."""
 
 
-def history_of(events: list[dict[str, Any]]) -> RunHistory:
+def build_run_history(events: list[dict[str, Any]]) -> RunHistory:
     """What the run did to placers."""
     history = RunHistory()
     stopped: dict[str, float] = {}
@@ -60,9 +60,9 @@
         records = list(read_capture(capture))
     except ValueError as error:
         raise RecordError(f"{folder}: {error}") from None
-    found = list(messages(iter(records)))
-    history = history_of(events)
-    results = check_rules(traced(found), read(folder / CLUSTER, Cluster), history)
+    found = list(read_messages(iter(records)))
+    history = build_run_history(events)
+    results = check_rules(events_from_messages(found), read(folder / CLUSTER, Cluster), history)
     if any(event["what"] == "peers_quiet" for event in events):
         results += check_views(found, events, _view_lines(folder), history)
     return results
--- a/sprucepost/rules/spread_kept.py
+++ b/sprucepost/rules/spread_kept.py
@@ -21,7 +21,7 @@
         self._names: dict[t.Key, str] = {}
         self._open: dict[tuple[int, str], list[t.Key]] = {}  # by incarnation and task: attempts without an outcome yet
 
-    def take(self, event: t.Event) -> None:
+    def observe(self, event: t.Event) -> None:
         match event:
             case t.MachineAttached():
                 self._handle_attached(event)
@@ -47,8 +47,9 @@
 
     def _handle_attached(self, event: t.MachineAttached) -> None:
         before = self._incarnations.get((event.placer, event.machine))
-        self._incarnations[event.placer, event.machine] = event.life
-        if before not in (None, event.life):  # all that it held is lost, and its placer knows before any list tells
+        self._incarnations[event.placer, event.machine] = event.machine_incarnation
+        # All that it held is lost, and its placer knows before any list tells.
+        if before not in (None, event.machine_incarnation):
             for number, incarnation in self._held:
                 if incarnation == event.incarnation:
                     self._drop(self._held[number, incarnation], event.machine)
--- a/sprucepost/rules/streams.py
+++ b/sprucepost/rules/streams.py
@@ -108,7 +108,7 @@
     paths: dict[int, str]
 
 
-def messages(records: Iterator[CaptureRecord]) -> Iterator[Message | Closed]:
+def read_messages(records: Iterator[CaptureRecord]) -> Iterator[Message | Closed]:
     """Every message and every connection's end, in the capture's order."""
     import json
 
--- a/sprucepost/rules/trace.py
+++ b/sprucepost/rules/trace.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from sprucepost.rules.streams import Closed, Message, messages
+from sprucepost.rules.streams import Closed, Message, read_messages
 from sprucepost.v1 import common_pb2, fleet_pb2, machine_pb2, placer_pb2
 from sprucepost.wire.capture import CaptureRecord
 
@@ -39,7 +39,7 @@
     hand_over: bool
     incarnation: int = 0
     is_repeat: bool = False
-    wants: common_pb2.Task | None = None  # of a submission
+    task_spec: common_pb2.Task | None = None  # of a submission
 
 
 @dataclass(frozen=True)
@@ -129,7 +129,7 @@
     at: float
     placer: str
     machine: str
-    life: int
+    machine_incarnation: int
     incarnation: int
     started_ms: float = 0.0
     connection_ended_at: float = math.inf
@@ -200,7 +200,7 @@
         self._offers: set[Key] = set()
         self._known: dict[str, set[str]] = {}  # by placer: machines that the list has named
 
-    def take(self, message: Message | Closed) -> Iterator[Event]:
+    def events_of(self, message: Message | Closed) -> Iterator[Event]:
         if isinstance(message, Closed):
             for key in [key for key in self._owner if key[0] == message.connection]:
                 stream = self._owner.pop(key)
@@ -297,13 +297,13 @@
             yield MachineListed(at, placer, entry.name, entry.state, entry.zone, entry.cell, entry.started_ms, until)
 
 
-def trace(records: Iterator[CaptureRecord]) -> Iterator[Event]:
+def read_events(records: Iterator[CaptureRecord]) -> Iterator[Event]:
     """The events of a capture, in order."""
-    return traced(list(messages(records)))
+    return events_from_messages(list(read_messages(records)))
 
 
-def traced(found: Sequence[Message | Closed]) -> Iterator[Event]:
+def events_from_messages(found: Sequence[Message | Closed]) -> Iterator[Event]:
     """The events of a capture that has been taken apart."""
     tracer = Tracer({message.connection: message.at for message in found if isinstance(message, Closed)})
     for message in found:
-        yield from tracer.take(message)
+        yield from tracer.events_of(message)
--- a/sprucepost/rules/views.py
+++ b/sprucepost/rules/views.py
@@ -11,8 +11,8 @@
                                                                    other, or one is shown by the other's
 =================  ==============================================  =====================================================
 
-While the links of placers are spoilt, while one of them stands still and for ``QUIET_MS`` after that, nothing is said of who
-is away. What the machine gave no processor to is undecided.
+While the links of placers are spoilt, while one of them stands still and for ``RECOVERY_MS`` after that, nothing is said of
+who is away. What the machine gave no processor to is undecided.
 """
 
 from __future__ import annotations
@@ -25,37 +25,37 @@
 from sprucepost.rules.streams import Closed, Message
 from sprucepost.v1 import peer_pb2 as pb
 
-PEER = "/sprucepost.v1.Peer/Watch"
-SETTLED_MS = 15_000.0  # promised, after the last fault
-KNOWN_MS = 3000.0  # promised, for a process that ended
-SLACK_MS = 2000.0  # a line is written a step after the change, by a process that shares its core
-QUIET_MS = 8000.0  # after a fault between placers: until they have found each other again
-LAST_MS = 4500.0  # of the record, in which each placer beats twice at the least (view.IDLE_MS)
-STARVED_MS = 400.0
-LINKS = frozenset(
+PEER_WATCH = "/sprucepost.v1.Peer/Watch"
+SETTLE_LIMIT_MS = 15_000.0  # promised, after the last fault
+DETECTION_LIMIT_MS = 3000.0  # promised, for a process that ended
+REPORT_SLACK_MS = 2000.0  # a line is written a step after the change, by a process that shares its core
+RECOVERY_MS = 8000.0  # after a fault between placers: until they have found each other again
+FINAL_WINDOW_MS = 4500.0  # of the record, in which each placer beats twice at the least (view.IDLE_MS)
+MAX_STARVED_MS = 400.0
+LINK_FAULTS = frozenset(
     ("peer_cut", "peer_flap", "peer_slow", "peer_reset", "zone_cut", "reset", "descriptors", "balancer_stall", "resize")
 )
-LIVES = frozenset(("placer_kill", "placer_stop", "placer_crowd", "resize"))
+PROCESS_FAULTS = frozenset(("placer_kill", "placer_stop", "placer_crowd", "resize"))
 
 
 @dataclass
 class ProcessHistory:
     """What the run did, as spans of time: when each placer ran, and when links or lives were troubled."""
 
-    up: dict[str, list[list[float]]] = field(default_factory=dict)  # by placer: from, until
-    links: list[tuple[float, float]] = field(default_factory=list)
-    lives: list[tuple[float, float]] = field(default_factory=list)
+    running_spans: dict[str, list[list[float]]] = field(default_factory=dict)  # by placer: from, until
+    link_faults: list[tuple[float, float]] = field(default_factory=list)
+    process_faults: list[tuple[float, float]] = field(default_factory=list)
     killed: list[tuple[float, str]] = field(default_factory=list)
-    stepped: bool = False  # some placer's own times are not the run's
+    clock_stepped: bool = False  # some placer's own times are not the run's
     quiet_at: float = float("inf")
     ended_at: float = float("inf")
 
     def ran(self, placer: str, since: float, until: float) -> bool:
         """Whether it ran for all of that time."""
-        return any(start <= since and until <= end for start, end in self.up.get(placer, []))
+        return any(start <= since and until <= end for start, end in self.running_spans.get(placer, []))
 
     def running(self) -> set[str]:
-        return {placer for placer, spans in self.up.items() if spans and spans[-1][1] == float("inf")}
+        return {placer for placer, spans in self.running_spans.items() if spans and spans[-1][1] == float("inf")}
 
 
 def process_history(events: Iterable[dict[str, Any]]) -> ProcessHistory:
@@ -64,22 +64,22 @@
     for event in events:
         what, at, placer = event["what"], float(event["at"]), str(event.get("placer", ""))
         if what == "started":
-            found.up.update({f"placer-{n}": [[at, float("inf")]] for n in range(event["placers"])})
+            found.running_spans.update({f"placer-{n}": [[at, float("inf")]] for n in range(event["placers"])})
         elif what in ("placer_killed", "placer_asked_to_stop"):
-            spans = found.up.setdefault(placer, [])
+            spans = found.running_spans.setdefault(placer, [])
             if spans and spans[-1][1] == float("inf"):
                 spans[-1][1] = at
                 if what == "placer_killed":
                     found.killed.append((at, placer))
         elif what == "placer_started":
-            found.up.setdefault(placer, []).append([at, float("inf")])
+            found.running_spans.setdefault(placer, []).append([at, float("inf")])
         elif what == "fault":
-            found.stepped |= event["kind"] == "clock_step"
+            found.clock_stepped |= event["kind"] == "clock_step"
             open_faults.setdefault(event["kind"], []).append(at)
         elif what == "fault_over" and open_faults.get(event["kind"]):
             span = open_faults[event["kind"]].pop(0), at
-            found.links += [span] * (event["kind"] in LINKS)
-            found.lives += [span] * (event["kind"] in LIVES)
+            found.link_faults += [span] * (event["kind"] in LINK_FAULTS)
+            found.process_faults += [span] * (event["kind"] in PROCESS_FAULTS)
         elif what == "peers_quiet":
             found.quiet_at = at
         elif what == "ended":
@@ -100,7 +100,7 @@
 
 def _frames(found: Iterable[Message | Closed]) -> Iterable[tuple[Message, str, pb.PeerFrame]]:
     for message in found:
-        if isinstance(message, Message) and message.path == PEER:
+        if isinstance(message, Message) and message.path == PEER_WATCH:
             by = message.client if message.from_client else message.target
             yield message, by, pb.PeerFrame.FromString(message.data)
 
@@ -112,7 +112,10 @@
     running = processes.running()
     said: dict[str, int] = {}
     for message, by, frame in _frames(found):
-        if frame.WhichOneof("word") == "beat" and processes.ended_at - LAST_MS <= message.at <= processes.ended_at:
+        if (
+            frame.WhichOneof("word") == "beat"
+            and processes.ended_at - FINAL_WINDOW_MS <= message.at <= processes.ended_at
+        ):
             said[by] = frame.beat.digest
     for placer in sorted(running):
         result.checked += 1
@@ -131,15 +134,15 @@
 
 def _is_told(processes: ProcessHistory, lines: Mapping[str, list[dict[str, Any]]], history: RunHistory) -> RuleResult:
     result = RuleResult("view is told")
-    if processes.stepped:
+    if processes.clock_stepped:
         return result
 
     def troubled(since: float, until: float, spans: list[tuple[float, float]]) -> bool:
-        return any(start < until and since - QUIET_MS < end for start, end in spans)
+        return any(start < until and since - RECOVERY_MS < end for start, end in spans)
 
     def say(at: float, text: str, placers: tuple[str, ...], since: float) -> None:
         starved = max(history.starved_ms(placer, since, at) for placer in placers)
-        if starved > STARVED_MS:
+        if starved > MAX_STARVED_MS:
             result.undecided.append(f"{at:.0f} ms: {text} (no processor for {starved:.0f} ms)")
         else:
             result.broken.append(f"{at:.0f} ms: {text}")
@@ -147,20 +150,26 @@
     for placer, view in sorted(lines.items()):
         for line in view:
             at = float(line["at_ms"])
-            if not processes.ran(placer, at - QUIET_MS, at) or troubled(at - QUIET_MS, at, processes.links):
+            if not processes.ran(placer, at - RECOVERY_MS, at) or troubled(at - RECOVERY_MS, at, processes.link_faults):
                 continue
             result.checked += 1
             for other in line["away"]:
-                if processes.ran(other, at - QUIET_MS, at):
-                    say(at, f"{placer} has {other} as away, which runs", (placer, other), at - QUIET_MS)
+                if processes.ran(other, at - RECOVERY_MS, at):
+                    say(at, f"{placer} has {other} as away, which runs", (placer, other), at - RECOVERY_MS)
     for at, gone in processes.killed:
-        until = at + KNOWN_MS + SLACK_MS
-        again = any(at < start <= until for start, _ in processes.up[gone])
-        others = [span for span in processes.lives if not span[0] <= at <= span[1]]  # beside the fault that killed it
-        if again or until > processes.ended_at or troubled(at, until, processes.links) or troubled(at, until, others):
+        until = at + DETECTION_LIMIT_MS + REPORT_SLACK_MS
+        again = any(at < start <= until for start, _ in processes.running_spans[gone])
+        # Beside the fault that killed it.
+        others = [span for span in processes.process_faults if not span[0] <= at <= span[1]]
+        if (
+            again
+            or until > processes.ended_at
+            or troubled(at, until, processes.link_faults)
+            or troubled(at, until, others)
+        ):
             continue
-        for placer in sorted(processes.up):
-            if placer != gone and processes.ran(placer, at - QUIET_MS, until):
+        for placer in sorted(processes.running_spans):
+            if placer != gone and processes.ran(placer, at - RECOVERY_MS, until):
                 result.checked += 1
                 told = [line for line in lines.get(placer, []) if at - 50.0 <= float(line["at_ms"]) <= until]
                 if not any(gone in line["away"] for line in told):
--- a/tests/placer/support.py
+++ b/tests/placer/support.py
@@ -11,7 +11,7 @@
 from sprucepost.placer.log import Logs
 from sprucepost.rules.checker import RunHistory
 from sprucepost.rules.checks import check_rules
-from sprucepost.rules.trace import trace
+from sprucepost.rules.trace import read_events
 from sprucepost.settings import Cluster, PlacerFile, PlacerOptions
 from sprucepost.settings.cluster import Kind, TaskClass
 from sprucepost.standin.listing import Listing
@@ -112,7 +112,7 @@
         """What is broken so far, by rule."""
         records = read_capture(b"".join(self.captured))
         history = history or RunHistory(ended_at=self.loop.wall())
-        return {result.rule[:1]: result.broken for result in check_rules(trace(records), self.cluster, history)}
+        return {result.rule[:1]: result.broken for result in check_rules(read_events(records), self.cluster, history)}
 
     def owner(self, address: Address, name: str = "owner") -> tuple[OwnerLink, Followed]:
         followed = Followed()
--- a/tests/rules/test_checkers.py
+++ b/tests/rules/test_checkers.py
@@ -11,7 +11,7 @@
 from sprucepost.rules import trace as t
 from sprucepost.rules.checker import RuleResult, RunHistory
 from sprucepost.rules.checks import check_rules
-from sprucepost.rules.record import history_of
+from sprucepost.rules.record import build_run_history
 from sprucepost.v1 import common_pb2
 from tests.placer.support import cluster
 
@@ -178,7 +178,7 @@
         {"what": "placer_continued", "placer": P, "at": 120.0},
         {"what": "placer_starved", "placer": P, "since": 5.0, "at": 95.0},
     ]
-    run = history_of(events)
+    run = build_run_history(events)
     assert run.stalled == {P: [(10.0, 90.0)]} and run.starved_ms(P, 0.0, 200.0) == 10.0
 
 
--- a/tests/rules/test_views.py
+++ b/tests/rules/test_views.py
@@ -10,7 +10,7 @@
 from sprucepost.peers.codec import encode
 from sprucepost.rules.checker import RuleResult, RunHistory
 from sprucepost.rules.streams import Closed, Message
-from sprucepost.rules.views import PEER, check_views
+from sprucepost.rules.views import PEER_WATCH, check_views
 from sprucepost.view.messages import Heartbeat, Hello, RecordUpdates, ViewMessage
 from tests.view.test_view import record
 
@@ -52,7 +52,7 @@
     def say(
         self, stream: int, client: str, target: str, word: ViewMessage, at: float = 500.0, from_client: bool = True
     ) -> None:
-        message = Message(at, len(self.frames), stream, client, target, PEER, 1, from_client, encode(word), 0.0)
+        message = Message(at, len(self.frames), stream, client, target, PEER_WATCH, 1, from_client, encode(word), 0.0)
         self.frames.append(message)
 
     def checked(self, run: RunHistory | None = None) -> dict[str, RuleResult]:
