--- a/tests/configuration/schedules.py
+++ b/tests/configuration/schedules.py
@@ -14,8 +14,8 @@
 from sprucepost.configuration import ChangeState, KeyEdit, Limits, Position, Proposal, Receipt, SavedState, Version
 from sprucepost.configuration.document import Value
 from sprucepost.configuration.messages import Held
-from sprucepost.play import Process, World
-from tests.configuration.member import TICK_MS, Member, Observations, Program
+from sprucepost.simulation import Process, World
+from tests.configuration.member import Member, Observations, Program, TICK_MS
 from tests.configuration.oracle import fold
 from tests.configuration.support import FILE, KNOWN
 
@@ -93,7 +93,7 @@
     ) -> None:
         """Performs an operator's request at a member, if it is running."""
         process = self.processes.get(address)
-        if process is None or not process.alive or self.world.now < process.stopped_until:
+        if process is None or not process.alive or self.world.now < process.paused_until:
             return
         receipt, actions = call(member_of(process))
         if receipt.position is not None:
@@ -115,8 +115,8 @@
 
 
 def member_of(process: Process) -> Member:
-    assert isinstance(process.machine, Member)
-    return process.machine
+    assert isinstance(process.state_machine, Member)
+    return process.state_machine
 
 
 def _draw_partition(rng: random.Random, fleet: Fleet) -> Callable[[Process, Process], bool]:
@@ -158,8 +158,8 @@
         kind = rng.choice(("cut", "cut", "cut", "reset", "pause", "crash", "crash", "late"))
         if kind == "cut":
             cut = _draw_partition(rng, self.fleet)
-            self.at(began, lambda: self.world.cuts.append(cut))
-            self.at(began + length, lambda: self.world.cuts.remove(cut))
+            self.at(began, lambda: self.world.partitions.append(cut))
+            self.at(began + length, lambda: self.world.partitions.remove(cut))
         elif kind == "reset":
             for step in range(rng.choice((1, 5))):
                 self.at(began + 700 * step, lambda: self.world.reset(0.4))
@@ -278,7 +278,7 @@
 
     def _pause(self, address: str, length_ms: float) -> None:
         if address in self.fleet.processes:
-            self.world.stop(self.fleet.processes[address], length_ms)
+            self.world.pause(self.fleet.processes[address], length_ms)
 
     def _set_lag(self, address: str, lag_ms: float) -> None:
         if address in self.fleet.processes:
@@ -289,7 +289,7 @@
     """Runs the schedule of a seed up to the time at which all replicas must have converged."""
     rng = random.Random(seed)
     world = World(seed, TICK_MS, rng.choice(((0.2, 2.0), (1.0, 60.0), (5.0, 200.0))))
-    world.repeats = rng.choice((0.0, 0.2))
+    world.duplication = rng.choice((0.0, 0.2))
     fleet = Fleet(world, rng, SMALL_LIMITS if rng.random() < 0.4 else DEFAULT_LIMITS)
     members = rng.randint(2, 8)
     limited_count = rng.choice((0, 0, 1, 2))
