--- a/tests/configuration/schedules.py
+++ b/tests/configuration/schedules.py
@@ -15,7 +15,7 @@
 from sprucepost.configuration.document import Value
 from sprucepost.configuration.messages import Held
 from sprucepost.simulation import Process, World
-from tests.configuration.member import Member, Observations, Program, TICK_MS
+from tests.configuration.member import TICK_MS, Member, Observations, Program
 from tests.configuration.oracle import fold
 from tests.configuration.support import FILE, KNOWN
 
