--- a/benchmarks/view_fleet.py
+++ b/benchmarks/view_fleet.py
@@ -52,7 +52,7 @@
     """When the last of them wrote that all of them are here; None while one has not.
 
     A placer shows a change on its pages at once, but writes of it only when nothing else has changed for a while
-    (``view.STEP_MS``). So one that shows the whole fleet may have written nothing yet, or of a part of it.
+    (``view.REPORT_DELAY_MS``). So one that shows the whole fleet may have written nothing yet, or of a part of it.
     """
     names = {f"p{number}" for number in numbers}
     times = []
--- a/sprucepost/rules/views.py
+++ b/sprucepost/rules/views.py
@@ -30,7 +30,7 @@
 KNOWN_MS = 3000.0  # promised, for a process that ended
 SLACK_MS = 2000.0  # a line is written a step after the change, by a process that shares its core
 QUIET_MS = 8000.0  # after a fault between placers: until they have found each other again
-LAST_MS = 4500.0  # of the record, in which each placer beats twice at the least (view.IDLE_MS)
+LAST_MS = 4500.0  # of the record, in which each placer beats twice at the least (view.IDLE_HEARTBEAT_MS)
 STARVED_MS = 400.0
 LINKS = frozenset(
     ("peer_cut", "peer_flap", "peer_slow", "peer_reset", "zone_cut", "reset", "descriptors", "balancer_stall", "resize")
--- a/sprucepost/view/__init__.py
+++ b/sprucepost/view/__init__.py
@@ -1,13 +1,13 @@
-"""The fleet's own view: which placers there are, and which of them can be reached, as each placer sees it.
+"""The membership view: which placers there are and which of them can be reached, as each placer sees it.
 
 ============ =====================================================================================================
-``record``   what a member says of itself, which of two records counts, and the digest of many
-``rings``    who keeps a stream to whom
-``messages`` what members say to each other, and what the state machine asks of whoever carries it
+``record``   a member's description of itself, which of two records of a member wins, and the digest of many
+``rings``    which members have streams to each other
+``messages`` messages between members, and the actions that the state machine asks of the program that runs it
 ``view``     the state machine
 ============ =====================================================================================================
 
-Nothing here knows a socket, a clock or a thread. No placement decision reads it: see docs/view.md.
+Nothing here uses a socket, a clock or a thread. No placement decision depends on it: see docs/view.md.
 """
 
 from sprucepost.view.record import Record, merge
--- a/sprucepost/view/messages.py
+++ b/sprucepost/view/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other on a stream, and what the state machine asks of whoever carries it."""
+"""Messages between members on a stream, and the actions that the state machine asks of the program that runs it."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first word on a stream, from both ends."""
+    """The first message on a stream, sent by both ends."""
 
     cluster: str
-    settings: str  # a digest of what all members must agree on
+    settings: str  # digest of the settings that all members must agree on
     record: Record
-    fixed_settings: str = ""  # a digest of that without what a running member can change; empty: the same
+    fixed_settings: str = ""  # digest of those that a running member cannot change; empty: the same as ``settings``
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sent all the time, as a sign of life: the digest of all that the sender holds."""
+    """Sent periodically to show that the sender is alive, with the digest of all records that it holds."""
 
     digest: int
 
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """The age of each record held; ``answer``: it answers one, and wants none back."""
+    """Name and age of each record that the sender holds. ``answer``: it answers another summary and needs none back."""
 
-    ages: tuple[tuple[str, int, int], ...]
+    ages: tuple[tuple[str, int, int], ...]  # name, incarnation, version
     answer: bool = False
 
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Say that on a stream."""
+    """Send a message on a stream."""
 
     stream: int
     word: ViewMessage
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dial:
-    """Open a stream there; ``name`` is empty for a seed whose name is not known yet."""
+    """Open a stream to an address; ``name`` is the member's, or the address again where only a seed's address is known."""
 
     name: str
     address: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """End a stream."""
+    """Close a stream."""
 
     stream: int
     why: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewChanged:
-    """The view has changed, in one step: names by what they have become."""
+    """The view has changed; several changes may be reported as one. All members by name, in their present state."""
 
     here: frozenset[str]
     away: frozenset[str]
--- a/sprucepost/view/view.py
+++ b/sprucepost/view/view.py
@@ -1,34 +1,37 @@
-"""The fleet as one placer sees it: time and words in, words and changes out. No I/O, no clock of its own.
+"""The membership state machine of one placer: takes time and messages, returns actions. It does no I/O and reads no clock.
 
-What is agreed on is small: each member's own :class:`Record`, which nobody else writes and of which the newest counts. All
-else is derived from them. A record says whom its member *sees*; whoever can be reached over such sightings from here is
-*here*. So nobody accuses anybody: a member is away when none of those who are here sees it, however many streams to it have
-broken, and it is back when the first of them does.
+Members agree on one thing only: each member's own :class:`Record`, which no other member writes and of which the newest
+version wins. All else is derived from the records. A record lists the members that its own member *sees*, that is, has a
+live stream to. A member is *here* if it can be reached from this one over such edges. No member reports another as
+failed: a member is away when no member that is here sees it, however many of its streams have broken, and it is here
+again as soon as one of them does.
 
 =========  ================================  =================================================  =======================
 a member   when                              what is done                                       ends
 =========  ================================  =================================================  =======================
-here       seen by one who is here           watched by its predecessor in each ring            unseen for ``LINGER_MS``
-away       seen by none who is here          remembered; one of them is dialled each            seen; forgotten
-                                             ``RETRY_MS``
-left       its own record says so            remembered, so that no rumour revives it           a newer life; forgotten
-forgotten  away or left for ``FORGET_MS``    what is heard of that life is not taken for        its own Hello
-                                             as long again
+here       seen by a member that is here     monitored by its predecessor in each ring          unseen for
+                                                                                                ``AWAY_AFTER_MS``
+away       seen by no member that is here    its record is kept; one away member is dialled     seen; forgotten
+                                             about each ``RECONNECT_INTERVAL_MS``
+left       its own record says so            its record is kept, so that an outdated record     a newer incarnation;
+                                             cannot bring it back                               forgotten
+forgotten  away or left for ``FORGET_MS``    records of that incarnation are ignored for as     its own Hello
+                                             long again
 =========  ================================  =================================================  =======================
 
 =========  ================================  =================================================  =======================
 a stream   when                              what is done                                       ends
 =========  ================================  =================================================  =======================
-open       until the peer's Hello            closed after the patience without one              Hello
-alive      heard within the patience         in ``sees``; beats, news, and summaries where      silence; its end
-                                             digests differ
-closed     silent, of another fleet, or      dialled again, later each time, while the ring
-           not wanted any more               wants it
+open       until the peer's Hello            closed if none comes within the stream time-out    Hello
+alive      heard within the stream time-out  listed in ``sees``; carries heartbeats, record     silence; closed by the
+                                             updates, and summaries where digests differ        peer
+closed     silent, of another fleet, or no   dialled again with an increasing delay, while a
+           longer needed                     ring needs it
 =========  ================================  =================================================  =======================
 
-The patience is not fixed: who finds that it stood still itself, or that most of its streams fell silent at one time, doubts
-itself first and judges slower for a while (Dadgar, Phillips, Currey: Lifeguard, 2018). Changes close in time are told as one
-step, as in Rapid (Suresh, Malkhi and others, 2018), whose rings of observers these are too.
+The stream time-out adapts. A member that finds that it was stalled itself, or that most of its streams fell silent at one
+time, suspects itself first and doubles the time-out for a while (Dadgar, Phillips, Currey: Lifeguard, 2018). Changes that
+are close in time are reported as one, as in Rapid (Suresh, Malkhi and others, 2018), which also describes the rings.
 """
 
 from __future__ import annotations
@@ -53,45 +56,50 @@
 from sprucepost.view.record import MAX_VERSION, Record, fingerprint, merge
 from sprucepost.view.rings import ring_successors
 
-TICK_MS = 100.0  # between two ticks that the carrier gives while something changes,
-IDLE_TICK_MS = 500.0  # and else
-BEAT_MS = 500.0  # between two beats on a stream while something changes,
-RESTLESS_MS = 10_000.0  # and for so long after;
-IDLE_MS = 2000.0  # then: most of what a quiet member costs is its beats
-PATIENCE_MS = 2.5 * IDLE_MS  # a stream that says nothing for so long is closed: one beat may be lost, and one late
-DOUBT_MOST = 2.0  # times the patience, at the most, while this member doubts itself
-STOOD_MS = 500.0  # between two ticks, more than there should be: this member stood still
-SYNC_MS = 1000.0  # between two summaries on a stream whose ends differ
-RETRY_MS = 1000.0  # between two dials of members that are away, or of seeds
-DIAL_MS, DIAL_MOST_MS = 200.0, 5000.0  # until a dial that failed is tried again, doubled each time
-DIALS = 8  # under way at a time
-LINGER_MS = 800.0  # unseen for so long a member is away: streams that broke are there again sooner
-FEW, LINGER_FEW_MS = 2, 1500.0  # one that had so few streams: longer than a pause of 1 s and the dial after it
-GAINED_MS = 1000.0  # between two times that a member tells whom it sees besides,
-YOUNG_MS = 10_000.0  # for so long after its start: hundreds may start at once, and each is news for all
-STEP_MS = 300.0  # a change is told when nothing else has changed for so long,
-MAX_REPORT_DELAY_MS = 1000.0  # or at the latest after that
-FORGET_MS = 600_000.0
-PART = 64  # records in one piece of news
+TICK_MS = 100.0  # interval of ticks while something changes
+IDLE_TICK_MS = 500.0  # interval of ticks otherwise
+HEARTBEAT_MS = 500.0  # interval of heartbeats on a stream while something changes,
+FREQUENT_HEARTBEATS_MS = 10_000.0  # and for so long after the last change
+IDLE_HEARTBEAT_MS = 2000.0  # interval of heartbeats otherwise; they are most of what an idle member costs
+STREAM_TIMEOUT_MS = 2.5 * IDLE_HEARTBEAT_MS  # a silent stream is closed; one heartbeat may be lost and one late
+MAX_TIMEOUT_FACTOR = 2.0  # by which the stream time-out grows while this member suspects itself
+MIN_STALL_MS = 500.0  # a tick that is late by so much means that this process was stalled
+SUMMARY_INTERVAL_MS = 1000.0  # between summaries on a stream whose ends have different digests
+RECONNECT_INTERVAL_MS = 1000.0  # mean interval of dials to members that are away, or to seeds
+DIAL_BACKOFF_MS, MAX_DIAL_BACKOFF_MS = 200.0, 5000.0  # delay after a failed dial, doubled each time up to the maximum
+MAX_CONCURRENT_DIALS = 8
+AWAY_AFTER_MS = 800.0  # a member that nobody sees is away after that; broken streams are usually back sooner
+# A member with so few streams is away later: a stall of 1 s and the dial after it fit into this time.
+FEW_STREAMS, AWAY_AFTER_WITH_FEW_STREAMS_MS = 2, 1500.0
+GAIN_PUBLISH_INTERVAL_MS = 1000.0  # between updates of the own record for new streams, during
+STARTUP_MS = 10_000.0  # after the start: hundreds of members may start at once, and each update goes to all of them
+REPORT_DELAY_MS = 300.0  # a change is reported when nothing else has changed for so long,
+MAX_REPORT_DELAY_MS = 1000.0  # or after that at the latest
+FORGET_MS = 600_000.0  # the record of a member that is away or left is kept for so long
+MAX_RECORDS_PER_UPDATE = 64
 MAX_MEMBERS = 4096
 
 
 @dataclass(slots=True)
 class Stream:
-    """One stream, opened by either end."""
+    """One stream, opened by either end. Times are in ms on the monotonic clock."""
 
     ident: int
-    dialled: str | None  # the name, or a seed's address
-    heard: float
-    name: str = ""
+    dialled: str | None  # the member's name or the seed's address that was dialled; None: opened by the peer
+    heard: float  # when the last message came
+    name: str = ""  # of the peer, empty until its Hello
     life: str = ""
-    synced: float = float("-inf")
-    differs: int = 0  # beats in a row whose digest was another than ours
+    synced: float = float("-inf")  # when the last summary was sent
+    differs: int = 0  # consecutive heartbeats with a digest other than ours
 
 
 class View:
-    """``record`` is this member's own; ``seeds`` are addresses, any of which may be dead. ``fixed_settings``: the digest of
-    ``settings`` without what running members can change; empty where they change nothing."""
+    """The members of the fleet as this member knows them.
+
+    ``record`` is this member's own. ``seeds`` are addresses to join by; any of them may be dead. ``settings`` is the digest
+    that all members must agree on; ``fixed_settings`` is the digest of the part that running members cannot change, empty
+    where they can change nothing. ``now`` is a monotonic clock's ms, here and in all methods.
+    """
 
     def __init__(
         self,
@@ -108,49 +116,50 @@
         self.records: dict[str, Record] = {record.name: record}
         self.digest = fingerprint(record)
         self.here: frozenset[str] = frozenset({record.name})
-        self.is_replaced = False  # a newer process of this name lives, for as long as others see it: this one must go
+        self.is_replaced = False  # others have seen a newer process of this name for long enough: this one must stop
         self.counters: Counter[str] = Counter()
         self.streams: dict[int, Stream] = {}
         self._actions: list[Action] = []
-        self._pending: dict[int, dict[str, None]] = {}  # by stream: names whose records are to go out
-        self._dialling: dict[str, float] = {}  # by name or address: since when
-        self._failed: dict[str, tuple[int, float]] = {}  # by name: how often in a row, and not before
-        self._away: dict[str, float] = {}  # since when
-        self._unseen: dict[str, float] = {}  # of those who are here: since when none sees them
-        self._forgotten: dict[str, tuple[tuple[int, int], float]] = {}  # age, and until when
-        self._twin: tuple[str, float] | None = None  # a newer process of this name, and since when it is seen
-        self._told: tuple[frozenset[str], frozenset[str], frozenset[str]] = (self.here, frozenset(), frozenset())
-        self._changing: tuple[float, float] | None = None  # first and latest change that has not been told
-        self._last_tick, self._beaten, self._retry = now, now, now
-        self._doubt = 1.0
-        self._wanted: list[str] = []
-        self._dirty = True
-        self._born, self._gained = now, float("-inf")  # when it started, and last told that
-        self.changed_at = now  # when something changed last, here or at a peer
-
-    # What may be asked
+        self._pending_updates: dict[int, dict[str, None]] = {}  # by stream: names whose records are to be sent
+        self._dialling: dict[str, float] = {}  # dials in progress, by name or address: start time
+        self._dial_backoff: dict[str, tuple[int, float]] = {}  # by name: consecutive failures, time of the next dial
+        self._absent_since: dict[str, float] = {}  # members that are away or left
+        self._unseen_since: dict[str, float] = {}  # members that count as here and that nobody sees
+        self._forgotten: dict[str, tuple[tuple[int, int], float]] = {}  # by name: age of its record, time of expiry
+        self._newer_process: tuple[str, float] | None = None  # a newer process of this name: its life, first seen when
+        self._reported: tuple[frozenset[str], frozenset[str], frozenset[str]] = (self.here, frozenset(), frozenset())
+        self._unreported_change: tuple[float, float] | None = None  # times of the first and the latest one
+        self._last_tick, self._last_heartbeat, self._next_reconnect = now, now, now
+        self._timeout_factor = 1.0
+        self._successors: list[str] = []  # in the rings
+        self._must_recompute = True
+        self._started_at, self._sees_published_at = now, float("-inf")
+        self.changed_at = now  # time of the last change, here or at a peer
+
+    # Queries
 
     @property
     def is_changing(self) -> bool:
-        """Whether ticks are wanted every ``TICK_MS``: something is changing, or has just changed."""
+        """Whether ticks are needed every ``TICK_MS``: something is changing, or has just changed."""
         return (
-            self._dirty
-            or bool(self._pending)
-            or self._changing is not None
-            or self._last_tick - self.changed_at < SYNC_MS
+            self._must_recompute
+            or bool(self._pending_updates)
+            or self._unreported_change is not None
+            or self._last_tick - self.changed_at < SUMMARY_INTERVAL_MS
         )
 
     @property
     def away(self) -> frozenset[str]:
-        """Members that nobody who is here sees."""
+        """Members that no member that is here sees, and that have not left."""
         return frozenset(name for name, record in self.records.items() if name not in self.here and not record.left)
 
     @property
     def left(self) -> frozenset[str]:
+        """Members whose own record says that they have left."""
         return frozenset(name for name, record in self.records.items() if record.left)
 
     def conflicts(self) -> dict[int, list[str]]:
-        """Numbers that more than one member has that is here."""
+        """Placer numbers that more than one member that is here has, with the names of these members."""
         holders: dict[int, list[str]] = {}
         for name in sorted(self.here):
             holders.setdefault(self.records[name].number, []).append(name)
@@ -158,8 +167,10 @@
 
     @property
     def has_namesake(self) -> bool:
-        """Whether another process of this name is seen by somebody who is here: alive, or dead for no longer than its
-        streams are believed."""
+        """Whether a member that is here sees another process of this name.
+
+        That process is alive, or died so recently that its streams have not timed out yet.
+        """
         mine = self.own_record.name, self.own_record.life
         return any(stream.name == mine[0] for stream in self.streams.values()) or any(
             name == mine[0] and life != mine[1] for member in self.here for name, life in self.records[member].sees
@@ -167,177 +178,187 @@
 
     @property
     def is_superseded(self) -> bool:
-        """Whether that other process counts as the newer life of this name."""
-        return self._twin is not None
+        """Whether another process of this name counts as the newer incarnation."""
+        return self._newer_process is not None
 
-    # What happens
+    # Events
 
     def update(self, **changes: object) -> None:
-        """This member's own record says something else from now on."""
+        """Change fields of this member's own record."""
         self._publish(replace(self.own_record, version=self.own_record.version + 1, **changes))  # type: ignore[arg-type]
 
     def leave(self) -> list[Action]:
-        """Go in good order: the last news says so."""
+        """Leave the fleet: the last record update says so."""
         self.update(left=True)
-        self._flush()
-        return self._out()
+        self._flush_updates()
+        return self._take_actions()
 
     def stream_opened(self, now: float, stream: int, dialled: str | None) -> list[Action]:
-        """A stream is there, dialled by this member (under that name or address) or by another."""
+        """A stream is open; ``dialled``: the name or address that this member dialled, None where the peer did."""
         if dialled is not None:
             self._dialling.pop(dialled, None)
         self.streams[stream] = Stream(stream, dialled, now)
-        self._say(stream, Hello(self._cluster, self._settings, self.own_record, self._fixed_settings))
-        return self._out()
+        self._send(stream, Hello(self._cluster, self._settings, self.own_record, self._fixed_settings))
+        return self._take_actions()
 
     def dial_failed(self, now: float, dialled: str) -> list[Action]:
-        """A dial has failed."""
+        """A dial to that name or address has failed."""
         self._dialling.pop(dialled, None)
-        self._put_off(now, dialled)
-        return self._out()
+        self._back_off(now, dialled)
+        return self._take_actions()
 
     def stream_ended(self, now: float, stream: int) -> list[Action]:
-        """A stream is over, by the other end or by itself."""
-        self._drop(now, stream)
-        return self._out()
+        """The peer closed a stream, or it broke."""
+        self._drop_stream(now, stream)
+        return self._take_actions()
 
-    def message_received(self, now: float, stream: int, word: ViewMessage) -> list[Action]:
-        """A word came; one from a stream that was closed meanwhile is nothing."""
+    def message_received(self, now: float, stream: int, message: ViewMessage) -> list[Action]:
+        """A message has come; it is ignored if this member has closed the stream meanwhile."""
         known = self.streams.get(stream)
         if known is None:
-            return self._out()
+            return self._take_actions()
         known.heard = now
-        if isinstance(word, Hello):
-            self._hello(now, known, word)
+        if isinstance(message, Hello):
+            self._handle_hello(now, known, message)
         elif not known.name:
-            self._close(now, stream, "a word before its hello")
-        elif isinstance(word, Heartbeat):
-            known.differs = known.differs + 1 if word.digest != self.digest else 0
+            self._close_stream(now, stream, "a word before its hello")
+        elif isinstance(message, Heartbeat):
+            known.differs = known.differs + 1 if message.digest != self.digest else 0
             if known.differs:
                 self.changed_at = now
-        elif isinstance(word, RecordUpdates):
-            for record in word.records:
-                self._take(now, record, stream)
+        elif isinstance(message, RecordUpdates):
+            for record in message.records:
+                self._merge_record(now, record, stream)
         else:
-            self._compare(now, known, word)
-        return self._out()
+            self._handle_summary(now, known, message)
+        return self._take_actions()
 
     def tick(self, now: float) -> list[Action]:
-        """To be called every ``TICK_MS``, where nothing is ``is_changing`` every ``IDLE_TICK_MS``."""
-        stood = now - self._last_tick
-        usual = TICK_MS if self.is_changing else IDLE_TICK_MS
-        if stood >= usual + STOOD_MS:  # what was said meanwhile has not been read: nobody is judged by it
+        """Must be called every ``TICK_MS`` while ``is_changing``, every ``IDLE_TICK_MS`` otherwise."""
+        elapsed = now - self._last_tick
+        interval = TICK_MS if self.is_changing else IDLE_TICK_MS
+        if elapsed >= interval + MIN_STALL_MS:  # messages of that time are unread: no time-out may count it
             for stream in self.streams.values():
-                stream.heard += stood
-            self._unseen = {name: since + stood for name, since in self._unseen.items()}
-            self._doubt = min(DOUBT_MOST, self._doubt * 2)
+                stream.heard += elapsed
+            self._unseen_since = {name: since + elapsed for name, since in self._unseen_since.items()}
+            self._timeout_factor = min(MAX_TIMEOUT_FACTOR, self._timeout_factor * 2)
             self.counters["stood"] += 1
         self._last_tick = now
-        self._judge(now, stood)
-        self._twins(now)
-        if now - self._beaten >= (BEAT_MS if now - self.changed_at < RESTLESS_MS else IDLE_MS):
-            self._beaten = now
+        self._close_silent_streams(now, elapsed)
+        self._check_newer_process(now)
+        if now - self._last_heartbeat >= (
+            HEARTBEAT_MS if now - self.changed_at < FREQUENT_HEARTBEATS_MS else IDLE_HEARTBEAT_MS
+        ):
+            self._last_heartbeat = now
             for stream in self.streams.values():
                 if stream.name:
-                    self._say(stream.ident, Heartbeat(self.digest))
+                    self._send(stream.ident, Heartbeat(self.digest))
         for stream in self.streams.values():
-            if stream.differs >= 2 and now - stream.synced >= SYNC_MS and stream.ident not in self._pending:
+            if (
+                stream.differs >= 2
+                and now - stream.synced >= SUMMARY_INTERVAL_MS
+                and stream.ident not in self._pending_updates
+            ):
                 stream.synced = now
-                self._say(stream.ident, self._summary())
-        self._derive(now)
-        self._forget(now)
-        self._dial(now)
-        self._flush()
-        self._tell(now)
-        return self._out()
+                self._send(stream.ident, self._make_summary())
+        self._recompute(now)
+        self._forget_absent(now)
+        self._dial_members(now)
+        self._flush_updates()
+        self._report_change(now)
+        return self._take_actions()
 
     # Streams
 
-    def _judge(self, now: float, passed: float) -> None:
-        if all(now - s.heard <= PATIENCE_MS for s in self.streams.values()):
-            self._doubt = max(1.0, self._doubt - passed / PATIENCE_MS / 4)  # nothing speaks against itself any more
+    def _close_silent_streams(self, now: float, elapsed: float) -> None:
+        if all(now - s.heard <= STREAM_TIMEOUT_MS for s in self.streams.values()):
+            # No stream is silent, so nothing suggests any more that this member is slow.
+            self._timeout_factor = max(1.0, self._timeout_factor - elapsed / STREAM_TIMEOUT_MS / 4)
             return
-        silent = [s for s in self.streams.values() if now - s.heard > PATIENCE_MS * self._doubt]
-        if len(silent) >= 3 and 2 * len(silent) > len(self.streams) and self._doubt < DOUBT_MOST:
-            self._doubt = min(DOUBT_MOST, self._doubt * 2)  # most at one time: it may be me
+        silent = [s for s in self.streams.values() if now - s.heard > STREAM_TIMEOUT_MS * self._timeout_factor]
+        if len(silent) >= 3 and 2 * len(silent) > len(self.streams) and self._timeout_factor < MAX_TIMEOUT_FACTOR:
+            # Most streams fell silent at one time: this member itself may be the cause.
+            self._timeout_factor = min(MAX_TIMEOUT_FACTOR, self._timeout_factor * 2)
             self.counters["doubted"] += 1
             return
         for stream in silent:
-            self._close(now, stream.ident, "silent")
+            self._close_stream(now, stream.ident, "silent")
 
-    def _close(self, now: float, stream: int, why: str) -> None:
+    def _close_stream(self, now: float, stream: int, why: str) -> None:
         self.counters[f"closed_{why.replace(' ', '_')}"] += 1
         self._actions.append(Close(stream, why))
-        self._drop(now, stream)
+        self._drop_stream(now, stream)
 
-    def _drop(self, now: float, stream: int) -> None:
+    def _drop_stream(self, now: float, stream: int) -> None:
         known = self.streams.pop(stream, None)
-        self._pending.pop(stream, None)
+        self._pending_updates.pop(stream, None)
         if known is not None and known.name:
-            self._dirty = True
+            self._must_recompute = True
             if known.dialled is not None:
-                self._put_off(now, known.name)
+                self._back_off(now, known.name)
 
-    def _put_off(self, now: float, dialled: str) -> None:
-        times = self._failed.get(dialled, (0, 0.0))[0]
-        pause = min(DIAL_MS * 2.0**times, DIAL_MOST_MS) * self._rng.uniform(0.5, 1.0)
-        self._failed[dialled] = times + 1, now + pause
+    def _back_off(self, now: float, dialled: str) -> None:
+        failures = self._dial_backoff.get(dialled, (0, 0.0))[0]
+        delay_ms = min(DIAL_BACKOFF_MS * 2.0**failures, MAX_DIAL_BACKOFF_MS) * self._rng.uniform(0.5, 1.0)
+        self._dial_backoff[dialled] = failures + 1, now + delay_ms
 
-    def _settings_agree(self, hello: Hello) -> bool:
-        """Equal settings, or unlike only in what both can change while they run."""
+    def _settings_match(self, hello: Hello) -> bool:
+        """Whether the settings are equal, or differ only in what both members can change while they run."""
         fixed = self._fixed_settings
         return hello.settings == self._settings or (fixed != "" and hello.fixed_settings == fixed)
 
-    def _hello(self, now: float, stream: Stream, word: Hello) -> None:
-        peer = word.record
-        if word.cluster != self._cluster or not self._settings_agree(word):
-            self._close(now, stream.ident, "another fleet")
+    def _handle_hello(self, now: float, stream: Stream, hello: Hello) -> None:
+        peer = hello.record
+        if hello.cluster != self._cluster or not self._settings_match(hello):
+            self._close_stream(now, stream.ident, "another fleet")
         elif peer.life == self.own_record.life:
-            self._close(now, stream.ident, "myself")
+            self._close_stream(now, stream.ident, "myself")
         elif not stream.name:
             stream.name, stream.life = peer.name, peer.life
             self._forgotten.pop(peer.name, None)
             if peer.name != self.own_record.name:
-                self._failed.pop(peer.name, None)
-            self._take(now, peer, stream.ident)
-            self._dirty = True
+                self._dial_backoff.pop(peer.name, None)
+            self._merge_record(now, peer, stream.ident)
+            self._must_recompute = True
             held = self.records.get(peer.name)
             if held is not None and held != peer:
-                self._pending.setdefault(stream.ident, {})[peer.name] = None  # what its predecessor said, say
+                # For example its predecessor's record: the peer must learn of it to refute it.
+                self._pending_updates.setdefault(stream.ident, {})[peer.name] = None
             if stream.dialled is not None:
                 stream.synced = now
-                self._say(stream.ident, self._summary())
+                self._send(stream.ident, self._make_summary())
 
     # Records
 
-    def _summary(self, answer: bool = False) -> Summary:
+    def _make_summary(self, answer: bool = False) -> Summary:
         return Summary(tuple((name, *record.age) for name, record in self.records.items()), answer)
 
-    def _compare(self, now: float, stream: Stream, word: Summary) -> None:
-        theirs = {name: (incarnation, version) for name, incarnation, version in word.ages}
+    def _handle_summary(self, now: float, stream: Stream, summary: Summary) -> None:
+        theirs = {name: (incarnation, version) for name, incarnation, version in summary.ages}
         for name, record in self.records.items():
             if theirs.get(name, (-1, -1)) < record.age:
-                self._pending.setdefault(stream.ident, {})[name] = None
-        lacking = any(self._wants(now, name, age) for name, age in theirs.items())
-        if lacking and not word.answer:
+                self._pending_updates.setdefault(stream.ident, {})[name] = None
+        is_behind = any(self._wants_record(now, name, age) for name, age in theirs.items())
+        if is_behind and not summary.answer:
             stream.synced = now
-            self._say(stream.ident, self._summary(answer=True))
-        # Ages may be equal and the digests not, where a lie is about: then what each holds goes over, and merging ends it.
-        if stream.differs >= 4 and not lacking:
-            self._pending.setdefault(stream.ident, {}).update(dict.fromkeys(self.records))
+            self._send(stream.ident, self._make_summary(answer=True))
+        # Where a false record is about, ages can be equal and digests not: both ends send all records, and merging them
+        # makes both equal.
+        if stream.differs >= 4 and not is_behind:
+            self._pending_updates.setdefault(stream.ident, {}).update(dict.fromkeys(self.records))
 
-    def _wants(self, now: float, name: str, age: tuple[int, int]) -> bool:
+    def _wants_record(self, now: float, name: str, age: tuple[int, int]) -> bool:
         held, forgotten = self.records.get(name), self._forgotten.get(name)
         if forgotten is not None and age[0] <= forgotten[0][0] and now < forgotten[1]:
             return False
         return held is None or held.age < age
 
-    def _take(self, now: float, record: Record, source: int) -> None:
+    def _merge_record(self, now: float, record: Record, source: int) -> None:
         if not 0 <= record.version <= MAX_VERSION or not record.name:
             self.counters["implausible"] += 1
             return
         if record.name == self.own_record.name:
-            self._defend(now, record, source)
+            self._handle_own_name(now, record, source)
             return
         held, forgotten = self.records.get(record.name), self._forgotten.get(record.name)
         if held is None and len(self.records) >= MAX_MEMBERS:
@@ -345,176 +366,187 @@
             return
         if held is None and forgotten is not None and record.incarnation <= forgotten[0][0] and now < forgotten[1]:
             return
-        best = record if held is None else merge(held, record)
-        if best is not held and best != held:
-            self._set(now, best, source)
+        merged = record if held is None else merge(held, record)
+        if merged is not held and merged != held:
+            self._store(now, merged, source)
 
-    def _set(self, now: float, record: Record, source: int | None) -> None:
+    def _store(self, now: float, record: Record, source: int | None) -> None:
         held = self.records.get(record.name)
         if held is not None:
             self.digest ^= fingerprint(held)
         self.digest ^= fingerprint(record)
         self.records[record.name] = record
-        self._dirty, self.changed_at = True, now
+        self._must_recompute, self.changed_at = True, now
         for stream in self.streams.values():
             if stream.name and stream.ident != source:
-                self._pending.setdefault(stream.ident, {})[record.name] = None
+                self._pending_updates.setdefault(stream.ident, {})[record.name] = None
 
     def _publish(self, record: Record) -> None:
         self.own_record = record
-        self._set(self._last_tick, record, None)
+        self._store(self._last_tick, record, None)
 
-    def _defend(self, now: float, record: Record, source: int) -> None:
-        """Somebody says something of this name."""
+    def _handle_own_name(self, now: float, record: Record, source: int) -> None:
+        """Handle a received record under this member's own name: refute it, or note that a newer process runs."""
         if record.life == self.own_record.life:
             if record.age > self.own_record.age or (record.age == self.own_record.age and record != self.own_record):
                 self._publish(replace(self.own_record, version=min(record.version + 1, MAX_VERSION)))
         elif record.incarnation >= self.own_record.incarnation:
-            # A predecessor whose clock was ahead, or a process started after this one: the latter lives and is seen.
-            if self._twin is None or self._twin[0] != record.life:
-                self._twin = record.life, now
-                self._twin_incarnation = record.incarnation
+            # Of a predecessor whose clock was ahead, or of a process started after this one. Only the latter is alive,
+            # so that other members see it.
+            if self._newer_process is None or self._newer_process[0] != record.life:
+                self._newer_process = record.life, now
+                self._newer_incarnation = record.incarnation
         elif source in self.streams:
-            self._pending.setdefault(source, {})[self.own_record.name] = None
+            self._pending_updates.setdefault(source, {})[self.own_record.name] = None
 
-    def _twins(self, now: float) -> None:
-        if self._twin is None:
+    def _check_newer_process(self, now: float) -> None:
+        if self._newer_process is None:
             return
-        life, since = self._twin
+        life, since = self._newer_process
         seen = any(
             (self.own_record.name, life) in self.records[name].sees
             for name in self.here
             if name != self.own_record.name
         )
         seen = seen or any(stream.life == life for stream in self.streams.values())
-        if seen and now - since > PATIENCE_MS * DOUBT_MOST:
+        if seen and now - since > STREAM_TIMEOUT_MS * MAX_TIMEOUT_FACTOR:
             self.is_replaced = True
-        elif not seen:  # whoever had seen it was late, or cut off
-            self._twin, self.is_replaced = None, False
-            if self._twin_incarnation >= self.own_record.incarnation:
+        elif not seen:  # the members that saw it had outdated information or were partitioned
+            self._newer_process, self.is_replaced = None, False
+            if self._newer_incarnation >= self.own_record.incarnation:
                 self._publish(
                     replace(
-                        self.own_record, incarnation=self._twin_incarnation + 1, version=self.own_record.version + 1
+                        self.own_record, incarnation=self._newer_incarnation + 1, version=self.own_record.version + 1
                     )
                 )
 
-    # What follows from the records
+    # Derived from the records
 
-    def _derive(self, now: float) -> None:
-        if not self._dirty:
+    def _recompute(self, now: float) -> None:
+        """Update the own record's ``sees``, and who is here, after a change of records or streams."""
+        if not self._must_recompute:
             return
         if not self.own_record.left:
             sees = tuple(
                 sorted({(s.name, s.life) for s in self.streams.values() if s.name and s.name != self.own_record.name})
             )
-            lost = bool(set(self.own_record.sees) - set(sees))
-            soon = lost or not self.own_record.sees or now - self._born >= YOUNG_MS or now - self._gained >= GAINED_MS
-            if sees != self.own_record.sees and soon:
-                self._gained = now
+            has_lost = bool(set(self.own_record.sees) - set(sees))
+            may_publish = (
+                has_lost
+                or not self.own_record.sees
+                or now - self._started_at >= STARTUP_MS
+                or now - self._sees_published_at >= GAIN_PUBLISH_INTERVAL_MS
+            )
+            if sees != self.own_record.sees and may_publish:
+                self._sees_published_at = now
                 self._publish(replace(self.own_record, sees=sees, version=self.own_record.version + 1))
-        here, edge = {self.own_record.name}, [self.own_record]
-        while edge:
-            for name, life in edge.pop().sees:
+        here, to_visit = {self.own_record.name}, [self.own_record]
+        while to_visit:
+            for name, life in to_visit.pop().sees:
                 other = self.records.get(name)
                 if other is not None and other.life == life and not other.left and name not in here:
                     here.add(name)
-                    edge.append(other)
+                    to_visit.append(other)
         unseen = {n for n in self.here - here if n in self.records and not self.records[n].left}
-        self._unseen = {name: self._unseen.get(name, now) for name in unseen}
-        here |= {name for name, since in self._unseen.items() if now - since < self._linger(name)}
-        self._dirty = bool(self._unseen) or (not self.own_record.left and sees != self.own_record.sees)
+        self._unseen_since = {name: self._unseen_since.get(name, now) for name in unseen}
+        here |= {name for name, since in self._unseen_since.items() if now - since < self._away_after_ms(name)}
+        self._must_recompute = bool(self._unseen_since) or (not self.own_record.left and sees != self.own_record.sees)
         if frozenset(here) != self.here:
             self.here = frozenset(here)
-            self._wanted = ring_successors(self.own_record, [self.records[name] for name in here])
-        self._shed(now)
-        state = (self.here, self.away, self.left)
-        if state != self._told:
-            self._changing = (self._changing[0] if self._changing else now), now
+            self._successors = ring_successors(self.own_record, [self.records[name] for name in here])
+        self._close_unneeded_streams(now)
+        current = (self.here, self.away, self.left)
+        if current != self._reported:
+            self._unreported_change = (self._unreported_change[0] if self._unreported_change else now), now
         else:
-            self._changing = None
+            self._unreported_change = None
+
+    def _away_after_ms(self, name: str) -> float:
+        """How long a member may be unseen before it is away.
 
-    def _linger(self, name: str) -> float:
-        """Where many lose sight of a member at one time, that is agreement; where it had but a stream or two, chance."""
-        return LINGER_FEW_MS if len(self.records[name].sees) <= FEW else LINGER_MS
+        Where many members lose it at one time, they agree that it is gone; where it had only one or two streams, these
+        may have broken by chance.
+        """
+        return AWAY_AFTER_WITH_FEW_STREAMS_MS if len(self.records[name].sees) <= FEW_STREAMS else AWAY_AFTER_MS
 
-    def _shed(self, now: float) -> None:
-        """A stream that this member dialled, and that no ring of its own asks for, is ended once the rings have theirs."""
+    def _close_unneeded_streams(self, now: float) -> None:
+        """Close the streams that this member dialled and its rings do not need, once it has all that they need."""
         names = {stream.name for stream in self.streams.values()}
-        if not all(name in names for name in self._wanted):
+        if not all(name in names for name in self._successors):
             return
         for stream in list(self.streams.values()):
-            if stream.dialled is not None and stream.name and stream.name not in self._wanted:
-                self._close(now, stream.ident, "not wanted")
-                self._failed.pop(stream.name, None)
-
-    def _forget(self, now: float) -> None:
-        gone = {name for name in self.records if name not in self.here}
-        self._away = {name: self._away.get(name, now) for name in gone}
-        for name in [name for name, since in self._away.items() if now - since > FORGET_MS]:
+            if stream.dialled is not None and stream.name and stream.name not in self._successors:
+                self._close_stream(now, stream.ident, "not wanted")
+                self._dial_backoff.pop(stream.name, None)
+
+    def _forget_absent(self, now: float) -> None:
+        absent = {name for name in self.records if name not in self.here}
+        self._absent_since = {name: self._absent_since.get(name, now) for name in absent}
+        for name in [name for name, since in self._absent_since.items() if now - since > FORGET_MS]:
             record = self.records.pop(name)
             self.digest ^= fingerprint(record)
-            del self._away[name]
+            del self._absent_since[name]
             self._forgotten[name] = record.age, now + FORGET_MS
-            self._dirty = True
+            self._must_recompute = True
         for name in [name for name, (_, until) in self._forgotten.items() if until <= now]:
             del self._forgotten[name]
 
     # Dials
 
-    def _dial(self, now: float) -> None:
+    def _dial_members(self, now: float) -> None:
         if self.own_record.left:
             return
         names = {stream.name for stream in self.streams.values()}
-        for name in self._wanted:
+        for name in self._successors:
             if name not in names and name in self.records:
-                self._try(now, name, self.records[name].address)
-        if now < self._retry:
+                self._try_dial(now, name, self.records[name].address)
+        if now < self._next_reconnect:
             return
-        self._retry = now + RETRY_MS * self._rng.uniform(0.5, 1.5)
+        self._next_reconnect = now + RECONNECT_INTERVAL_MS * self._rng.uniform(0.5, 1.5)
         away = sorted(self.away)
-        known = {record.address for record in self.records.values()}
-        strange = [seed for seed in self._seeds if seed not in known]
-        if away and (not strange or self._rng.random() < 0.5):
+        addresses = {record.address for record in self.records.values()}
+        unknown_seeds = [seed for seed in self._seeds if seed not in addresses]
+        if away and (not unknown_seeds or self._rng.random() < 0.5):
             name = self._rng.choice(away)
-            self._try(now, name, self.records[name].address, patient=False)
-        elif strange or not self.streams:
-            seed = self._rng.choice(strange or list(self._seeds) or [""])
+            self._try_dial(now, name, self.records[name].address, respect_backoff=False)
+        elif unknown_seeds or not self.streams:
+            seed = self._rng.choice(unknown_seeds or list(self._seeds) or [""])
             if seed and seed != self.own_record.address:
-                self._try(now, seed, seed, patient=False)
+                self._try_dial(now, seed, seed, respect_backoff=False)
 
-    def _try(self, now: float, name: str, address: str, patient: bool = True) -> None:
-        if name in self._dialling or len(self._dialling) >= DIALS:
+    def _try_dial(self, now: float, name: str, address: str, respect_backoff: bool = True) -> None:
+        if name in self._dialling or len(self._dialling) >= MAX_CONCURRENT_DIALS:
             return
-        if patient and now < self._failed.get(name, (0, 0.0))[1]:
+        if respect_backoff and now < self._dial_backoff.get(name, (0, 0.0))[1]:
             return
         self._dialling[name] = now
         self._actions.append(Dial(name, address))
 
-    # Words
+    # Messages and actions
 
-    def _say(self, stream: int, word: ViewMessage) -> None:
-        self._actions.append(Send(stream, word))
+    def _send(self, stream: int, message: ViewMessage) -> None:
+        self._actions.append(Send(stream, message))
 
-    def _flush(self) -> None:
-        pending, self._pending = self._pending, {}
+    def _flush_updates(self) -> None:
+        pending, self._pending_updates = self._pending_updates, {}
         for stream, names in pending.items():
             if stream in self.streams:
-                self._news(stream, [self.records[name] for name in names if name in self.records])
+                self._send_records(stream, [self.records[name] for name in names if name in self.records])
 
-    def _news(self, stream: int, records: Iterable[Record]) -> None:
-        rest = list(records)
-        while rest:
-            part, rest = rest[:PART], rest[PART:]
-            self._say(stream, RecordUpdates(tuple(part)))
+    def _send_records(self, stream: int, records: Iterable[Record]) -> None:
+        remaining = list(records)
+        while remaining:
+            batch, remaining = remaining[:MAX_RECORDS_PER_UPDATE], remaining[MAX_RECORDS_PER_UPDATE:]
+            self._send(stream, RecordUpdates(tuple(batch)))
 
-    def _tell(self, now: float) -> None:
-        if self._changing is None:
+    def _report_change(self, now: float) -> None:
+        if self._unreported_change is None:
             return
-        first, latest = self._changing
-        if now - latest >= STEP_MS or now - first >= MAX_REPORT_DELAY_MS:
-            self._changing, self._told = None, (self.here, self.away, self.left)
-            self._actions.append(ViewChanged(*self._told))
+        first, latest = self._unreported_change
+        if now - latest >= REPORT_DELAY_MS or now - first >= MAX_REPORT_DELAY_MS:
+            self._unreported_change, self._reported = None, (self.here, self.away, self.left)
+            self._actions.append(ViewChanged(*self._reported))
 
-    def _out(self) -> list[Action]:
+    def _take_actions(self) -> list[Action]:
         actions, self._actions = self._actions, []
         return actions
--- a/tests/view/defects.py
+++ b/tests/view/defects.py
@@ -1,4 +1,4 @@
-"""Planted defects of the view, each a change to the code that serves; the drawn schedules must find every one."""
+"""Seeded defects of the view, each a patch of the code under test; the random schedules must detect every one."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from sprucepost.view.messages import Summary
 from sprucepost.view.view import View
 
-Plant = Callable[[], Any]
+DefectPatch = Callable[[], Any]
 
 
-def _the_older_counts() -> Any:
-    return mock.patch.object(view, "merge", lambda held, new: min(held, new, key=lambda one: one.age))
+def _older_record_wins() -> Any:
+    return mock.patch.object(view, "merge", lambda held, received: min(held, received, key=lambda record: record.age))
 
 
-def _a_clock_set_back_is_not_made_up_for() -> Any:
-    return mock.patch.object(View, "_twins", lambda self, now: None)
+def _clock_set_back_is_not_compensated() -> Any:
+    return mock.patch.object(View, "_check_newer_process", lambda self, now: None)
 
 
-def _who_is_away_is_never_tried_again() -> Any:
-    return mock.patch.object(view, "RETRY_MS", 1e9)
+def _away_members_are_never_dialled() -> Any:
+    return mock.patch.object(view, "RECONNECT_INTERVAL_MS", 1e9)
 
 
-def _an_earlier_life_is_taken_for_the_present_one() -> Any:
-    real = View._derive
+def _earlier_incarnation_counts_as_the_present_one() -> Any:
+    real = View._recompute
 
-    def derive(self: View, now: float) -> None:
+    def recompute(self: View, now: float) -> None:
         lives = {name: held.life for name, held in self.records.items()}
         kept = dict(self.records)
         for name, held in kept.items():
@@ -38,85 +38,89 @@
         real(self, now)
         self.records.update({name: held for name, held in kept.items() if name != self.own_record.name})
 
-    return mock.patch.object(View, "_derive", derive)
+    return mock.patch.object(View, "_recompute", recompute)
 
 
-def _whoever_is_unseen_for_a_moment_is_away() -> Any:
-    return mock.patch.object(View, "_linger", lambda self, name: 0.0)
+def _unseen_members_are_away_at_once() -> Any:
+    return mock.patch.object(View, "_away_after_ms", lambda self, name: 0.0)
 
 
 def _no_summaries() -> Any:
-    real = View._say
-    return mock.patch.object(View, "_say", lambda self, s, w: None if isinstance(w, Summary) else real(self, s, w))
+    real = View._send
+    return mock.patch.object(
+        View,
+        "_send",
+        lambda self, stream, message: None if isinstance(message, Summary) else real(self, stream, message),
+    )
 
 
-def _news_is_not_passed_on() -> Any:
-    real = View._set
+def _updates_are_not_forwarded() -> Any:
+    real = View._store
 
-    def keep(self: View, now: float, held: Any, source: int | None) -> None:
-        before = {stream: dict(names) for stream, names in self._pending.items()}
-        real(self, now, held, source)
+    def store(self: View, now: float, record: Any, source: int | None) -> None:
+        before = {stream: dict(names) for stream, names in self._pending_updates.items()}
+        real(self, now, record, source)
         if source is not None:
-            self._pending = before
+            self._pending_updates = before
 
-    return mock.patch.object(View, "_set", keep)
+    return mock.patch.object(View, "_store", store)
 
 
-def _fleets_are_not_told_apart() -> Any:
-    real = View._hello
+def _other_fleets_are_accepted() -> Any:
+    real = View._handle_hello
 
-    def hello(self: View, now: float, stream: Any, word: Any) -> None:
-        real(self, now, stream, replace(word, cluster=self._cluster, settings=self._settings))
+    def handle_hello(self: View, now: float, stream: Any, hello: Any) -> None:
+        real(self, now, stream, replace(hello, cluster=self._cluster, settings=self._settings))
 
-    return mock.patch.object(View, "_hello", hello)
+    return mock.patch.object(View, "_handle_hello", handle_hello)
 
 
-def _a_lie_is_not_refuted() -> Any:
-    return mock.patch.object(View, "_defend", lambda self, now, held, source: None)
+def _false_records_are_not_refuted() -> Any:
+    return mock.patch.object(View, "_handle_own_name", lambda self, now, record, source: None)
 
 
-def _silence_is_borne_for_ever() -> Any:
-    return mock.patch.object(view, "PATIENCE_MS", 1e9)
+def _silent_streams_are_never_closed() -> Any:
+    return mock.patch.object(view, "STREAM_TIMEOUT_MS", 1e9)
 
 
-def _an_end_of_a_stream_is_not_looked_at() -> Any:
-    def drop(self: View, now: float, stream: int) -> None:
+def _ended_streams_are_ignored() -> Any:
+    def drop_stream(self: View, now: float, stream: int) -> None:
         self.streams.pop(stream, None)
-        self._pending.pop(stream, None)
+        self._pending_updates.pop(stream, None)
 
-    return mock.patch.object(View, "_drop", drop)
+    return mock.patch.object(View, "_drop_stream", drop_stream)
 
 
 def _one_ring_only() -> Any:
     return mock.patch.object(rings, "ring_count", lambda members: 1)
 
 
-def _changes_are_told_one_by_one() -> Any:
-    return mock.patch.object(view, "STEP_MS", 0.0)
+def _changes_are_reported_one_by_one() -> Any:
+    return mock.patch.object(view, "REPORT_DELAY_MS", 0.0)
 
 
-DEFECTS: dict[str, Plant] = {
-    plant.__name__.strip("_"): plant
-    for plant in (
-        _the_older_counts,
-        _a_clock_set_back_is_not_made_up_for,
-        _who_is_away_is_never_tried_again,
-        _an_earlier_life_is_taken_for_the_present_one,
-        _whoever_is_unseen_for_a_moment_is_away,
+DEFECTS: dict[str, DefectPatch] = {
+    patch.__name__.strip("_"): patch
+    for patch in (
+        _older_record_wins,
+        _clock_set_back_is_not_compensated,
+        _away_members_are_never_dialled,
+        _earlier_incarnation_counts_as_the_present_one,
+        _unseen_members_are_away_at_once,
         _no_summaries,
-        _news_is_not_passed_on,
-        _fleets_are_not_told_apart,
-        _a_lie_is_not_refuted,
-        _silence_is_borne_for_ever,
-        _an_end_of_a_stream_is_not_looked_at,
+        _updates_are_not_forwarded,
+        _other_fleets_are_accepted,
+        _false_records_are_not_refuted,
+        _silent_streams_are_never_closed,
+        _ended_streams_are_ignored,
         _one_ring_only,
-        _changes_are_told_one_by_one,
+        _changes_are_reported_one_by_one,
     )
 }
 
 
 @contextmanager
 def planted(name: str) -> Iterator[None]:
-    """The program has that defect for as long."""
+    """Run the body with that defect in the code."""
     with DEFECTS[name]():
         yield
--- a/tests/view/test_view.py
+++ b/tests/view/test_view.py
@@ -1,4 +1,4 @@
-"""The fleet's own view: records merge in any order, rings leave nobody alone, drawn schedules settle, defects are found."""
+"""The membership view: merging of records, rings, random fault schedules, and defects that they must detect."""
 
 from __future__ import annotations
 
@@ -53,18 +53,18 @@
 
 @pytest.mark.parametrize("members", [1, 2, 3, 7, 30, 350])
 @pytest.mark.parametrize("rooms", [1, 3])
-def test_rings_leave_nobody_alone_and_reach_beyond_room_and_host(members: int, rooms: int) -> None:
+def test_rings_connect_all_members_and_reach_other_rooms_and_hosts(members: int, rooms: int) -> None:
     fleet = [record(n, room=f"r{n % rooms}") for n in range(members)]
     sees = {me.name: ring_successors(me, fleet) for me in fleet}
     by_name = {one.name: one for one in fleet}
     assert all(len(names) <= ring_count(members) <= 10 and me not in names for me, names in sees.items())
     if members > 1:
         assert all(names for names in sees.values())
-        reached, edge = {"p0"}, ["p0"]
-        while edge:
-            me = edge.pop()
+        reached, to_visit = {"p0"}, ["p0"]
+        while to_visit:
+            me = to_visit.pop()
             both = set(sees[me]) | {name for name, names in sees.items() if me in names}
-            edge += both - reached
+            to_visit += both - reached
             reached |= both
         assert len(reached) == members
     if members > 2 * rooms and rooms > 1:
@@ -74,22 +74,22 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_drawn_schedules_settle(seed: int) -> None:
+def test_random_fault_schedules_settle(seed: int) -> None:
     assert problems(seed, 3 + seed % 9) == []
 
 
-# Where a defect shows first, as a search over `problems(n, 3 + n % 16)` from n = 0 found; others show in the first three.
-SHOWS_AT = {
-    "whoever_is_unseen_for_a_moment_is_away": 16,
+# The first n for which `problems(n, 3 + n % 16)` detects a defect; the defects not listed show for one of the first three.
+FIRST_SEED = {
+    "unseen_members_are_away_at_once": 16,
     "one_ring_only": 6,
-    "news_is_not_passed_on": 29,
-    "changes_are_told_one_by_one": 10,
+    "updates_are_not_forwarded": 29,
+    "changes_are_reported_one_by_one": 10,
 }
 
 
 @pytest.mark.parametrize("name", sorted(DEFECTS))
-def test_a_planted_defect_is_found(name: str) -> None:
-    seeds = [SHOWS_AT[name]] if name in SHOWS_AT else range(3)
+def test_each_seeded_defect_is_detected(name: str) -> None:
+    seeds = [FIRST_SEED[name]] if name in FIRST_SEED else range(3)
     with planted(name):
         assert any(problems(seed, 3 + seed % 16) for seed in seeds)
 
@@ -103,7 +103,7 @@
 
 
 def settle(world: World, fleet: Fleet, limit_ms: float) -> float:
-    """Play until it is settled; how long that took."""
+    """Run until the fleet is settled; returns how many ms that took."""
     began = world.now
     while world.now < began + limit_ms:
         world.run(world.now + 100)
@@ -112,7 +112,7 @@
     raise AssertionError(fleet.unsettled()[:3])
 
 
-def test_all_start_at_once_halves_part_and_heal_a_tenth_dies() -> None:
+def test_the_view_settles_after_a_simultaneous_start_a_partition_and_the_death_of_a_tenth() -> None:
     world, fleet = fleet_of(40)
     assert settle(world, fleet, 5000) <= 5000
     world.cuts.append(lambda one, other: int(one.address[1:]) % 2 != int(other.address[1:]) % 2)
@@ -125,7 +125,7 @@
     settle(world, fleet, 5000)
 
 
-def test_seeds_that_are_dead_and_a_joiner_within_a_minority() -> None:
+def test_joining_with_dead_seeds_and_within_a_minority_partition() -> None:
     world, fleet = fleet_of(9)
     settle(world, fleet, 5000)
     for number in range(3):  # all the seeds
@@ -133,27 +133,27 @@
     settle(world, fleet, 5000)
     late = fleet.start(9)
     world.run(world.now + 5000)
-    assert _view(late).here == {"p9"}, "nobody to ask"
-    fleet.start(1)  # a seed is back; those who remember it dial it
+    assert _view(late).here == {"p9"}, "no seed is alive"
+    fleet.start(1)  # a seed is back; the members that keep its record dial it
     settle(world, fleet, 15_000)
 
     world.cuts.append(lambda one, other: (one.address in "a1 a9 a10") != (other.address in "a1 a9 a10"))
     world.run(world.now + 12_000)
-    fleet.start(10)  # its only seed that lives is in the minority
+    fleet.start(10)  # its only live seed is in the minority
     world.run(world.now + 5000)
     assert _view(fleet.processes[10]).here == {"p1", "p9", "p10"}
     world.cuts.clear()
     settle(world, fleet, 15_000)
 
 
-@pytest.mark.parametrize("back_ms", [0, 60_000])
-def test_ten_restarts_in_a_row_also_with_a_clock_set_back(back_ms: int) -> None:
+@pytest.mark.parametrize("clock_back_ms", [0, 60_000])
+def test_ten_restarts_in_a_row_also_with_a_clock_set_back(clock_back_ms: int) -> None:
     world, fleet = fleet_of(7)
     settle(world, fleet, 5000)
     for _ in range(10):
         world.kill(fleet.processes[4])
         world.run(world.now + 100)
-        fleet.start(4, back_ms)
+        fleet.start(4, clock_back_ms)
         world.run(world.now + 400)
     settle(world, fleet, 15_000)
     lives = {_view(process).records["p4"].life for process in fleet.living}
@@ -161,13 +161,13 @@
     assert not any(_view(process).is_replaced for process in fleet.living)
 
 
-def test_of_two_processes_under_one_name_the_older_goes_and_two_with_one_number_are_seen() -> None:
+def test_the_older_of_two_processes_of_one_name_is_replaced_and_shared_numbers_are_reported() -> None:
     world, fleet = fleet_of(6)
     settle(world, fleet, 5000)
     older = fleet.processes[3]
     world.run(world.now + 1000)
-    twin = record(3, incarnation=int(world.now) + 2_000_000, life="twin", address="a33")
-    view = View(twin, "fleet", "settings", fleet.seeds, random.Random(2), world.now)
+    newer_record = record(3, incarnation=int(world.now) + 2_000_000, life="twin", address="a33")
+    view = View(newer_record, "fleet", "settings", fleet.seeds, random.Random(2), world.now)
     newer = world.start("a33", view)
     world.run(world.now + 15_000)
     assert _view(older).is_replaced and not view.is_replaced
@@ -180,18 +180,20 @@
     assert all(_view(process).conflicts() == {5: ["p3", "p5"]} for process in fleet.living)
 
 
-def test_a_one_way_link_of_one_member_changes_nobodys_view() -> None:
+def test_one_way_links_of_one_member_change_no_view() -> None:
     world, fleet = fleet_of(12)
     settle(world, fleet, 5000)
     began = world.now
     others = {name for name, _ in _view(fleet.processes[0]).own_record.sees[:1]}
     world.cuts.append(lambda one, other: one.address == "a0" and _view(other).own_record.name in others)
     world.run(began + 30_000)
-    told = [what for process in fleet.living for moment, what in process.told if moment > began + 1000]
-    assert not [what for what in told if isinstance(what, ViewChanged) and what.away]
+    reported = [what for process in fleet.living for moment, what in process.told if moment > began + 1000]
+    assert not [what for what in reported if isinstance(what, ViewChanged) and what.away]
 
 
-def test_who_leaves_is_remembered_forgotten_and_not_revived(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_member_that_left_is_kept_then_forgotten_and_not_revived_by_an_old_record(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(module, "FORGET_MS", 20_000.0)
     world, fleet = fleet_of(5)
     settle(world, fleet, 5000)
@@ -205,19 +207,19 @@
     world.run(world.now + 22_000)
     assert all("p4" not in _view(process).records for process in fleet.living)
     asked = _view(fleet.processes[0])
-    asked._take(world.now, old, -1)  # a rumour that was on its way all that time
+    asked._merge_record(world.now, old, -1)  # an outdated record that was in transit all that time
     assert "p4" not in asked.records
     settle(world, fleet, 5000)
     fleet.start(4)
     settle(world, fleet, 15_000)
 
 
-def lonely() -> View:
+def single_member() -> View:
     return View(record(0), "fleet", "settings", (), random.Random(1), 0.0)
 
 
 @pytest.mark.parametrize(
-    ("word", "why"),
+    ("message", "why"),
     [
         (Hello("another", "settings", record(1)), "another fleet"),
         (Hello("fleet", "other settings", record(1)), "another fleet"),
@@ -226,17 +228,17 @@
         (Summary((("p1", 1, 1),)), "a word before its hello"),
     ],
 )
-def test_strangers_are_closed_and_leave_nothing_behind(word: ViewMessage, why: str) -> None:
-    view = lonely()
+def test_streams_of_strangers_are_closed_and_leave_no_state(message: ViewMessage, why: str) -> None:
+    view = single_member()
     view.stream_opened(0.0, 1, None)
-    actions = view.message_received(1.0, 1, word)
+    actions = view.message_received(1.0, 1, message)
     assert [action.why for action in actions if isinstance(action, Close)] == [why]
     assert list(view.records) == ["p0"] and not view.streams
 
 
-def test_lies_are_bounded_and_refuted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_false_records_are_bounded_and_refuted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_MEMBERS", 50)
-    view = lonely()
+    view = single_member()
     view.stream_opened(0.0, 1, None)
     view.message_received(1.0, 1, Hello("fleet", "settings", record(1)))
     view.message_received(2.0, 1, RecordUpdates(tuple(record(n) for n in range(2, 10_000))))
@@ -246,11 +248,11 @@
     )
     assert view.counters["implausible"] == 1 and view.records["p1"].version == 0
     assert view.own_record.version > 40 and view.own_record.number == 0 and not view.own_record.left
-    said = [a.word for a in view.tick(100.0) if isinstance(a, Send) and isinstance(a.word, RecordUpdates)]
-    assert any(held.name == "p0" and held.version > 40 for word in said for held in word.records)
+    sent = [a.word for a in view.tick(100.0) if isinstance(a, Send) and isinstance(a.word, RecordUpdates)]
+    assert any(held.name == "p0" and held.version > 40 for message in sent for held in message.records)
 
 
-PLAYED = """
+REPLAY_PROGRAM = """
 from tests.view.test_view import fleet_of
 world, fleet = fleet_of(9, 3)
 world.run(3000)
@@ -260,36 +262,36 @@
 """
 
 
-def test_the_same_seed_plays_the_same_in_any_process() -> None:
-    played = {
+def test_a_seed_gives_the_same_run_in_any_process() -> None:
+    outputs = {
         subprocess.run(
-            [sys.executable, "-c", PLAYED], env={**os.environ, "PYTHONHASHSEED": str(seed)}, capture_output=True,
+            [sys.executable, "-c", REPLAY_PROGRAM], env={**os.environ, "PYTHONHASHSEED": str(seed)}, capture_output=True,
             check=True, text=True,
         ).stdout
         for seed in (1, 2)
     }  # fmt: skip
-    assert len(played) == 1
+    assert len(outputs) == 1
     world, _ = fleet_of(9, 4)
     world.run(9000)
-    assert str(world.words) not in next(iter(played)), "another seed plays otherwise"
+    assert str(world.words) not in next(iter(outputs)), "another seed gives another run"
 
 
-def test_dials_are_bounded_and_paced() -> None:
+def test_dials_to_dead_members_are_limited_in_rate() -> None:
     world, fleet = fleet_of(30)
     dials: dict[str, int] = {}
     real = world._dial
 
-    def counted(process: Process, action: Dial) -> None:
+    def counting_dial(process: Process, action: Dial) -> None:
         dials[action.address] = dials.get(action.address, 0) + 1
         real(process, action)
 
-    world._dial = counted  # type: ignore[method-assign]
+    world._dial = counting_dial  # type: ignore[method-assign]
     settle(world, fleet, 5000)
     for number in range(15):
         world.kill(fleet.processes[number])
     world.run(world.now + 30_000)
     dead = sum(dials.get(f"a{number}", 0) for number in range(15))
-    assert 15 * 10 < dead < 15 * 60, "each of the living tries one of the dead every 0.5 to 1.5 s"
+    assert 15 * 10 < dead < 15 * 60, "each running member dials one dead member every 0.5 to 1.5 s"
     for one, other in itertools.combinations(fleet.living, 2):
         assert _view(one).digest == _view(other).digest
 
@@ -301,7 +303,7 @@
 @pytest.mark.parametrize(
     ("mine", "settings", "theirs", "joined"),
     [
-        ("", "settings", "fixed", True),  # configuration off here, or an earlier version there
+        ("", "settings", "fixed", True),  # no changeable configuration here, or an earlier version there
         ("", "other", "fixed", False),
         ("fixed", "settings", "", True),
         ("fixed", "other", "", False),
@@ -310,7 +312,9 @@
         ("fixed", "settings", "unlike", True),
     ],
 )
-def test_settings_may_be_unlike_in_what_both_can_change(mine: str, settings: str, theirs: str, joined: bool) -> None:
+def test_settings_may_differ_in_what_both_members_can_change(
+    mine: str, settings: str, theirs: str, joined: bool
+) -> None:
     view = View(record(0), "fleet", "settings", (), random.Random(1), 0.0, mine)
     view.stream_opened(0.0, 1, None)
     actions = view.message_received(1.0, 1, Hello("fleet", settings, record(1), theirs))
