--- a/sprucepost/agreement/__init__.py
+++ b/sprucepost/agreement/__init__.py
@@ -3,23 +3,23 @@
 No placer uses it yet.
 
 =============== ============================================================================================
-``entries``     what the log is made of
-``messages``    what servers send each other
-``actions``     what a server asks of the program that runs it, and what it has durable
+``entries``     log entries, members, snapshots
+``messages``    messages between servers
+``actions``     what a server asks of the program that runs it, and its durable state
 ``log``         the log in memory
-``state``       term, role and durability, which all concerns share; the table of roles
+``state``       term, role and durability, shared by all modules; the table of roles
 ``election``    leader election
 ``replication`` the leader's side of replication, and commits
 ``follower``    the follower's side
-``snapshots``   the state in place of old entries
+``snapshots``   snapshots of the applied state, which replace old entries
 ``reads``       linearizable reads without a log entry
 ``membership``  membership changes, and leadership transfer
 ``server``      one Raft server
-``commands``    commands of the registry, and their results
+``commands``    commands of the registry and their results
 ``registry``    the replicated state: values, sessions, leases
 =============== ============================================================================================
 
-Nothing here knows a socket, a clock or a disk, and no placement reads it.
+Nothing here uses a socket, a clock or a disk, and no placement decision depends on it.
 """
 
 from sprucepost.agreement.actions import PersistentState
--- a/sprucepost/agreement/actions.py
+++ b/sprucepost/agreement/actions.py
@@ -1,4 +1,4 @@
-"""What a Raft server asks of the program that runs it: to send, to store, to apply; and what it reports."""
+"""What a Raft server asks of the program that runs it (send, write, apply), and what it reports."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 class Write:
     """Make this durable, in order, then call ``write_completed`` with its sequence number.
 
-    Where it is in doubt whether a write succeeded, it must be reported as failed. ``truncate_from``: entries from that
+    A write of which it is unknown whether it succeeded must be reported as failed. ``truncate_from``: entries from that
     index on are removed, then ``entries`` are appended. ``snapshot`` replaces everything up to its index.
     """
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Apply these committed entries, in order; every server gets the same."""
+    """Apply these committed entries, in order; all servers apply the same entries."""
 
     entries: tuple[Entry, ...]
 
@@ -48,21 +48,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """The reads requested with that ticket may be answered from the applied state."""
+    """The read requested with that ticket may be answered from the applied state."""
 
     ticket: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRejected:
-    """This server cannot answer the reads of that ticket: ask the leader, if one is known."""
+    """This server cannot answer the read of that ticket; ask the leader, if one is known."""
 
     ticket: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderChanged:
-    """Who leads has changed, as far as this server knows."""
+    """The leader has changed, as far as this server knows; None: no leader is known."""
 
     term: int
     leader: str | None
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a server has durable when it starts; the default is that of a new server."""
+    """The durable state of a server when it starts; the default is that of a new server."""
 
     term: int = 0
     voted_for: str | None = None
--- a/sprucepost/agreement/commands.py
+++ b/sprucepost/agreement/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the registry, as they stand in the replicated log, and their results."""
+"""Commands of the registry, as stored in the replicated log, and their results."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Put(Struct, tag="put", frozen=True):
-    """Set a value; ``expected_version``: only if it has that version, 0: only if there is none, None: in any case."""
+    """Set a value; ``expected_version``: only if it has that version; 0: only if there is none; None: always."""
 
     key: str
     value: bytes
@@ -26,21 +26,21 @@
 
 
 class AcquireLease(Struct, tag="acquire_lease", frozen=True):
-    """Take a lease for that long."""
+    """Acquire a lease for that time to live."""
 
     lease: str
     ttl_ms: Annotated[float, Meta(gt=0)]
 
 
 class RenewLease(Struct, tag="renew_lease", frozen=True):
-    """Hold a lease for its time to live again."""
+    """Extend a lease by its time to live, from now on."""
 
     lease: str
     fencing_token: int
 
 
 class ReleaseLease(Struct, tag="release_lease", frozen=True):
-    """Give a lease back."""
+    """Release a lease before it expires."""
 
     lease: str
     fencing_token: int
@@ -50,20 +50,20 @@
 
 
 class OpenSession(Struct, tag="open_session", frozen=True):
-    """Open a session of that client; its number is the result. It expires when nothing is heard of it for ``ttl_ms``."""
+    """Open a session of that client; the result is its number. It expires after ``ttl_ms`` without a command."""
 
     client: str
     ttl_ms: Annotated[float, Meta(gt=0)] = DEFAULT_SESSION_TTL_MS
 
 
 class CloseSession(Struct, tag="close_session", frozen=True):
-    """End a session, and its leases."""
+    """End a session and release its leases."""
 
     session: int
 
 
 class SessionCommand(Struct, tag="session_command", frozen=True):
-    """A session's operation, numbered from 1; without an operation it keeps the session alive."""
+    """A session's operation, numbered from 1; without an operation it only keeps the session alive."""
 
     session: int
     sequence: int
@@ -71,7 +71,7 @@
 
 
 class AdvanceClock(Struct, tag="advance_clock", frozen=True):
-    """The time since the leader's last one, or since it was elected."""
+    """Advances the log's time by what has passed since the leader's previous one, or since its election."""
 
     elapsed_ms: Annotated[float, Meta(ge=0)]
 
@@ -93,7 +93,7 @@
 
 
 class Result(Struct, frozen=True):
-    """``number``: a version, a session or a fencing token. ``holder``: who has the lease instead."""
+    """``number``: a version, a session or a fencing token. ``holder``: the client that holds the lease instead."""
 
     number: int = 0
     refusal: Refusal | None = None
@@ -101,14 +101,15 @@
 
     @property
     def ok(self) -> bool:
+        """Whether the command was carried out."""
         return self.refusal is None
 
 
 def encode(command: Command) -> bytes:
-    """The command as it stands in the log."""
+    """The command as stored in the log."""
     return msgpack.encode(command)
 
 
 def decode(data: bytes) -> Command:
-    """The command that was encoded; :class:`msgspec.DecodeError`."""
+    """The command that was encoded; raises :class:`msgspec.DecodeError` for anything else."""
     return msgpack.decode(data, type=Command)
--- a/sprucepost/agreement/election.py
+++ b/sprucepost/agreement/election.py
@@ -1,4 +1,4 @@
-"""Leader election with pre-votes; a server that is cut off or removed cannot disturb it (Ongaro, 2014, 3.4, 4.2.3, 9.6)."""
+"""Leader election with pre-votes; a partitioned or removed server cannot disrupt it (Ongaro, 2014, 3.4, 4.2.3, 9.6)."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
         self.reset_timeout()
 
     def reset_timeout(self) -> None:
-        """Draw a new election time-out, beginning now."""
+        """Draw a new random election time-out, which starts now."""
         least = self._state.timing.election_timeout
         self._deadline = self._state.now + self._state.rng.uniform(least, 2 * least)
 
     @property
     def may_campaign(self) -> bool:
-        """Whether this server is a voter, or was one by the committed log.
+        """Whether this server is a voter, or is one according to the committed log.
 
-        The change that removes it may be in its log alone, and then nobody else can be elected (4.2.2).
+        The change that removes it may be in its own log only, and then no other server can be elected (4.2.2).
         """
         log = self._state.log
         return self._state.server_id in log.members.voters | log.members_at(self._state.commit_index).voters
 
     def tick(self) -> None:
-        """Ask for pre-votes once the election time-out has run out."""
+        """Request pre-votes once the election time-out has expired."""
         state = self._state
         if state.role in (Role.LEADER, Role.FAILED) or state.now < self._deadline:
             return
@@ -51,7 +51,7 @@
             state.send(peer, self._vote_request(state.term + 1, pre_vote=True))
 
     def start(self, leadership_transfer: bool = False) -> None:
-        """Raise the term and ask for votes; the server's own vote counts once it is durable."""
+        """Raise the term and request votes; the server's own vote counts once it is durable."""
         state = self._state
         state.term, state.voted_for = state.term + 1, state.server_id
         state.role, state.leader = Role.CANDIDATE, None
@@ -63,7 +63,7 @@
             state.send_when_durable(peer, self._vote_request(state.term, leadership_transfer=leadership_transfer))
 
     def write_completed(self) -> None:
-        """Count the server's own vote once everything is durable."""
+        """Count the server's own vote once all writes are durable."""
         state = self._state
         if state.role is Role.CANDIDATE and state.all_durable and state.server_id not in self._votes:
             self._votes.add(state.server_id)
@@ -72,8 +72,8 @@
     def handle_request(self, peer: str, request: RequestVote) -> None:
         """Grant or deny a vote.
 
-        A server that leads, or has heard its leader within the election time-out, denies it and ignores the candidate's
-        term: the candidate is cut off or removed.
+        A server that leads, or has heard from its leader within the election time-out, denies it and ignores the
+        candidate's term: the candidate is partitioned or was removed.
         """
         state = self._state
         has_leader = state.role is Role.LEADER or state.now - state.leader_heard_at < state.timing.election_timeout
--- a/sprucepost/agreement/entries.py
+++ b/sprucepost/agreement/entries.py
@@ -1,18 +1,18 @@
-"""What the replicated log is made of: entries, the members that keep it, and snapshots."""
+"""The parts of the replicated log: entries, the members that replicate it, and snapshots."""
 
 from __future__ import annotations
 
 from collections.abc import Set
 from dataclasses import dataclass
 
-ENTRY_OVERHEAD_BYTES = 24  # index, term and framing, about
+ENTRY_OVERHEAD_BYTES = 24  # approximate size of index, term and framing
 
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """The cluster's configuration: voters decide, learners only receive the log.
+    """The cluster's configuration: voters form quorums, learners only receive the log.
 
-    A server's id stands for one incarnation: without a disk, a restart makes another member.
+    A server's id stands for one incarnation: a server without a disk is another member after a restart.
     """
 
     voters: frozenset[str] = frozenset()
@@ -20,6 +20,7 @@
 
     @property
     def all(self) -> frozenset[str]:
+        """Voters and learners."""
         return self.voters | self.learners
 
     def is_quorum(self, servers: Set[str]) -> bool:
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogPosition:
-    """Identifies one entry: at one index several terms may have written, and one of them is committed."""
+    """Identifies one entry: leaders of several terms may have written at one index, and only one entry is committed."""
 
     index: int
     term: int
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One entry of the log: a command, a change of the members, or neither (what a new leader begins its term with)."""
+    """One entry of the log: a command, a membership change, or neither (the first entry of a new leader's term)."""
 
     index: int
     term: int
@@ -46,7 +47,7 @@
 
     @property
     def size(self) -> int:
-        """About how many bytes it takes on the wire and in memory."""
+        """Approximate size in bytes on the wire and in memory."""
         names = sum(map(len, self.members.all)) if self.members is not None else 0
         return ENTRY_OVERHEAD_BYTES + len(self.command or b"") + names
 
--- a/sprucepost/agreement/follower.py
+++ b/sprucepost/agreement/follower.py
@@ -8,13 +8,13 @@
 
 
 class Follower:
-    """Appends what a leader sends."""
+    """Appends the entries that a leader sends."""
 
     def __init__(self, state: ServerState) -> None:
         self._state = state
 
     def handle_append(self, leader: str, request: AppendEntries) -> None:
-        """Append entries, or take note of a heartbeat."""
+        """Append entries, or note a heartbeat."""
         state = self._state
         if request.term < state.term:
             self._respond(leader, request, False, state.log.last_index)
@@ -22,7 +22,7 @@
         state.become_follower(request.term, leader, "heard a leader")
         state.leader_heard_at = state.now
         entries, prev_index = request.entries, request.prev_index
-        if prev_index < state.log.snapshot_index:  # what the snapshot has is committed, and so the same
+        if prev_index < state.log.snapshot_index:  # the snapshot holds committed entries, so these are equal
             skipped = state.log.snapshot_index - prev_index
             if len(entries) < skipped:
                 self._respond(leader, request, True, prev_index + len(entries))
@@ -43,7 +43,7 @@
         self._state.send_when_durable(leader, response)
 
     def _append(self, entries: tuple[Entry, ...]) -> None:
-        """Append from the first entry on that the log lacks or has with another term."""
+        """Append from the first entry on that the log does not have or has with another term."""
         state = self._state
         for position, entry in enumerate(entries):
             term = state.log.term_at(entry.index)
@@ -57,7 +57,7 @@
                 return
 
     def _next_candidate(self, prev_index: int, term: int | None) -> int:
-        """Where the leader should probe next: before the whole conflicting term, or at the end of this log."""
+        """The index at which the leader should probe next: before the conflicting term, or at the end of this log."""
         state = self._state
         if term is None:
             return state.log.last_index
--- a/sprucepost/agreement/log.py
+++ b/sprucepost/agreement/log.py
@@ -8,7 +8,7 @@
 
 
 class Log:
-    """Indices are consecutive. ``snapshot_index`` is the snapshot's; entries up to there are no longer available."""
+    """Entries with consecutive indices. Those up to ``snapshot_index`` are in the snapshot and no longer available."""
 
     def __init__(self, snapshot: Snapshot, entries: Iterable[Entry] = ()) -> None:
         self.snapshot_index, self.snapshot_term = snapshot.index, snapshot.term
@@ -19,20 +19,22 @@
 
     @property
     def last_index(self) -> int:
+        """Index of the last entry, or of the snapshot."""
         return self.snapshot_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
+        """Term of the last entry, or of the snapshot."""
         return self._entries[-1].term if self._entries else self.snapshot_term
 
     @property
     def members(self) -> Members:
-        """The latest in the log, committed or not: a change takes effect once it is appended (Ongaro, 2014, 4.1)."""
+        """The latest members in the log: a change takes effect when appended, committed or not (Ongaro, 2014, 4.1)."""
         return self._members[-1][1]
 
     @property
     def members_index(self) -> int:
-        """Where the latest change of the members stands."""
+        """Index of the latest membership change."""
         return self._members[-1][0]
 
     def members_at(self, index: int) -> Members:
@@ -40,7 +42,7 @@
         return next(members for at, members in reversed(self._members) if at <= index)
 
     def term_at(self, index: int) -> int | None:
-        """The term of that entry; None before the snapshot and after the end."""
+        """The term of the entry at that index; None before the snapshot and after the end."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if not self.snapshot_index < index <= self.last_index:
@@ -48,7 +50,7 @@
         return self._entries[index - self.snapshot_index - 1].term
 
     def entries_after(self, index: int, max_bytes: int, max_entries: int) -> tuple[Entry, ...]:
-        """The entries after that index within both bounds, but at least one where there is one."""
+        """The entries after that index within both limits, but at least one if there is any."""
         start = index - self.snapshot_index
         found: list[Entry] = []
         size = 0
@@ -64,7 +66,7 @@
         return tuple(self._entries[after - self.snapshot_index : until - self.snapshot_index])
 
     def extend(self, entries: Iterable[Entry]) -> None:
-        """Append entries; the first one follows the last index."""
+        """Append entries; the first one must follow the last index."""
         for entry in entries:
             assert entry.index == self.last_index + 1, "indices are consecutive"
             self._entries.append(entry)
@@ -81,7 +83,7 @@
             self._members.pop()
 
     def compact(self, index: int) -> None:
-        """Discard the entries up to that index, which a snapshot has."""
+        """Discard the entries up to that index, which a snapshot contains."""
         term, members = self.term_at(index), self.members_at(index)
         assert term is not None
         count = index - self.snapshot_index
--- a/sprucepost/agreement/membership.py
+++ b/sprucepost/agreement/membership.py
@@ -1,8 +1,8 @@
 """Membership changes, one server at a time, and leadership transfer (Ongaro, 2014, 3.10, 4.1 to 4.3).
 
 A new server is a learner until it has nearly all of the log, and only then a voter. A change takes effect once it is
-appended. The next one may be asked for once it is committed and the leader has committed an entry of its own term: without
-that, two leaders could each change the members by one and have no voter in common.
+appended. The next one may start once it is committed and the leader has committed an entry of its own term: otherwise
+two leaders could each change the members by one and end with quorums that have no voter in common.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from sprucepost.agreement.replication import Replication
 from sprucepost.agreement.state import Role, ServerState
 
-PROMOTION_LAG_ENTRIES = 64  # that a learner may lack and be promoted
+PROMOTION_LAG_ENTRIES = 64  # a learner that lacks more entries is not promoted
 
 
 class ChangeRejected(Exception):
@@ -30,7 +30,7 @@
         self._transfer_deadline = 0.0
 
     def add_learner(self, name: str) -> Members:
-        """The members with one more learner; :class:`ChangeRejected`."""
+        """The members with one more learner; raises :class:`ChangeRejected`."""
         members = self._state.log.members
         if name in members.all:
             raise ChangeRejected(f"{name} is a member already")
@@ -38,7 +38,7 @@
         return replace(members, learners=members.learners | {name})
 
     def promote(self, name: str) -> Members:
-        """The members with a learner made a voter; :class:`ChangeRejected`."""
+        """The members with a learner made a voter; raises :class:`ChangeRejected`."""
         state, members = self._state, self._state.log.members
         progress = self._replication.progress.get(name)
         if name not in members.learners:
@@ -49,7 +49,7 @@
         return Members(members.voters | {name}, members.learners - {name})
 
     def remove(self, name: str) -> Members:
-        """The members without one; :class:`ChangeRejected`."""
+        """The members without one; raises :class:`ChangeRejected`."""
         members = self._state.log.members
         if name not in members.all:
             raise ChangeRejected(f"{name} is no member")
@@ -59,7 +59,7 @@
         return Members(members.voters - {name}, members.learners - {name})
 
     def transfer_leadership(self, name: str) -> None:
-        """Begin to hand over to another voter; :class:`ChangeRejected`. Commands are rejected until it is over."""
+        """Begin a transfer to another voter; raises :class:`ChangeRejected`. Commands are rejected until it is over."""
         state = self._state
         if state.role is not Role.LEADER:
             raise ChangeRejected("does not lead")
@@ -72,7 +72,7 @@
         self.tick()
 
     def tick(self) -> None:
-        """Let the target start an election once it has the whole log; give up where that takes too long."""
+        """Let the target start an election once it has the whole log; give up after an election time-out."""
         state = self._state
         if self.transfer_target is None:
             return
@@ -83,7 +83,7 @@
             state.send(self.transfer_target, TimeoutNow(state.term))
 
     def step_down_if_removed(self) -> None:
-        """A leader that is no voter any more, by the committed log, lets the others lead."""
+        """Step down if this leader is no longer a voter according to the committed log."""
         state = self._state
         is_committed = state.log.members_index <= state.commit_index
         if state.role is Role.LEADER and is_committed and state.server_id not in state.log.members.voters:
--- a/sprucepost/agreement/messages.py
+++ b/sprucepost/agreement/messages.py
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestVote:
-    """A candidate asks for a vote.
+    """A candidate requests a vote.
 
-    ``pre_vote``: asks only whether the vote would be granted, so that a server that is cut off does not raise terms.
-    ``leadership_transfer``: the leader itself asked for this election.
+    ``pre_vote``: asks only whether the vote would be granted, so that a partitioned server does not raise terms.
+    ``leadership_transfer``: the leader itself requested this election.
     """
 
     term: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntries:
-    """Entries after ``prev_index``; a heartbeat where there are none. ``heartbeat_round`` numbers the leader's rounds."""
+    """Entries after ``prev_index``; without entries a heartbeat. ``heartbeat_round`` numbers the leader's rounds."""
 
     term: int
     prev_index: int
@@ -47,8 +47,8 @@
 class AppendEntriesResponse:
     """Answers :class:`AppendEntries`.
 
-    ``match_index``: where it succeeded, the log is durable and equal to the leader's up to there; where it did not, the
-    index at which the leader should try next.
+    ``match_index``: on success, the index up to which the log is durable and equal to the leader's; otherwise the index
+    at which the leader should probe next.
     """
 
     term: int
@@ -75,7 +75,8 @@
 class InstallSnapshotResponse:
     """Answers :class:`InstallSnapshot`.
 
-    ``received_bytes``: how much of the snapshot is there. ``done``: all of it, or the receiver has committed as far itself.
+    ``received_bytes``: how much of the snapshot has been received. ``done``: the whole snapshot has been received, or
+    the receiver has already committed that far.
     """
 
     term: int
--- a/sprucepost/agreement/reads.py
+++ b/sprucepost/agreement/reads.py
@@ -1,6 +1,6 @@
 """Linearizable reads without a log entry, by read index (Ongaro, 2014, 6.4).
 
-A heartbeat round that a quorum answers proves that this server still leads.
+A heartbeat round that a quorum answers proves that this server is still the leader.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Reads:
-    """The pending reads; answered in order."""
+    """The pending reads, which are answered in order."""
 
     def __init__(self, state: ServerState, replication: Replication) -> None:
         self._state, self._replication = state, replication
@@ -43,7 +43,7 @@
         self.advance()
 
     def advance(self) -> None:
-        """Answer the reads whose round a quorum has answered; reject all where this server no longer leads."""
+        """Answer the reads whose round a quorum has answered; reject all if this server no longer leads."""
         state = self._state
         while self._pending:
             first = self._pending[0]
--- a/sprucepost/agreement/registry.py
+++ b/sprucepost/agreement/registry.py
@@ -1,22 +1,24 @@
-"""The replicated state: small values with versions, sessions and leases. A function of the log, the same on every server.
+"""The replicated state: small values with versions, sessions and leases. It depends on the log alone.
 
 =======  ======================  ===================================================  ====================================
 a lease  when                    what holds                                           ends
 =======  ======================  ===================================================  ====================================
-free     nobody has it           whoever asks gets it, with a fencing token greater   acquired
-                                 than all before, to be shown with each action
-held     acquired while free     nobody else gets it; its holder renews it            released; its session is over; not
-                                                                                      renewed within its time to live
+free     no client holds it      the first client to ask acquires it, with a fencing  acquired
+                                 token greater than all before, which it must
+                                 present with each action
+held     acquired while free     no other client can acquire it; its holder renews    released; its session ends; not
+                                 it                                                   renewed within its time to live
 =======  ======================  ===================================================  ====================================
 
-Time is the log's own: the leader says how much has passed on its monotonic clock (``AdvanceClock``). Between two leaders
-none passes, so a lease lasts longer where the leader changes, never shorter. For the same reason a lease and a session
-count from the next ``AdvanceClock``: the time that it tells may have passed before they began. A holder counts from before
-it asked, on its own clock, and stops at :func:`safe_ttl_ms`: however two clocks drift within ``MAX_CLOCK_DRIFT``, it stops
-before anybody else begins. No wall clock is read.
+Time is kept in the log: the leader reports how much has passed on its monotonic clock (``AdvanceClock``). Between two
+leaders no time passes, so a change of the leader can only prolong a lease. For the same reason the time to live of a
+lease or session starts at the next ``AdvanceClock``: the time that this one reports may have passed before they began.
+A holder counts on its own clock, from before its request, and stops acting after :func:`safe_ttl_ms`: it stops before
+another client can acquire the lease, as long as no clock drifts by more than ``MAX_CLOCK_DRIFT``. No wall clock is
+read.
 
-A session makes commands exactly-once: it numbers them, and its latest result is kept, so that a command that is repeated
-after its leader died is answered and not carried out again.
+A session executes its commands exactly once: they are numbered and the latest result is kept, so that a command that a
+client repeats after a leader failed is answered and not executed again.
 """
 
 from __future__ import annotations
@@ -42,18 +44,18 @@
     decode,
 )
 
-MAX_CLOCK_DRIFT = 0.05  # how much faster or slower than true time a monotonic clock may go
+MAX_CLOCK_DRIFT = 0.05  # relative; how much faster or slower than true time a monotonic clock may run
 
 
 class Value(Struct, frozen=True):
-    """A value; ``version`` is the log index that set it."""
+    """A value; ``version`` is the index of the log entry that set it."""
 
     value: bytes
     version: int
 
 
 class Lease(Struct):
-    """A lease that is held. ``expires_at`` is in the log's time; None: counted from the next ``AdvanceClock``."""
+    """A lease that is held. ``expires_at`` is in the log's time, ms; None: set by the next ``AdvanceClock``."""
 
     session: int
     fencing_token: int
@@ -72,7 +74,7 @@
 
 
 class ValueChanged(Struct, frozen=True):
-    """What watchers are told: a value is another, or with None is gone."""
+    """A change that watchers receive: the new value, None if it was deleted."""
 
     index: int
     key: str
@@ -80,14 +82,14 @@
 
 
 class Limits(Struct, frozen=True):
-    """What the registry may hold; more is refused as ``FULL``."""
+    """Limits on what the registry holds; more is refused as ``FULL``."""
 
     keys: int = 10_000
     value_bytes: int = 4096
     sessions: int = 4096
     leases: int = 10_000
     name_length: int = 256
-    changes: int = 1024  # kept for watchers that come back
+    changes: int = 1024  # kept for watchers that reconnect
 
 
 class _State(Struct):
@@ -100,39 +102,41 @@
 
 
 def safe_ttl_ms(ttl_ms: float) -> float:
-    """For how long, on its own clock and from before it asked, a holder may act under a lease with that time to live."""
+    """How long a holder may act under a lease of that time to live, on its own clock and from before its request."""
     return ttl_ms * (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)
 
 
 class Registry:
-    """Feed :meth:`apply` with the committed entries, in order."""
+    """The state machine: pass the committed entries to :meth:`apply`, in order."""
 
     def __init__(self, limits: Limits = Limits()) -> None:  # noqa: B008 - frozen
         self._limits = limits
         self._state = _State()
         self._changes: deque[ValueChanged] = deque(maxlen=limits.changes)
-        self._changes_dropped_to = 0  # changes up to that index are not kept
+        self._changes_dropped_to = 0  # changes up to that log index are no longer kept
 
     # Reads
 
     @property
     def applied_index(self) -> int:
-        """The log index up to which this is."""
+        """Index of the last applied log entry."""
         return self._state.applied_index
 
     def get(self, key: str) -> Value | None:
+        """The value of a key, None if there is none."""
         return self._state.values.get(key)
 
     def keys(self, prefix: str = "") -> list[str]:
+        """The keys that begin with a prefix, sorted."""
         return sorted(key for key in self._state.values if key.startswith(prefix))
 
     def lease_holder(self, lease: str) -> tuple[str, int] | None:
-        """Which client has it, and its fencing token."""
+        """The client that holds the lease, and its fencing token; None if it is free."""
         held = self._state.leases.get(lease)
         return None if held is None else (self._state.sessions[held.session].client, held.fencing_token)
 
     def changes_after(self, index: int, prefix: str = "") -> list[ValueChanged] | None:
-        """Changes after that log index; None where they are no longer kept: read everything, and go on there."""
+        """Changes after that log index; None if they are no longer kept: the watcher must read all values again."""
         if index < self._changes_dropped_to:
             return None
         return [change for change in self._changes if change.index > index and change.key.startswith(prefix)]
@@ -144,7 +148,7 @@
         return msgpack.encode(self._state)
 
     def restore(self, data: bytes) -> None:
-        """Replace the state; watchers have to read everything."""
+        """Replace the state; watchers must read all values again."""
         self._state = msgpack.decode(data, type=_State) if data else _State()
         self._changes.clear()
         self._changes_dropped_to = self._state.applied_index
@@ -152,7 +156,7 @@
     # Commands
 
     def apply(self, index: int, command: bytes | None) -> Result:
-        """Apply the next log entry; what cannot be read changes nothing, on every server alike."""
+        """Apply the next log entry; one that cannot be decoded changes nothing, on all servers alike."""
         assert index == self._state.applied_index + 1, "in order, each once"
         self._state.applied_index = index
         if command is None:
@@ -184,7 +188,7 @@
         return Result()
 
     def _has_expired(self, item: Lease | Session) -> bool:
-        """Whether its time to live is over; it begins to count here where it has not yet."""
+        """Whether its time to live is over; starts the time to live if it has not started yet."""
         now = self._state.now
         if item.expires_at is None:
             item.expires_at = now + item.ttl_ms
@@ -205,7 +209,7 @@
         return Result()
 
     def _execute_once(self, command: SessionCommand) -> Result:
-        """Carry out a session's operation, or answer one that is repeated with its result."""
+        """Execute a session's operation, or answer a repeated one with the kept result."""
         session = self._state.sessions.get(command.session)
         if session is None:
             return Result(refusal=Refusal.NO_SESSION)
@@ -237,7 +241,8 @@
         is_full = len(state.leases) >= self._limits.leases or len(operation.lease) > self._limits.name_length
         if held is None and is_full:
             return Result(refusal=Refusal.FULL)
-        state.last_fencing_token += 1  # also for its present holder: earlier actions must not pass for later ones
+        # Also for its present holder: actions under the earlier lease must not count as later ones.
+        state.last_fencing_token += 1
         state.leases[operation.lease] = Lease(session, state.last_fencing_token, operation.ttl_ms)
         return Result(state.last_fencing_token)
 
@@ -273,7 +278,7 @@
         return Result(removed.version)
 
     def _version_mismatch(self, operation: Put | Delete) -> Result | None:
-        """The refusal of an operation that expects another version."""
+        """The refusal of an operation that expects another version; None if the version matches."""
         held = self._state.values.get(operation.key)
         version = held.version if held is not None else 0
         if operation.expected_version is None or operation.expected_version == version:
--- a/sprucepost/agreement/replication.py
+++ b/sprucepost/agreement/replication.py
@@ -1,4 +1,4 @@
-"""Log replication from the leader to the others, and what is committed by it (Ongaro, 2014, 3.5).
+"""Log replication from the leader to the followers, and the commit index (Ongaro, 2014, 3.5).
 
 Entries are sent while the leader writes them (10.2.1).
 
@@ -25,8 +25,8 @@
 )
 from sprucepost.agreement.state import Role, ServerState
 
-QUORUM_TIMEOUTS = 2  # a leader steps down after so many election time-outs without a quorum
-LOST_AFTER_INTERVALS = 5  # heartbeat intervals after which messages in flight are taken for lost
+QUORUM_TIMEOUTS = 2  # a leader steps down after so many election time-outs without responses of a quorum
+LOST_AFTER_INTERVALS = 5  # heartbeat intervals of silence after which messages in flight are considered lost
 CHUNK_RETRY_INTERVALS = 2  # heartbeat intervals after which a chunk of a snapshot may be sent again
 NEVER = float("-inf")
 
@@ -37,12 +37,12 @@
 
     next_index: int
     match_index: int = 0  # durable there
-    is_replicating: bool = False  # the logs are known to agree; else it is probed
+    is_replicating: bool = False  # the logs are known to agree; otherwise it is probed
     in_flight: int = 0  # AppendEntries without a response
     chunk_sent_at: float = NEVER
     last_heard: float = 0.0
     heartbeat_round: int = 0  # the latest that it has answered
-    snapshot_index: int = 0  # of the snapshot that it is sent, 0 for none
+    snapshot_index: int = 0  # of the snapshot that is being sent to it, 0 for none
     snapshot_offset: int = 0  # bytes of that snapshot that it has
 
 
@@ -55,7 +55,7 @@
         self.heartbeat_round = 0
         self._heartbeat_at = 0.0
 
-    # What the server calls
+    # Called by the server
 
     def start_leading(self) -> None:
         """Begin a term as leader: nothing is known of the others yet."""
@@ -73,7 +73,7 @@
         }
 
     def tick(self) -> None:
-        """Send heartbeats when they are due; step down where no quorum is heard."""
+        """Send heartbeats when they are due; step down without responses of a quorum."""
         state = self._state
         if state.role is not Role.LEADER:
             return
@@ -85,7 +85,7 @@
             self.send_heartbeats()
 
     def send_heartbeats(self) -> None:
-        """Start a heartbeat round: each follower gets what it lacks, or an empty AppendEntries."""
+        """Start a heartbeat round: each follower is sent the entries it lacks, or an empty AppendEntries."""
         state = self._state
         self._heartbeat_at = state.now + state.timing.heartbeat_interval
         self.heartbeat_round += 1
@@ -98,12 +98,12 @@
                 self._send_append(name, progress, ())
 
     def replicate(self) -> None:
-        """Send the others what they lack, now."""
+        """Send the followers the entries they lack, now."""
         for name, progress in self.progress.items():
             self._replicate_to(name, progress)
 
     def advance_commit(self) -> None:
-        """Commit what is durable at a quorum, if it is of the current term (3.6.2)."""
+        """Commit the entries that are durable at a quorum, if the last one is of the current term (3.6.2)."""
         state = self._state
         voters = state.log.members.voters
         matches = sorted(state.durable_index if name == state.server_id else self._match_index(name) for name in voters)
@@ -114,7 +114,7 @@
             state.commit_to(index)
 
     def handle_append_response(self, name: str, response: AppendEntriesResponse) -> None:
-        """Go on after an AppendEntries that succeeded, or look for where the logs agree."""
+        """Continue after an AppendEntries that succeeded, or probe for the index where the logs agree."""
         state, progress = self._state, self._progress_of(name, response)
         if progress is None:
             return
@@ -131,7 +131,7 @@
         self._replicate_to(name, progress)
 
     def handle_snapshot_response(self, name: str, response: InstallSnapshotResponse) -> None:
-        """Send the next chunk, or go on with entries."""
+        """Send the next chunk, or continue with entries."""
         state, progress = self._state, self._progress_of(name, response)
         if progress is None:
             return
@@ -147,10 +147,10 @@
         else:
             self._send_chunk(name, progress, again=True)
 
-    # How
+    # Implementation
 
     def _has_quorum_since(self, since: float) -> bool:
-        """Whether a quorum, this server included, has been heard since then."""
+        """Whether a quorum, this server included, has responded since then."""
         state = self._state
         heard = {name for name, progress in self.progress.items() if progress.last_heard >= since}
         return state.log.members.is_quorum({state.server_id, *heard})
@@ -160,7 +160,7 @@
         return progress.match_index if progress is not None else 0
 
     def _progress_of(self, name: str, response: AppendEntriesResponse | InstallSnapshotResponse) -> Progress | None:
-        """The progress that a response counts for; None where it is of another term or from a stranger."""
+        """The progress that a response counts for; None if it is of another term or from a server that is no member."""
         state, progress = self._state, self.progress.get(name)
         if response.term > state.term:
             state.become_follower(response.term, None, "a newer term")
@@ -171,7 +171,7 @@
         return progress
 
     def _replicate_to(self, name: str, progress: Progress, is_heartbeat: bool = False) -> bool:
-        """Whether something was sent, or a chunk is under way."""
+        """Send what a follower lacks; returns whether anything was sent or a chunk is in flight."""
         state = self._state
         if progress.next_index <= state.log.snapshot_index:
             self._send_chunk(name, progress, again=is_heartbeat)
@@ -205,7 +205,7 @@
         state.send(name, message)
 
     def _send_chunk(self, name: str, progress: Progress, again: bool) -> None:
-        """Send the next chunk of the snapshot; unless ``again``, not while one was sent a moment ago."""
+        """Send the next chunk of the snapshot; unless ``again``, only if none was sent within the retry interval."""
         state, snapshot = self._state, self._state.snapshot
         if progress.snapshot_index != snapshot.index:
             progress.snapshot_index, progress.snapshot_offset, progress.chunk_sent_at = snapshot.index, 0, NEVER
--- a/sprucepost/agreement/server.py
+++ b/sprucepost/agreement/server.py
@@ -1,7 +1,8 @@
 """One Raft server: time and messages in, actions out; no I/O.
 
-Raft as published (Ongaro and Ousterhout, 2014; Ongaro's dissertation of the same year). Each concern has a module of its
-own: ``election``, ``replication``, ``follower``, ``snapshots``, ``reads``, ``membership``; what they share is in ``state``.
+Raft as published (Ongaro and Ousterhout, 2014; Ongaro's dissertation of the same year). Each part has a module of its
+own: ``election``, ``replication``, ``follower``, ``snapshots``, ``reads``, ``membership``; shared state is in
+``state``.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class Change(Enum):
-    """What an operator may ask of the leader."""
+    """A change that an operator may request of the leader."""
 
     ADD_LEARNER = "add learner"
     PROMOTE = "promote"
@@ -65,20 +66,23 @@
 
     @property
     def is_leader(self) -> bool:
+        """Whether this server leads, as far as it knows."""
         return self.state.role is Role.LEADER
 
     @property
     def leader(self) -> str | None:
+        """The id of the leader of the current term; None if unknown."""
         return self.state.leader
 
     @property
     def members(self) -> Members:
+        """The latest members in the log, committed or not."""
         return self.state.log.members
 
     # Events
 
     def tick(self, now: float) -> list[Action]:
-        """To be called often: a tenth of ``Timing.heartbeat_interval`` is plenty."""
+        """Must be called periodically; a tenth of ``Timing.heartbeat_interval`` is often enough."""
         self.state.now = now
         if self.state.role is not Role.FAILED:
             self.election.tick()
@@ -88,7 +92,7 @@
         return self._finish()
 
     def receive(self, now: float, peer: str, message: Message) -> list[Action]:
-        """A message of another server; it may be late, repeated or out of order."""
+        """Handle a message of another server; it may be late, repeated or out of order."""
         self.state.now = now
         if self.state.role is Role.FAILED:
             return []
@@ -115,10 +119,10 @@
     # Requests
 
     def propose(self, now: float, command: bytes) -> tuple[LogPosition | None, list[Action]]:
-        """Append a command; its position, or None where this server cannot take it.
+        """Append a command; returns its position, or None if this server cannot accept it.
 
-        It is committed when ``Apply`` brings that index with that term. With another term it never was, and may be
-        proposed again.
+        It is committed when ``Apply`` delivers that index with that term. If the term is another one, the command was
+        not committed and may be proposed again.
         """
         self.state.now = now
         if not self._accepts(command):
@@ -128,13 +132,13 @@
         return LogPosition(entry.index, entry.term), self._finish()
 
     def read(self, now: float, ticket: int) -> list[Action]:
-        """Ask when a read may be answered."""
+        """Request a linearizable read; ``ReadReady`` or ``ReadRejected`` with that ticket answers it."""
         self.state.now = now
         self.reads.request(ticket)
         return self._finish()
 
     def change(self, now: float, change: Change, name: str) -> tuple[ChangeRejected | None, list[Action]]:
-        """Change the members or the leader; why it was rejected, None where it has begun."""
+        """Change the members or the leader; returns the reason of a rejection, None if the change has begun."""
         self.state.now = now
         try:
             self._begin_change(change, name)
@@ -143,12 +147,12 @@
         return None, self._finish()
 
     def take_snapshot(self, now: float, index: int, applied_state: bytes) -> list[Action]:
-        """The state after applying up to that index, in answer to ``snapshots.needed``."""
+        """Compact the log by the state after applying up to that index; call it when ``snapshots.needed``."""
         self.state.now = now
         self.snapshots.take(index, applied_state)
         return self._finish()
 
-    # How
+    # Implementation
 
     def _dispatch(self, peer: str, message: Message) -> None:
         if isinstance(message, AppendEntries | InstallSnapshot) and message.term >= self.state.term:
@@ -210,7 +214,7 @@
         return sum(entry.size for entry in state.log.entries_between(start, state.log.last_index))
 
     def _finish(self) -> list[Action]:
-        """The actions of a call, once what follows from it has been looked at."""
+        """Do what follows from a call, and return its actions."""
         self.membership.step_down_if_removed()
         if not self.is_leader:
             self.replication.progress = {}
--- a/sprucepost/agreement/snapshots.py
+++ b/sprucepost/agreement/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: taken when the log has grown, received in chunks. A partly received one is kept until a newer one begins."""
+"""Snapshots, taken when the log has grown and received in chunks; a partial one is kept until a newer one begins."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Snapshots:
-    """Compacts the log of one server, and installs what a leader sends."""
+    """Compacts the log of one server, and installs snapshots that a leader sends."""
 
     def __init__(self, state: ServerState) -> None:
         self._state = state
@@ -24,7 +24,7 @@
         return state.log.size_bytes > state.bounds.log_bytes and state.commit_index > state.log.snapshot_index
 
     def take(self, index: int, applied_state: bytes) -> None:
-        """Compact the log: ``applied_state`` is what applying up to that index has made."""
+        """Compact the log: ``applied_state`` is the state after applying up to that index."""
         state = self._state
         if not state.log.snapshot_index < index <= state.commit_index:
             return
@@ -35,7 +35,7 @@
         state.write(snapshot=state.snapshot)
 
     def handle_install(self, leader: str, request: InstallSnapshot) -> None:
-        """Take a chunk of the leader's snapshot; install the snapshot once it is whole."""
+        """Accept a chunk of the leader's snapshot; install the snapshot once it is complete."""
         state = self._state
         if request.term < state.term:
             self._respond(leader, request, 0)
--- a/sprucepost/agreement/state.py
+++ b/sprucepost/agreement/state.py
@@ -1,4 +1,4 @@
-"""What the parts of a Raft server share: its term, role and log, and the order of writing and sending.
+"""State shared by the parts of a Raft server: its term, role and log, and the order of writes and sends.
 
 =============  ===============================  ==============================================  ===========================
 role           entered when                     what it does                                    left when
@@ -11,12 +11,12 @@
                the leader transfers leadership                                                  leader; a time-out
 leader         a quorum voted for it            takes commands, replicates, counts what is      no quorum heard; a newer
                                                 durable at a quorum                             term
-failed         a write failed                   nothing any more                                never: it restarts as
+failed         a write failed                   nothing                                         never: it restarts as
                                                                                                 another member
 =============  ===============================  ==============================================  ===========================
 
-A server sends nothing that depends on state that is not durable yet: responses and vote requests wait for the latest write.
-A leader sends entries while it writes them, and counts itself once they are written.
+A server sends nothing that depends on state that is not durable yet: responses and vote requests wait for the last
+write. A leader sends entries while it writes them, and counts itself once they are written.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Role(Enum):
-    """See the table above."""
+    """The role of a server; see the table of this module."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """ms. An election starts after once to twice ``election_timeout`` without a leader; several heartbeats fit into it."""
+    """Times in ms. An election starts after 1 to 2 election time-outs without a leader; several heartbeats fit in."""
 
     election_timeout: float = 500.0
     heartbeat_interval: float = 100.0
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """What a server may hold and have in flight."""
+    """Limits on what a server holds and has in flight."""
 
-    append_bytes: int = 65_536  # entries in one AppendEntries
-    append_entries: int = 512  # likewise
+    append_bytes: int = 65_536  # of entries in one AppendEntries
+    append_entries: int = 512  # in one AppendEntries
     appends_in_flight: int = 16  # to one follower
     snapshot_chunk_bytes: int = 65_536
-    uncommitted_bytes: int = 4 * 1024 * 1024  # commands beyond that are rejected
-    log_bytes: int = 8 * 1024 * 1024  # beyond that a snapshot is needed
+    uncommitted_bytes: int = 4 * 1024 * 1024  # further commands are rejected
+    log_bytes: int = 8 * 1024 * 1024  # of a larger log a snapshot is needed
     pending_reads: int = 4096
 
 
@@ -77,7 +77,7 @@
 
 
 class ServerState:
-    """``stored`` is what this server has durable. ``now`` is a monotonic clock's ms."""
+    """``stored`` is the durable state of this server. ``now`` is a monotonic clock's ms."""
 
     def __init__(
         self, server_id: str, stored: PersistentState, rng: RandomSource, now: float, timing: Timing, bounds: Bounds
@@ -94,14 +94,14 @@
         self.counters: Counter[str] = Counter()
         self._actions: list[Action] = []
         self._written_sequence = 0  # the latest write that is durable
-        self._last_sequence = 0  # the latest write that was asked for
+        self._last_sequence = 0  # the latest write that was requested
         self._pending_writes: deque[_PendingWrite] = deque()
         self._deferred_sends: deque[_DeferredSend] = deque()
 
     # Actions
 
     def emit(self, action: Action) -> None:
-        """Add an action to those that the caller will be given."""
+        """Add an action to those that the current call returns."""
         self._actions.append(action)
 
     def take_actions(self) -> list[Action]:
@@ -114,7 +114,7 @@
         self.emit(Send(to, message))
 
     def send_when_durable(self, to: str, message: Message) -> None:
-        """Send once all writes asked for so far are durable."""
+        """Send once all writes requested so far are durable."""
         if self._written_sequence < self._last_sequence:
             self._deferred_sends.append(_DeferredSend(self._last_sequence, Send(to, message)))
         else:
@@ -125,7 +125,7 @@
     def write(
         self, truncate_from: int | None = None, entries: tuple[Entry, ...] = (), snapshot: Snapshot | None = None
     ) -> None:
-        """Ask for term and vote, and these changes of the log, to be made durable."""
+        """Request that term, vote and these changes of the log be made durable."""
         self._last_sequence += 1
         if truncate_from is not None:
             self.durable_index = min(self.durable_index, truncate_from - 1)
@@ -165,12 +165,12 @@
                 self.emit(LeaderChanged(self.term, leader, reason))
 
     def step_down(self, reason: str) -> None:
-        """Stop leading without a newer term."""
+        """Become a follower without a newer term."""
         self.role = Role.FOLLOWER
         self.forget_leader(reason)
 
     def forget_leader(self, reason: str) -> None:
-        """Nobody is known to lead."""
+        """Note that no leader is known."""
         self.leader = None
         self.emit(LeaderChanged(self.term, None, reason))
 
--- a/sprucepost/view/messages.py
+++ b/sprucepost/view/messages.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dial:
-    """Open a stream to an address; ``name`` is the member's, or the address again where only a seed's address is known."""
+    """Open a stream to an address; ``name`` is the member's, or the address again for a seed of unknown name."""
 
     name: str
     address: str
--- a/sprucepost/view/record.py
+++ b/sprucepost/view/record.py
@@ -17,11 +17,11 @@
 class Record:
     """One member as it describes itself; no other member writes its record.
 
-    ``incarnation``: wall-clock ms of its start, greater than its predecessor's. ``life``: a random id drawn at its start,
-    which tells two processes of one name apart. ``version`` grows with each change. ``number``: its placer number.
-    ``sees``: name and life of each member to which it has a stream that is alive in both directions. ``left``: it has left
-    the fleet in an orderly way. ``generation``: the generation under which it runs. ``status``: its lifecycle state, for
-    operators.
+    ``incarnation``: wall-clock ms of its start, greater than its predecessor's. ``life``: a random id drawn at its
+    start, which tells two processes of one name apart. ``version`` grows with each change. ``number``: its placer
+    number. ``sees``: name and life of each member to which it has a stream that is alive in both directions. ``left``:
+    it has left the fleet in an orderly way. ``generation``: the generation under which it runs. ``status``: its
+    lifecycle state, for operators.
     """
 
     name: str
@@ -45,8 +45,8 @@
 
 
 def _sort_key(record: Record) -> tuple[object, ...]:
-    # A correct member never writes two different records of one age. The order is total all the same, so that all members
-    # that have received both keep the same one.
+    # A correct member never writes two different records of one age. The order is total all the same, so that all
+    # members that have received both keep the same one.
     values = [getattr(record, name) for name in Record.__slots__ if name != "generation"]
     return *values, record.generation.order, record.generation.over_ms or 0.0
 
--- a/sprucepost/view/rings.py
+++ b/sprucepost/view/rings.py
@@ -1,4 +1,4 @@
-"""Which members have streams to each other: K rings over all members, each in its own order, which all members compute."""
+"""Which members have streams to each other: K rings over all members, each in an order that all compute alike."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 def ring_count(members: int) -> int:
     """The number of rings over so many members: the natural logarithm, within bounds.
 
-    Each member has a stream to a successor in every ring and one from a predecessor, so that half of all members may fail
-    at once and hardly any of the others is isolated.
+    Each member has a stream to a successor in every ring and one from a predecessor, so that half of all members may
+    fail at once and hardly any of the others is isolated.
     """
     return min(MAX_RINGS, max(MIN_RINGS, math.ceil(math.log(max(1, members)))))
 
@@ -29,8 +29,8 @@
 def ring_successors(me: Record, members: Collection[Record]) -> list[str]:
     """The members that ``me`` keeps a stream to: its successor in each ring, each member once.
 
-    In even rings this is the first successor on another host, in odd ones the first in another room, and the first of all
-    where there is none. So a host or a room that is cut off is not monitored by its own members alone.
+    In even rings this is the first successor on another host, in odd ones the first in another room, and the first of
+    all where there is none. So a host or a room that is cut off is not monitored by its own members alone.
     """
     others = [member for member in members if member.name != me.name]
     by_name = {member.name: member for member in others}
--- a/sprucepost/view/view.py
+++ b/sprucepost/view/view.py
@@ -1,8 +1,8 @@
-"""The membership state machine of one placer: takes time and messages, returns actions. It does no I/O and reads no clock.
+"""The membership state machine of one placer: takes time and messages, returns actions. No I/O, no clock of its own.
 
 Members agree on one thing only: each member's own :class:`Record`, which no other member writes and of which the newest
-version wins. All else is derived from the records. A record lists the members that its own member *sees*, that is, has a
-live stream to. A member is *here* if it can be reached from this one over such edges. No member reports another as
+version wins. All else is derived from the records. A record lists the members that its own member *sees*, that is, has
+a live stream to. A member is *here* if it can be reached from this one over such edges. No member reports another as
 failed: a member is away when no member that is here sees it, however many of its streams have broken, and it is here
 again as soon as one of them does.
 
@@ -29,9 +29,10 @@
            longer needed                     ring needs it
 =========  ================================  =================================================  =======================
 
-The stream time-out adapts. A member that finds that it was stalled itself, or that most of its streams fell silent at one
-time, suspects itself first and doubles the time-out for a while (Dadgar, Phillips, Currey: Lifeguard, 2018). Changes that
-are close in time are reported as one, as in Rapid (Suresh, Malkhi and others, 2018), which also describes the rings.
+The stream time-out adapts. A member that finds that it was stalled itself, or that most of its streams fell silent at
+one time, suspects itself first and doubles the time-out for a while (Dadgar, Phillips, Currey: Lifeguard, 2018).
+Changes that are close in time are reported as one, as in Rapid (Suresh, Malkhi and others, 2018), which also describes
+the rings.
 """
 
 from __future__ import annotations
@@ -58,8 +59,8 @@
 
 TICK_MS = 100.0  # interval of ticks while something changes
 IDLE_TICK_MS = 500.0  # interval of ticks otherwise
-HEARTBEAT_MS = 500.0  # interval of heartbeats on a stream while something changes,
-FREQUENT_HEARTBEATS_MS = 10_000.0  # and for so long after the last change
+HEARTBEAT_MS = 500.0  # interval of heartbeats on a stream after a change
+FREQUENT_HEARTBEATS_MS = 10_000.0  # for so long after the last change they are sent at that interval
 IDLE_HEARTBEAT_MS = 2000.0  # interval of heartbeats otherwise; they are most of what an idle member costs
 STREAM_TIMEOUT_MS = 2.5 * IDLE_HEARTBEAT_MS  # a silent stream is closed; one heartbeat may be lost and one late
 MAX_TIMEOUT_FACTOR = 2.0  # by which the stream time-out grows while this member suspects itself
@@ -71,8 +72,8 @@
 AWAY_AFTER_MS = 800.0  # a member that nobody sees is away after that; broken streams are usually back sooner
 # A member with so few streams is away later: a stall of 1 s and the dial after it fit into this time.
 FEW_STREAMS, AWAY_AFTER_WITH_FEW_STREAMS_MS = 2, 1500.0
-GAIN_PUBLISH_INTERVAL_MS = 1000.0  # between updates of the own record for new streams, during
-STARTUP_MS = 10_000.0  # after the start: hundreds of members may start at once, and each update goes to all of them
+GAIN_PUBLISH_INTERVAL_MS = 1000.0  # a starting member adds new streams to its record at most that often
+STARTUP_MS = 10_000.0  # a member counts as starting; hundreds may start at once, and each update goes to all of them
 REPORT_DELAY_MS = 300.0  # a change is reported when nothing else has changed for so long,
 MAX_REPORT_DELAY_MS = 1000.0  # or after that at the latest
 FORGET_MS = 600_000.0  # the record of a member that is away or left is kept for so long
@@ -96,9 +97,9 @@
 class View:
     """The members of the fleet as this member knows them.
 
-    ``record`` is this member's own. ``seeds`` are addresses to join by; any of them may be dead. ``settings`` is the digest
-    that all members must agree on; ``fixed_settings`` is the digest of the part that running members cannot change, empty
-    where they can change nothing. ``now`` is a monotonic clock's ms, here and in all methods.
+    ``record`` is this member's own. ``seeds`` are addresses to join by; any of them may be dead. ``settings`` is the
+    digest that all members must agree on; ``fixed_settings`` is the digest of the part that running members cannot
+    change, empty where they can change nothing. ``now`` is a monotonic clock's ms, here and in all methods.
     """
 
     def __init__(
--- a/tests/agreement/defects.py
+++ b/tests/agreement/defects.py
@@ -1,4 +1,4 @@
-"""Planted defects of a Raft server, each a change to its source text; the tests must find every one."""
+"""Seeded defects of a Raft server, each a change to its source text; the tests must detect every one."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """``old`` stands once in the module's source, and ``new`` takes its place."""
+    """``old`` occurs once in the module's source and is replaced by ``new``."""
 
     module: ModuleType
     old: str
@@ -101,19 +101,21 @@
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
-    """The module's classes behave as with that defect."""
+def defect_applied(name: str) -> Iterator[None]:
+    """Run the body with that defect in the module's classes."""
     defect = DEFECTS[name]
     module, text = defect.module, inspect.getsource(defect.module)
-    assert text.count(defect.old) == 1, f"{name}: its text stands {text.count(defect.old)} times"
+    assert text.count(defect.old) == 1, f"{name}: its text occurs {text.count(defect.old)} times"
     namespace = dict(vars(module))
     exec(compile(text.replace(defect.old, defect.new), module.__file__ or "", "exec"), namespace)
     with ExitStack() as stack:
         classes = [value for value in vars(module).values() if isinstance(value, type)]
         for real in [cls for cls in classes if cls.__module__ == module.__name__]:
-            planted_class = namespace[real.__name__]
-            namespace[real.__name__] = real  # what the planted code creates or raises is of the real classes
-            for key, value in vars(planted_class).items():
+            defective_class = namespace[real.__name__]
+            namespace[real.__name__] = (
+                real  # instances that the defective code creates or raises are of the real classes
+            )
+            for key, value in vars(defective_class).items():
                 if isinstance(value, (FunctionType, property)) and not key.startswith("__"):
                     stack.enter_context(mock.patch.object(real, key, value))
         yield
--- a/tests/agreement/schedules.py
+++ b/tests/agreement/schedules.py
@@ -1,8 +1,8 @@
-"""Fault schedules drawn from a seed, played with Raft servers alone, and the invariants that must hold all the time.
+"""Random fault schedules for Raft servers alone, and the invariants that must hold all the time.
 
-``violations(seed)`` plays one and returns the invariants that broke, a line each. The replicated state is the list of
-applied commands, so linearizability is a matter of positions in that list: an operation stands behind all that ended before
-it began.
+``violations(seed)`` runs one and returns each violated invariant as a line. The replicated state is the list of applied
+commands, so linearizability is checked by positions in that list: an operation must come after all that ended before it
+began.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from sprucepost.play.network import DatagramNetwork, DiskProcess
 
 TICK_MS = 20.0
-RECOVERY_MS = 6000.0  # after the last fault: somebody leads, and a command is committed
+RECOVERY_MS = 6000.0  # after the last fault, until a server leads and a command is committed
 
 
 @dataclass(frozen=True)
 class Proposal:
-    """A command that a server has taken."""
+    """A command that a server has accepted."""
 
     term: int
     began: float
@@ -32,11 +32,11 @@
 
 
 class Cluster:
-    """Raft servers on a simulated network, and clients that ask any of them."""
+    """Raft servers on a simulated network, and clients that send requests to any of them."""
 
     def __init__(self, seed: int) -> None:
         self.rng = rng = random.Random(seed)
-        self.has_disks = rng.random() < 0.7  # else a restarted server is another member
+        self.has_disks = rng.random() < 0.7  # otherwise a restarted server is another member
         self.bounds = Bounds(
             append_bytes=rng.choice((60, 4000)),
             append_entries=rng.choice((1, 3, 64)),
@@ -67,10 +67,10 @@
         for name in sorted(first):
             self.start(name)
 
-    # What servers do
+    # Servers
 
     def start(self, name: str, stored: PersistentState | None = None) -> None:
-        """A server's process begins with what its disk has."""
+        """Start a server's process with the state on its disk."""
         stored = stored or self.stored[name]
         rng = random.Random(self.rng.random())
         clock_rate = 1.0 + self.rng.uniform(-self.clock_drift, self.clock_drift)
@@ -120,7 +120,7 @@
         self.applied_index[name] = entry.index
         known = self.committed.setdefault(entry.index, entry)
         if known != entry:
-            self.violations.append(f"{name} commits {entry} where {known} stood")
+            self.violations.append(f"{name} commits {entry} in place of {known}")
         if entry.command is not None:
             self.applied[name].append(entry.command)
         proposal = self._proposals[name].pop(entry.index, None)
@@ -132,10 +132,10 @@
         self.applied[name], self.applied_index[name] = _commands(snapshot.state), snapshot.index
         committed = [self.committed[n].command for n in range(1, snapshot.index + 1) if n in self.committed]
         if [command for command in committed if command is not None] != self.applied[name]:
-            self.violations.append(f"{name} takes a snapshot up to {snapshot.index} that is another state")
+            self.violations.append(f"{name} installs a snapshot up to {snapshot.index} of another state")
 
     def _finish(self, began: float, position: float) -> None:
-        """A read that has seen so many commands, or a command half a place before the count that it makes."""
+        """Check an operation that has ended; ``position``: how many commands a read has seen, half less for a command."""
         for ended, other in self._finished:
             if ended < began and other > position:
                 self.violations.append(
@@ -144,10 +144,10 @@
                 break
         self._finished.append((self.network.now, position))
 
-    # What clients and operators do
+    # Clients and operators
 
     def request(self) -> None:
-        """A command or a read, at any server that runs, most often at a leader."""
+        """Send a command or a read to a running server, most often to a leader."""
         names = [name for name, process in self.network.processes.items() if process.alive]
         if not names:
             return
@@ -173,7 +173,7 @@
         return actions
 
     def change(self) -> None:
-        """Change the members or the leader, where a leader runs and takes it."""
+        """Request a change of the members or the leader of a running leader."""
         for name, process in list(self.network.processes.items()):
             if process.alive and self.server(name).is_leader and self.network.now >= process.paused_until:
                 self._change_at(process)
@@ -221,12 +221,12 @@
         self.network.processes[name].write_ms = (low + extra_ms, high + extra_ms)
 
     def partition(self, began: float, length_ms: float, separates: Callable[[str, str], bool]) -> None:
-        """Lose datagrams between some servers for a time."""
+        """Drop datagrams between some servers for a time."""
         self.network.at(began, partial(self.network.partitions.append, separates))
         self.network.at(began + length_ms, partial(self.network.partitions.remove, separates))
 
     def draw_sides(self, rng: random.Random, names: list[str]) -> dict[str, int]:
-        """Put each server, and each that may join, on one of two sides."""
+        """Assign each server, and each that may join, to one of two sides."""
         return {name: rng.randrange(2) for name in [*names, *self.spares]}
 
 
@@ -239,7 +239,7 @@
 
 
 def _add_fault(cluster: Cluster, rng: random.Random) -> float:
-    """Schedule one fault; returns when it is over."""
+    """Schedule one fault; returns the time at which it is over."""
     network, names = cluster.network, sorted(cluster.stored)
     began, length = rng.uniform(300.0, 3500.0), rng.choice((100.0, 600.0, 1500.0, 4000.0))
     kind = rng.choice(("cut", "cut", "one_way", "kill", "power", "power", "pause", "slow", "fail", "all"))
@@ -257,13 +257,13 @@
     elif kind == "slow":
         network.at(began, partial(cluster.slow_disk, name, 200.0))
         network.at(began + length, partial(cluster.slow_disk, name, 0.0))
-    elif len(names) >= 3 and rng.random() < 0.5:  # for good: it never sends anything again
+    elif len(names) >= 3 and rng.random() < 0.5:  # permanent: it never sends anything again
         network.at(began, partial(cluster.fail_write, name))
     return began + length
 
 
 def _add_churn(cluster: Cluster, rng: random.Random) -> float:
-    """Schedule restarts, partitions and pauses all the time: one election after the other. Returns when it is over."""
+    """Schedule restarts, partitions and pauses that cause one election after another; returns the time of the end."""
     network = cluster.network
     at, names = rng.uniform(200.0, 800.0), sorted(cluster.stored)
     until = at + rng.choice((1500.0, 3000.0))
@@ -283,12 +283,12 @@
 
 
 def violations(seed: int) -> list[str]:
-    """Play a drawn schedule; the invariants that broke."""
+    """Run the random schedule of that seed; returns the violated invariants."""
     return play(seed).violations
 
 
 def play(seed: int) -> Cluster:
-    """Play a drawn schedule; the cluster after it."""
+    """Run the random schedule of that seed; returns the cluster after it."""
     rng = random.Random(f"schedule {seed}")
     cluster, over = Cluster(seed), 0.0
     if rng.random() < 0.4:
@@ -306,7 +306,7 @@
 
 
 def _check_recovery(cluster: Cluster) -> None:
-    """After the last fault a command must be committed in time, unless a disk failed or state was lost for good."""
+    """After the last fault a command must be committed in time, unless a disk failed or state was lost."""
     network, counts = cluster.network, cluster.counts
     network.loss = min(network.loss, 0.02)
     has_failed = any(cluster.server(name).state.role is Role.FAILED for name in network.processes)
@@ -315,4 +315,4 @@
         cluster.request()
         network.run(network.now + 100.0)
     if counts["commands"] == before and not cluster.violations and not has_failed and cluster.has_disks:
-        cluster.violations.append(f"nothing is committed {RECOVERY_MS:.0f} ms after the last fault")
+        cluster.violations.append(f"no command is committed {RECOVERY_MS:.0f} ms after the last fault")
--- a/tests/agreement/test_registry.py
+++ b/tests/agreement/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry: a function of the log, exactly once, leases that never overlap however clocks drift."""
+"""The registry: determined by the log, exactly-once commands, and leases that never overlap under clock drift."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 ).map(c.encode)
 
 
-def played(commands: list[bytes | None], since: int = 0, state: bytes = b"") -> tuple[r.Registry, list[c.Result]]:
+def apply_all(commands: list[bytes | None], since: int = 0, state: bytes = b"") -> tuple[r.Registry, list[c.Result]]:
     registry = r.Registry()
     registry.restore(state)
     return registry, [registry.apply(since + n, command) for n, command in enumerate(commands, 1)]
 
 
 @given(st.lists(st.none() | COMMANDS | st.binary(max_size=6), max_size=40), st.integers(0, 40))
-def test_a_snapshot_in_between_changes_nothing(commands: list[bytes | None], cut: int) -> None:
-    whole, answers = played(commands)
-    first, _ = played(commands[:cut])
-    rest, more = played(commands[cut:], len(commands[:cut]), first.snapshot())
+def test_restoring_a_snapshot_midway_changes_nothing(commands: list[bytes | None], cut: int) -> None:
+    whole, answers = apply_all(commands)
+    first, _ = apply_all(commands[:cut])
+    rest, more = apply_all(commands[cut:], len(commands[:cut]), first.snapshot())
     assert rest.snapshot() == whole.snapshot() and more == answers[cut:]
 
 
@@ -57,7 +57,7 @@
 
 
 class Client:
-    """A session's commands, in order."""
+    """A client with one session; sends its commands in order."""
 
     def __init__(self, registry: r.Registry, name: str = "p1", ms: float = 1000.0) -> None:
         self.registry, self.sequence = registry, 0
@@ -71,21 +71,23 @@
         return self.send(c.SessionCommand(self.session, self.sequence, operation))
 
 
-def test_a_command_that_is_repeated_is_answered_and_not_done_again() -> None:
+def test_a_repeated_command_is_answered_and_not_executed_again() -> None:
     registry = r.Registry()
     client, other = Client(registry), Client(registry, "p2")
     first = client.do(c.Put("k", b"1", expected_version=0))
     assert first.ok and other.do(c.Put("k", b"2", expected_version=first.number)).ok
     assert client.send(c.SessionCommand(client.session, 1, c.Put("k", b"1", expected_version=0))) == first
     value = registry.get("k")
-    assert value is not None and value.value == b"2", "the repeat did nothing"
+    assert value is not None and value.value == b"2", "the repeated command changed nothing"
     client.do(c.Put("x", b""))
     assert client.send(c.SessionCommand(client.session, 1, c.Put("k", b"1"))).refusal is c.Refusal.STALE_SEQUENCE
     client.send(c.CloseSession(client.session))
-    assert client.do(c.Put("k", b"3")).refusal is c.Refusal.NO_SESSION, "forgotten: it cannot know whether it was done"
+    assert client.do(c.Put("k", b"3")).refusal is c.Refusal.NO_SESSION, (
+        "the result is gone, so a repeat cannot be recognised"
+    )
 
 
-def test_values_are_compared_and_what_does_not_fit_is_refused() -> None:
+def test_expected_versions_are_checked_and_limits_are_enforced() -> None:
     registry = r.Registry(r.Limits(keys=1, value_bytes=2, sessions=2, leases=1, name_length=3))
     client = Client(registry)
     assert client.do(c.Put("k", b"123")).refusal == client.do(c.Put("long", b"")).refusal == c.Refusal.FULL
@@ -97,7 +99,7 @@
     assert client.do(c.Delete("k")).ok and client.do(c.Delete("k")).refusal is c.Refusal.NO_KEY
 
 
-def test_watchers_go_on_where_they_were_or_are_told_to_read_everything() -> None:
+def test_watchers_resume_from_an_index_or_must_read_all_values_again() -> None:
     registry = r.Registry(r.Limits(changes=4))
     client = Client(registry)
     client.do(c.Put("a/1", b"x"))
@@ -117,14 +119,14 @@
     assert again.changes_after(seen) is None and again.changes_after(again.applied_index) == []
 
 
-def test_a_session_that_is_silent_is_over_and_its_leases_with_it() -> None:
+def test_a_silent_session_expires_with_its_leases() -> None:
     registry = r.Registry()
     client, other = Client(registry, ms=100.0), Client(registry, "p2", 10_000.0)
     token = client.do(c.AcquireLease("works", 5000.0)).number
     assert other.do(c.AcquireLease("works", 10.0)).holder == "p1"
     other.send(c.AdvanceClock(5.0))
     other.send(c.AdvanceClock(90.0))
-    assert client.send(c.SessionCommand(client.session, 0)).ok, "a sign of life"
+    assert client.send(c.SessionCommand(client.session, 0)).ok, "keeps the session alive"
     other.send(c.AdvanceClock(50.0))
     other.send(c.AdvanceClock(90.0))
     assert registry.lease_holder("works") == ("p1", token)
@@ -134,34 +136,34 @@
 
 
 def draw_rate(rng: random.Random) -> float:
-    """How fast a monotonic clock goes, within the drift that is allowed for."""
+    """Draw the rate of a monotonic clock, within the allowed drift."""
     return rng.uniform(1 - r.MAX_CLOCK_DRIFT, 1 + r.MAX_CLOCK_DRIFT)
 
 
 @pytest.mark.parametrize("seed", range(100))
-def test_whoever_heeds_its_own_clock_never_holds_a_lease_beside_another(seed: int) -> None:
-    """Clocks of leader and holders drift by up to 5 % each, leaders change and lose what time has passed."""
+def test_holders_that_respect_the_safe_ttl_on_their_own_clocks_never_overlap(seed: int) -> None:
+    """Clocks of leader and holders drift by up to 5 % each; a change of leader loses the time passed until then."""
     rng = random.Random(seed)
     registry, true = r.Registry(), 0.0
     rates = [draw_rate(rng) for _ in range(3)]  # the leader's, and two holders'
     clients = [Client(registry, f"p{n}", 1e9) for n in range(2)]
-    acts: list[tuple[float, float, int]] = []  # true time from, until, whose
-    told = 0.0
+    tenures: list[tuple[float, float, int]] = []  # true start, true end, client
+    unreported_ms = 0.0
     for _ in range(300):
         passed = rng.uniform(0.0, 40.0)
         true += passed
-        told += passed * rates[0]
+        unreported_ms += passed * rates[0]
         if rng.random() < 0.1:
-            told, rates[0] = 0.0, draw_rate(rng)  # another leader, which begins to count now
+            unreported_ms, rates[0] = 0.0, draw_rate(rng)  # a new leader, which starts to count now
         if rng.random() < 0.6:
-            clients[0].send(c.AdvanceClock(told))
-            told = 0.0
+            clients[0].send(c.AdvanceClock(unreported_ms))
+            unreported_ms = 0.0
         n = rng.randrange(2)
-        if any(whose == n and true < until for _, until, whose in acts):
-            continue  # it has it and lets it run out
-        asked = true  # before the command goes out: the answer may come much later
+        if any(owner == n and true < until for _, until, owner in tenures):
+            continue  # it holds the lease and lets it expire
+        requested = true  # before the command is sent: the response may come much later
         if clients[n].do(c.AcquireLease("one", 100.0)).ok:
-            acts.append((true, asked + r.safe_ttl_ms(100.0) / rates[1 + n], n))
-    for begun, until, whose in acts:
-        assert not [other for other in acts if other[2] != whose and begun < other[1] and other[0] < until]
-    assert len({whose for _, _, whose in acts}) == 2
+            tenures.append((true, requested + r.safe_ttl_ms(100.0) / rates[1 + n], n))
+    for begun, until, owner in tenures:
+        assert not [other for other in tenures if other[2] != owner and begun < other[1] and other[0] < until]
+    assert len({owner for _, _, owner in tenures}) == 2
--- a/tests/agreement/test_server.py
+++ b/tests/agreement/test_server.py
@@ -1,4 +1,4 @@
-"""One Raft server at a time: what it may send, and when. And drawn schedules of several, and planted defects."""
+"""A single Raft server: what it may send, and when. Random fault schedules of several servers, and seeded defects."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     RequestVoteResponse,
     TimeoutNow,
 )
-from tests.agreement.defects import DEFECTS, planted
+from tests.agreement.defects import DEFECTS, defect_applied
 from tests.agreement.schedules import play, violations
 
 THREE = Members(frozenset("abc"))
 
 
 class Driver:
-    """Drives server ``a`` of three by hand; its writes stay pending until :meth:`complete_writes`."""
+    """Drives server ``a`` of three step by step; its writes stay pending until :meth:`complete_writes`."""
 
     def __init__(self, *entries: Entry, term: int = 0, members: Members = THREE) -> None:
         stored = PersistentState(term, None, Snapshot(0, 0, members, b""), entries)
@@ -54,7 +54,7 @@
         return self._collect(self.server.tick(self.now))
 
     def change(self, change: Change, name: str) -> tuple[str, list[Action]]:
-        """The reason of a rejection, empty where the change has begun, and the actions."""
+        """Returns the reason of a rejection, empty if the change has begun, and the actions."""
         rejection, actions = self.server.change(self.now, change, name)
         return str(rejection or ""), self._collect(actions)
 
@@ -67,11 +67,11 @@
         return self.server.read(self.now, ticket)
 
     def complete_writes(self) -> list[Action]:
-        assert self.writes, "nothing is being written"
+        assert self.writes, "no write is pending"
         return self._collect(self.server.write_completed(self.now, self.writes[-1].sequence))
 
     def become_leader(self) -> None:
-        """Elected by b; the first entry of its term is durable here, and not committed."""
+        """Win an election by the vote of b; the first entry of the term is durable here and not committed."""
         self.tick(2000.0)
         self.receive("b", RequestVoteResponse(self.term + 1, True, pre_vote=True))
         self.complete_writes()
@@ -80,7 +80,7 @@
         assert self.server.is_leader
 
     def commit_all(self) -> None:
-        """The whole log is durable here and at b."""
+        """Commit the whole log: it is durable here and at b."""
         self.complete_writes()
         heartbeat_round = self.server.replication.heartbeat_round
         self.receive("b", AppendEntriesResponse(self.term, True, self.last_index, heartbeat_round))
@@ -110,7 +110,7 @@
 def test_a_vote_is_sent_once_it_is_durable_and_granted_once_a_term() -> None:
     driver = Driver()
     assert not votes(driver.receive("b", RequestVote(1, 0, 0)))
-    assert (driver.writes[-1].term, driver.writes[-1].voted_for) == (1, "b"), "term and vote are what is written"
+    assert (driver.writes[-1].term, driver.writes[-1].voted_for) == (1, "b"), "the term and the vote are written"
     assert votes(driver.complete_writes()) == [RequestVoteResponse(1, True)]
     assert votes(driver.receive("c", RequestVote(1, 0, 0))) == [RequestVoteResponse(1, False)]
     assert votes(driver.receive("b", RequestVote(1, 0, 0))) == [RequestVoteResponse(1, True)], "repeated: the same vote"
@@ -141,7 +141,7 @@
     pre_vote = RequestVote(9, 5, 5, pre_vote=True)
     assert votes(driver.receive("c", pre_vote)) == [RequestVoteResponse(1, False, pre_vote=True)]
     driver.receive("c", RequestVote(9, 5, 5, leadership_transfer=True))
-    assert votes(driver.complete_writes()) == [RequestVoteResponse(9, True)], "but for a leadership transfer"
+    assert votes(driver.complete_writes()) == [RequestVoteResponse(9, True)], "except for a leadership transfer"
 
 
 def test_entries_are_acknowledged_once_durable_and_conflicts_are_truncated() -> None:
@@ -177,7 +177,7 @@
     driver.become_leader()
     assert driver.last_index == 2
     actions = driver.receive("b", AppendEntriesResponse(driver.term, True, 1))
-    assert not of_kind(actions, Apply), "of an earlier term: not by counting"
+    assert not of_kind(actions, Apply), "an entry of an earlier term is not committed by counting replicas"
     assert of_kind(driver.receive("b", AppendEntriesResponse(driver.term, True, 2)), Apply)
     assert driver.propose(b"z") == LogPosition(3, driver.term)
     actions = driver.receive("b", AppendEntriesResponse(driver.term, True, 3))
@@ -194,7 +194,7 @@
     assert not of_kind(actions, ReadReady) and messages(actions, AppendEntries), "a heartbeat round starts at once"
     last, term, heartbeat_round = driver.last_index, driver.term, driver.server.replication.heartbeat_round
     actions = driver.receive("b", AppendEntriesResponse(term, True, last, heartbeat_round - 1))
-    assert not of_kind(actions, ReadReady), "an answer to an earlier round"
+    assert not of_kind(actions, ReadReady), "it answers an earlier round"
     actions = driver.receive("b", AppendEntriesResponse(term, True, last, heartbeat_round))
     assert of_kind(actions, ReadReady) == [ReadReady(2)]
     driver.read(3)
@@ -217,7 +217,7 @@
     assert driver.change(Change.ADD_LEARNER, "d")[0] == "the leader has committed nothing in its term yet"
     driver.commit_all()
     assert driver.change(Change.ADD_LEARNER, "d")[0] == ""
-    assert driver.server.members == Members(frozenset("abc"), frozenset("d")), "it takes effect once it is in the log"
+    assert driver.server.members == Members(frozenset("abc"), frozenset("d")), "it takes effect once it is appended"
     assert driver.change(Change.REMOVE, "c")[0] == "another change is not committed yet"
     driver.complete_writes()
     driver.commit_all()
@@ -239,7 +239,7 @@
     driver.receive("b", AppendEntriesResponse(driver.term, True, driver.last_index))
     assert messages(driver.tick(20.0), TimeoutNow) == [TimeoutNow(driver.term)]
     driver.tick(600.0)
-    assert driver.propose(b"z") is not None, "it timed out: go on"
+    assert driver.propose(b"z") is not None, "the transfer timed out"
 
 
 def test_a_snapshot_is_installed_once_all_its_chunks_have_come_in_order() -> None:
@@ -252,8 +252,8 @@
     four_received = [InstallSnapshotResponse(3, 40, 4)]
     driver.receive("b", chunk(0, state[:4]))
     assert snapshot_responses(driver.complete_writes()) == four_received
-    assert snapshot_responses(driver.receive("b", chunk(8, state[8:], True))) == four_received, "one is missing"
-    assert snapshot_responses(driver.receive("b", chunk(0, state[:4]))) == four_received, "repeated: adds nothing"
+    assert snapshot_responses(driver.receive("b", chunk(8, state[8:], True))) == four_received, "a chunk is missing"
+    assert snapshot_responses(driver.receive("b", chunk(0, state[:4]))) == four_received, "a repeated chunk"
     driver.receive("b", chunk(4, state[4:8]))
     actions = driver.receive("b", chunk(8, state[8:], True))
     assert of_kind(actions, RestoreSnapshot) == [RestoreSnapshot(Snapshot(40, 2, members, state))]
@@ -277,22 +277,22 @@
     driver = Driver()
     driver.become_leader()
     driver.commit_all()
-    taken = 0
+    accepted = 0
     while driver.propose(b"x" * 1_000_000) is not None:
-        taken += 1
-    assert taken == 4 and driver.server.state.counters["proposals_rejected"] == 1
+        accepted += 1
+    assert accepted == 4 and driver.server.state.counters["proposals_rejected"] == 1
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_drawn_schedules_break_nothing(seed: int) -> None:
+def test_random_fault_schedules_violate_no_invariant(seed: int) -> None:
     assert violations(seed) == []
 
 
-def test_the_schedules_do_what_they_are_for() -> None:
-    played = [play(seed) for seed in range(40)]
-    total = {key: sum(cluster.counts[key] for cluster in played) for key in played[0].counts}
+def test_the_schedules_cover_commands_reads_changes_and_elections() -> None:
+    clusters = [play(seed) for seed in range(40)]
+    total = {key: sum(cluster.counts[key] for cluster in clusters) for key in clusters[0].counts}
     assert total["commands"] > 200 and total["reads"] > 100 and total["changes"] > 20
-    states = [cluster.server(name).state for cluster in played for name in cluster.network.processes]
+    states = [cluster.server(name).state for cluster in clusters for name in cluster.network.processes]
     seen = {name for state in states for name, count in state.counters.items() if count}
     expected = {"elected", "votes_denied_for_leader", "no_quorum", "snapshots_installed", "snapshot_chunks_sent"}
     assert expected <= seen
@@ -306,9 +306,9 @@
 
 def test_a_voter_removed_in_its_own_log_alone_still_campaigns() -> None:
     driver = Driver(Entry(1, 1, members=Members(frozenset("bc"))), term=1)
-    assert messages(driver.tick(2000.0), RequestVote), "nobody else has this log, so nobody else can be elected"
+    assert messages(driver.tick(2000.0), RequestVote), "no other server has this log, so no other can be elected"
     driver.receive("b", AppendEntries(2, 1, 1, (), 1))
-    assert not messages(driver.tick(5000.0), RequestVote), "the removal is committed: it is no voter any more"
+    assert not messages(driver.tick(5000.0), RequestVote), "the removal is committed: it is no longer a voter"
 
 
 def test_members_truncated_from_the_log_do_not_count() -> None:
@@ -351,7 +351,7 @@
     for name, case in sorted(globals().items())
     if name.startswith("test_")
     and not hasattr(case, "pytestmark")
-    and name != "test_the_schedules_do_what_they_are_for"
+    and name != "test_the_schedules_cover_commands_reads_changes_and_elections"
 ]
 CASES.append(lambda: test_no_vote_for_a_log_that_is_behind(1, 2, False))
 CASES.append(
@@ -363,10 +363,10 @@
 
 
 @pytest.mark.parametrize("name", sorted(DEFECTS))
-def test_a_planted_defect_is_found(name: str) -> None:
-    """By the cases above; which of them the drawn schedules find besides stands in docs/agreement.md."""
+def test_each_seeded_defect_is_detected(name: str) -> None:
+    """By one of the cases above. docs/agreement.md lists the defects that the random schedules detect as well."""
     found = 0
-    with planted(name):
+    with defect_applied(name):
         for case in CASES:
             try:
                 case()
--- a/tests/view/defects.py
+++ b/tests/view/defects.py
@@ -120,7 +120,7 @@
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
+def defect_applied(name: str) -> Iterator[None]:
     """Run the body with that defect in the code."""
     with DEFECTS[name]():
         yield
--- a/tests/view/schedules.py
+++ b/tests/view/schedules.py
@@ -1,6 +1,7 @@
 """Random fault schedules for the view's state machine alone, and the properties that must hold after the last fault.
 
-``problems(seed, members)`` runs one and returns each violated property as a line; a seed always gives the same schedule.
+``problems(seed, members)`` runs one and returns each violated property as a line; a seed always gives the same
+schedule.
 """
 
 from __future__ import annotations
--- a/tests/view/test_view.py
+++ b/tests/view/test_view.py
@@ -18,7 +18,7 @@
 from sprucepost.view.messages import Close, Dial, Hello, RecordUpdates, Send, Summary, ViewChanged, ViewMessage
 from sprucepost.view.record import MAX_VERSION, digest
 from sprucepost.view.rings import ring_count, ring_successors
-from tests.view.defects import DEFECTS, planted
+from tests.view.defects import DEFECTS, defect_applied
 from tests.view.schedules import Fleet, _view, problems
 
 
@@ -78,7 +78,8 @@
     assert problems(seed, 3 + seed % 9) == []
 
 
-# The first n for which `problems(n, 3 + n % 16)` detects a defect; the defects not listed show for one of the first three.
+# The first n for which `problems(n, 3 + n % 16)` detects a defect; the defects not listed show for one of the first
+# three.
 FIRST_SEED = {
     "unseen_members_are_away_at_once": 16,
     "one_ring_only": 6,
@@ -90,7 +91,7 @@
 @pytest.mark.parametrize("name", sorted(DEFECTS))
 def test_each_seeded_defect_is_detected(name: str) -> None:
     seeds = [FIRST_SEED[name]] if name in FIRST_SEED else range(3)
-    with planted(name):
+    with defect_applied(name):
         assert any(problems(seed, 3 + seed % 16) for seed in seeds)
 
 
