--- a/tests/agreement/schedules.py
+++ b/tests/agreement/schedules.py
@@ -135,7 +135,7 @@
             self.violations.append(f"{name} installs a snapshot up to {snapshot.index} of another state")
 
     def _finish(self, began: float, position: float) -> None:
-        """Check an operation that has ended; ``position``: how many commands a read has seen, half less for a command."""
+        """Check a finished operation; ``position``: how many commands a read has seen, half less for a command."""
         for ended, other in self._finished:
             if ended < began and other > position:
                 self.violations.append(
