--- a/sprucepost/rules/views.py
+++ b/sprucepost/rules/views.py
@@ -30,7 +30,7 @@
 DETECTION_LIMIT_MS = 3000.0  # promised, for a process that ended
 REPORT_SLACK_MS = 2000.0  # a line is written a step after the change, by a process that shares its core
 RECOVERY_MS = 8000.0  # after a fault between placers: until they have found each other again
-FINAL_WINDOW_MS = 4500.0  # of the record, in which each placer beats twice at the least (view.IDLE_MS)
+FINAL_WINDOW_MS = 4500.0  # of the record, in which each placer beats twice at the least (view.IDLE_HEARTBEAT_MS)
 MAX_STARVED_MS = 400.0
 LINK_FAULTS = frozenset(
     ("peer_cut", "peer_flap", "peer_slow", "peer_reset", "zone_cut", "reset", "descriptors", "balancer_stall", "resize")
