--- a/benchmarks/scale_sweep.py
+++ b/benchmarks/scale_sweep.py
@@ -10,7 +10,7 @@
 from sprucepost.scale.fleet import FleetOptions
 from sprucepost.scale.processes import ScaleError
 from sprucepost.scale.results import save
-from sprucepost.scale.runner import RunOptions, moved, sweep
+from sprucepost.scale.runner import RunOptions, size_with, sweep
 from sprucepost.scale.size import RunSize
 
 
@@ -49,7 +49,7 @@
     try:
         base = RunSize()
         for name, (size, *_) in arguments.at:
-            base = moved(base, name, size)
+            base = size_with(base, name, size)
         save(sweep(dict(arguments.variables), base, arguments.repeats, options, say), arguments.out)
     except ScaleError as error:
         print(f"scale: {error}", file=sys.stderr)
--- a/sprucepost/cli/scale.py
+++ b/sprucepost/cli/scale.py
@@ -94,11 +94,11 @@
     from sprucepost.scale.kept import compared, read_kept
     from sprucepost.scale.predictions import with_sums
     from sprucepost.scale.results import save
-    from sprucepost.scale.sweeps import quick
+    from sprucepost.scale.sweeps import measure_quick
 
     kept, size = read_kept(folder), _size(plan_file)
     wrong = _page_problems(kept, size, page)
-    measured = quick(size.name, "sprucepost scale --quick")
+    measured = measure_quick(size.name, "sprucepost scale --quick")
     if keep is not None:
         save(measured, keep)
     found = compared(kept, with_sums(measured))
@@ -132,12 +132,12 @@
     """The full sweep: every variable alone over its sizes, three runs of each. Keeps the results."""
     from sprucepost.scale.kept import kept_run
     from sprucepost.scale.results import load, save
-    from sprucepost.scale.sweeps import added, full
+    from sprucepost.scale.sweeps import measure_full, merged_results
     from sprucepost.scale.target import target_of
 
     size = _size(plan_file)
-    found = full(variables, repeats, size.name, "sprucepost scale run")
-    save(added(load(out), found) if add else found, out)
+    found = measure_full(variables, repeats, size.name, "sprucepost scale run")
+    save(merged_results(load(out), found) if add else found, out)
     _show(kept_run(out), target_of(size))
     return HOLDS
 
@@ -150,9 +150,9 @@
 def run_at_plan(out: Path, repeats: int, plan_file: Path) -> int:
     """Measure real placers in a fleet of the planned size: what the predictions are held against. Keeps the results."""
     from sprucepost.scale.results import save
-    from sprucepost.scale.sweeps import at_plan
+    from sprucepost.scale.sweeps import measure_at_plan
 
-    save(at_plan(_size(plan_file), repeats, "sprucepost scale at-plan"), out)
+    save(measure_at_plan(_size(plan_file), repeats, "sprucepost scale at-plan"), out)
     click.echo(f"{out}: written")
     return HOLDS
 
--- a/sprucepost/scale/calibration.py
+++ b/sprucepost/scale/calibration.py
@@ -10,7 +10,7 @@
 from msgspec import structs
 
 from sprucepost.scale.results import Results
-from sprucepost.scale.runner import RunOptions, Say, sweep, terminal_say
+from sprucepost.scale.runner import ReportProgress, RunOptions, print_progress, sweep
 from sprucepost.scale.size import RunSize
 
 TOLERANCE = 0.1
@@ -60,13 +60,15 @@
         )
 
 
-def calibrate(size: RunSize, repeats: int, options: RunOptions, say: Say = terminal_say) -> tuple[Results, Results]:
+def calibrate(
+    size: RunSize, repeats: int, options: RunOptions, report_progress: ReportProgress = print_progress
+) -> tuple[Results, Results]:
     """Results beside hollow and beside real companions, one run of each after the other."""
     found: dict[bool, Results] = {}
     for repeat in range(repeats):
         for hollow in (True, False):
             fleet = replace(options.fleet, hollow=hollow)
-            once = sweep({"placers": [size.placers]}, size, 1, replace(options, fleet=fleet), say)
+            once = sweep({"placers": [size.placers]}, size, 1, replace(options, fleet=fleet), report_progress)
             before = found[hollow].points if hollow in found else ()
             points = tuple(structs.replace(point, repeat=repeat) for point in once.points)
             found[hollow] = structs.replace(once, points=before + points)
--- a/sprucepost/scale/fleet.py
+++ b/sprucepost/scale/fleet.py
@@ -23,7 +23,7 @@
     ClientsFile,
     HollowFile,
     HostSpec,
-    Known,
+    KnownMember,
     MembersFile,
     MemberSpec,
     MembersStatus,
@@ -35,7 +35,7 @@
 from sprucepost.scale.measure import read_members, read_metrics
 from sprucepost.scale.processes import Needs, Process, ProcessGroup, ScaleError
 from sprucepost.scale.size import RunSize
-from sprucepost.scale.sources import EVERYTHING, REFERENCES, Source
+from sprucepost.scale.sources import ALL_SOURCES, REFERENCES, Source
 from sprucepost.settings import PeerOptions, PlacerFile, PlacerOptions
 from sprucepost.settings.placer import Limits as PlacerLimits
 from sprucepost.standin.orders import order
@@ -92,7 +92,7 @@
 
     @property
     def is_reference(self) -> bool:
-        return self.sources != EVERYTHING
+        return self.sources != ALL_SOURCES
 
 
 @dataclass
@@ -192,7 +192,7 @@
         """ScaleError where one of the processes has ended by itself."""
         for process in self.processes:
             if not process.running:
-                raise ScaleError(f"{process.name} has ended: {process.last_words()}")
+                raise ScaleError(f"{process.name} has ended: {process.log_tail()}")
 
     # Start
 
@@ -269,7 +269,7 @@
                 yield f"{hollow.process.name}: {text}, {status.unconnected} to come, {status.here_least} members seen"
 
     def _start_placers(self) -> Steps[None]:
-        wanted = [(f"placer{number}", EVERYTHING) for number in range(self.real_count)]
+        wanted = [(f"placer{number}", ALL_SOURCES) for number in range(self.real_count)]
         if self.options.references:
             # Members of the view have the numbers within its size, the others those after it.
             found = sorted(REFERENCES.items(), key=lambda item: Source.PEERS not in item[1])
@@ -441,10 +441,12 @@
             raise NoAnswer(f"{hollow.process.name}: no answer to {what!r}: {error or type(error).__name__}") from None
 
 
-def known_member(placer: RealPlacer) -> Known:
+def known_member(placer: RealPlacer) -> KnownMember:
     """What the view of a real placer says of itself."""
     own = next(member for member in read_members(placer.http) if member["number"] == placer.number)
-    return Known(own["number"], own["host"], own["room"], own["incarnation"], own["life"], own["address"], real=True)
+    return KnownMember(
+        own["number"], own["host"], own["room"], own["incarnation"], own["life"], own["address"], real=True
+    )
 
 
 def _parts(items: Sequence[Any], most: int) -> list[list[Any]]:
--- a/sprucepost/scale/hollow/members.py
+++ b/sprucepost/scale/hollow/members.py
@@ -19,7 +19,7 @@
 from sprucepost.peers import Peers
 from sprucepost.placer.daemon import format_address, parse_address
 from sprucepost.placer.discovery import CONNECT_TIMEOUT_MS, CONNECTION_OPTIONS, WATCH_PATH
-from sprucepost.scale.hollow.settings import Known, MembersFile, MemberSpec, MembersStatus
+from sprucepost.scale.hollow.settings import KnownMember, MembersFile, MemberSpec, MembersStatus
 from sprucepost.settings.running import settings_fingerprint
 from sprucepost.standin.orders import Orders
 from sprucepost.v1 import fleet_pb2
@@ -61,7 +61,7 @@
     """One member. It listens from the start, and runs its view from :meth:`begin` on."""
 
     def __init__(self, loop: Loop, scope: Scope, file: MembersFile, spec: MemberSpec) -> None:
-        known = Known(spec.number, spec.host, spec.room, int(loop.wall()), loop.token(8).hex(), "")
+        known = KnownMember(spec.number, spec.host, spec.room, int(loop.wall()), loop.token(8).hex(), "")
         self.peers = HollowPeers(
             loop,
             scope,
@@ -111,7 +111,7 @@
         return []
 
     @property
-    def known(self) -> list[Known]:
+    def known(self) -> list[KnownMember]:
         return [member.known for member in self.members]
 
     def _join_all(self, records: Sequence[Record]) -> Co[None]:
@@ -147,7 +147,7 @@
         return Orders({"join": self._join, "begin": self._begin, "status": self._status})
 
     def _join(self, fleet: list[dict[str, Any]]) -> dict[str, Any]:
-        known = msgspec.convert(fleet, list[Known])
+        known = msgspec.convert(fleet, list[KnownMember])
         self._scope.spawn(self._join_all(fleet_records(known, self._file.instances)), "join")
         return {}
 
@@ -170,7 +170,7 @@
         return found
 
 
-def record_of(known: Known, instances: int) -> Record:
+def record_of(known: KnownMember, instances: int) -> Record:
     """The record of a member that sees nobody yet."""
     return Record(
         name=member_name(known.number),
@@ -191,7 +191,7 @@
     return f"p{number}"
 
 
-def fleet_records(fleet: Sequence[Known], instances: int) -> list[Record]:
+def fleet_records(fleet: Sequence[KnownMember], instances: int) -> list[Record]:
     """Records of a settled fleet: each hollow member sees whom it watches in a ring, and what hollow one watches it.
 
     Real members open streams of their own once they know the fleet, and tell of themselves whom they see.
--- a/sprucepost/scale/hollow/settings.py
+++ b/sprucepost/scale/hollow/settings.py
@@ -78,10 +78,10 @@
     """Where it takes orders."""
     addresses: list[str] = []
     """Of its workers, in their order; of a platform, its bulletin and its hosts."""
-    members: list[Known] = []
+    members: list[KnownMember] = []
 
 
-class Known(Struct, frozen=True):
+class KnownMember(Struct, frozen=True):
     """What hollow members are told of a member, hollow or real, by the order ``join``."""
 
     number: int
--- a/sprucepost/scale/processes.py
+++ b/sprucepost/scale/processes.py
@@ -121,10 +121,10 @@
         if end:
             return msgspec.json.decode(line, type=kind)
         if not self.running:
-            raise NotStarted(f"{self.name} did not start: {self.last_words()}")
+            raise NotStarted(f"{self.name} did not start: {self.log_tail()}")
         return None
 
-    def last_words(self) -> str:
+    def log_tail(self) -> str:
         """The end of its log, in one line."""
         return self.log.read_text(errors="replace").strip().rpartition("\n")[2][-300:] or "no word"
 
--- a/sprucepost/scale/pressed.py
+++ b/sprucepost/scale/rare_events.py
@@ -1,8 +1,9 @@
-"""What rare events cost: changes of configuration and restarts of workers, pressed into an interval of seconds.
+"""Measures the cost of rare events: changes of configuration and restarts of workers.
 
-At the planned rates none of them would fall into an interval. So they come :data:`PRESSED` times as often, an hour in a
-minute, in an interval of their own after the first. The additional processor time of a placer for each event, times the
-planned rate, is what they cost it; it is added to what was measured without them.
+At the planned rates none of them would fall into an interval of seconds. They are therefore triggered
+:data:`RATE_MULTIPLIER` times as often (an hour's events in a minute) in an interval of their own after the first. The
+additional processor time of a placer per event, times the planned rate, is their cost; it is added to what was measured
+without them.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from sprucepost.scale.fleet import Fleet, RealPlacer
 from sprucepost.scale.size import DAY_S
 
-PRESSED = 60.0
+RATE_MULTIPLIER = 60.0
 RELOADED = b'"event": "reloaded"'
 MS = 1000.0
 
@@ -30,7 +31,7 @@
     name: str
     """Of the kind of work in the figures."""
     per_day: Callable[[Fleet], float]
-    happen: Callable[[Fleet, int], None]
+    trigger: Callable[[Fleet, int], None]
     """Let the n-th event happen."""
 
 
@@ -47,22 +48,22 @@
     fleet: Fleet
     kind: Kind
     seconds: float
-    happened_ms: list[float] = field(default_factory=list)
+    event_times_ms: list[float] = field(default_factory=list)
     """Wall clock, of each event."""
 
     @property
     def events(self) -> int:
         """How many are due in the interval, one at least where there are any."""
-        return math.ceil(self.kind.per_day(self.fleet) / DAY_S * PRESSED * self.seconds)
+        return math.ceil(self.kind.per_day(self.fleet) / DAY_S * RATE_MULTIPLIER * self.seconds)
 
     def step(self, passed_s: float) -> None:
         """Let happen what is due once that much of the interval has passed."""
-        while len(self.happened_ms) < self.events:
-            if passed_s < len(self.happened_ms) * self.seconds / 2.0 / self.events:
+        while len(self.event_times_ms) < self.events:
+            if passed_s < len(self.event_times_ms) * self.seconds / 2.0 / self.events:
                 return
-            number = len(self.happened_ms)
-            self.happened_ms.append(time.time() * MS)
-            self.kind.happen(self.fleet, number)
+            number = len(self.event_times_ms)
+            self.event_times_ms.append(time.time() * MS)
+            self.kind.trigger(self.fleet, number)
 
     def percent(self, additional_cpu_s: float) -> float:
         """Per cent of a core at the planned rate, by what all events of the interval have cost a placer."""
@@ -74,7 +75,7 @@
     found = []
     for placer in placers:
         times = reloads_ms(placer)
-        for written in schedule.happened_ms:
+        for written in schedule.event_times_ms:
             later = [at for at in times if at >= written]
             if later:
                 found.append(min(later) - written)
@@ -90,7 +91,7 @@
 def change_figures(schedule: Schedule, placers: Sequence[RealPlacer]) -> dict[str, float]:
     """Figures of the fleet."""
     times = sorted(in_force_ms(schedule, placers))
-    figures = {"changes": float(len(schedule.happened_ms)), "changes_in_force": len(times) / len(placers)}
+    figures = {"changes": float(len(schedule.event_times_ms)), "changes_in_force": len(times) / len(placers)}
     if times:
         figures["change_in_force_p99_ms"] = times[math.ceil(0.99 * len(times)) - 1]
         figures["change_in_force_worst_ms"] = times[-1]
--- a/sprucepost/scale/runner.py
+++ b/sprucepost/scale/runner.py
@@ -1,11 +1,11 @@
-"""Runs of the scale test: fleets started, settled, measured over one interval and ended; sweeps over sizes.
+"""Runs of the scale test: start fleets, wait until they settle, measure one interval, end them; sweeps over sizes.
 
     from sprucepost.scale.runner import RunOptions, sweep
     results = sweep({"placers": [12, 24, 48]}, base=RunSize(), repeats=3, options=RunOptions())
 
-Rates that are too low for an interval of seconds (changes of configuration, restarts of workers) are pressed, an hour into a
-minute, in an interval of their own after the first; a :data:`PRESSED`\\ th of the additional processor time is then added to
-that of the first.
+Events that are too rare for an interval of seconds (changes of configuration, restarts of workers) are triggered at an
+accelerated rate, an hour's events in a minute, in an interval of their own after the first. The additional processor time,
+divided by :data:`~sprucepost.scale.rare_events.RATE_MULTIPLIER`, is then added to that of the first.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 import msgspec
 
 from sprucepost.loop.epoll import EpollLoop
-from sprucepost.scale import pressed, results
+from sprucepost.scale import rare_events, results
 from sprucepost.scale.fleet import Fleet, FleetOptions, RealPlacer
 from sprucepost.scale.measure import (
     Counters,
@@ -43,7 +43,7 @@
 from sprucepost.scale.sources import attribution
 
 STEP_S = 0.1
-Say = Callable[[str], None]
+ReportProgress = Callable[[str], None]
 
 
 class NotSettled(ScaleError):
@@ -76,7 +76,7 @@
     size: RunSize
 
 
-def terminal_say(text: str) -> None:
+def print_progress(text: str) -> None:
     """Progress on a terminal, else nothing."""
     if sys.stderr.isatty():
         print(f"scale: {text}", file=sys.stderr, flush=True)
@@ -87,19 +87,21 @@
     base: RunSize,
     repeats: int,
     options: RunOptions,
-    say: Say = terminal_say,
+    report_progress: ReportProgress = print_progress,
 ) -> Results:
     """Move each variable alone over its sizes, the others as in ``base``; repeats and variables interleaved.
 
     DoesNotFit before anything is started where one of the runs would not fit the machine. ScaleError where a run fails.
     """
-    runs = interleaved(sizes, base, repeats)
+    runs = interleaved_runs(sizes, base, repeats)
     batches = [runs[at : at + options.points_at_a_time] for at in range(0, len(runs), options.points_at_a_time)]
     check(batches, options)
     points: list[Point] = []
     for number, batch in enumerate(batches):
-        say(f"{number + 1} of {len(batches)}: " + ", ".join(f"{run.variable}={run.value:g}" for run in batch))
-        points += measure(batch, options, say)
+        report_progress(
+            f"{number + 1} of {len(batches)}: " + ", ".join(f"{run.variable}={run.value:g}" for run in batch)
+        )
+        points += measure(batch, options, report_progress)
     return Results(
         format=results.FORMAT,
         version=version(),
@@ -112,7 +114,7 @@
     )
 
 
-def interleaved(sizes: Mapping[str, Sequence[float]], base: RunSize, repeats: int) -> list[Run]:
+def interleaved_runs(sizes: Mapping[str, Sequence[float]], base: RunSize, repeats: int) -> list[Run]:
     """All runs: a repeat after the other, within it the first size of each variable, then the second. ValueError where a
     variable or a size cannot be."""
     runs = []
@@ -120,11 +122,11 @@
         for position in range(max(map(len, sizes.values()), default=0)):
             for variable, values in sizes.items():
                 if position < len(values):
-                    runs.append(Run(variable, values[position], repeat, moved(base, variable, values[position])))
+                    runs.append(Run(variable, values[position], repeat, size_with(base, variable, values[position])))
     return runs
 
 
-def moved(base: RunSize, variable: str, value: float) -> RunSize:
+def size_with(base: RunSize, variable: str, value: float) -> RunSize:
     """The base size with one variable at that value. Tasks run the shorter the more of them start and the fewer run."""
     if variable not in VARIABLES:
         raise ValueError(f"{variable}: none of {', '.join(VARIABLES)}")
@@ -146,26 +148,26 @@
         loop.close()
 
 
-def measure(batch: Sequence[Run], options: RunOptions, say: Say = terminal_say) -> list[Point]:
+def measure(batch: Sequence[Run], options: RunOptions, report_progress: ReportProgress = print_progress) -> list[Point]:
     """The points of some runs, whose fleets stand beside each other. All processes have ended when it returns or raises."""
     loop = EpollLoop(options.seed)
     try:
         with tempfile.TemporaryDirectory(prefix="sprucepost-scale-") as folder, ProcessGroup(Path(folder)) as group:
             fleets = [Fleet(group, loop, f"run{n}", run.size, options.fleet) for n, run in enumerate(batch)]
-            settle(fleets, options.settle_limit_s, say)
+            settle(fleets, options.settle_limit_s, report_progress)
             check_memory(group)
             intervals = [Interval(fleet) for fleet in fleets]
-            say(f"measure for {options.measure_s:g} s")
+            report_progress(f"measure for {options.measure_s:g} s")
             pass_interval(intervals, options.measure_s)
             rare = [RareEvents() for _ in fleets]
-            for kind in pressed.KINDS:
-                measure_rare(kind, intervals, rare, options.measure_s, say)
+            for kind in rare_events.KINDS:
+                measure_rare(kind, intervals, rare, options.measure_s, report_progress)
             return [point(*each, options) for each in zip(batch, intervals, rare, strict=True)]
     finally:
         loop.close()
 
 
-def settle(fleets: Sequence[Fleet], limit_s: float, say: Say) -> None:
+def settle(fleets: Sequence[Fleet], limit_s: float, report_progress: ReportProgress) -> None:
     """Start all fleets and wait until each is settled. NotSettled where that takes longer than the limit, ScaleError where a
     process ends."""
     began, said = time.monotonic(), ""
@@ -180,9 +182,9 @@
             raise NotSettled(f"not settled after {limit_s:g} s: {first}")
         if waiting and first.partition(",")[0] != said:
             said = first.partition(",")[0]
-            say(f"wait for {first}")
+            report_progress(f"wait for {first}")
         time.sleep(STEP_S)
-    say(f"settled after {time.monotonic() - began:.1f} s")
+    report_progress(f"settled after {time.monotonic() - began:.1f} s")
 
 
 def check_memory(group: ProcessGroup) -> None:
@@ -302,14 +304,18 @@
 
 
 def measure_rare(
-    kind: pressed.Kind, quiet: Sequence[Interval], rare: Sequence[RareEvents], seconds: float, say: Say
+    kind: rare_events.Kind,
+    quiet: Sequence[Interval],
+    rare: Sequence[RareEvents],
+    seconds: float,
+    report_progress: ReportProgress,
 ) -> None:
     """Let one more interval pass, with events of that kind, over the fleets that have any."""
     pairs = [(interval, found) for interval, found in zip(quiet, rare, strict=True) if kind.per_day(interval.fleet)]
     if not pairs:
         return
-    say(f"measure {kind.name} for {seconds:g} s")
-    schedules = [pressed.Schedule(interval.fleet, kind, seconds) for interval, _ in pairs]
+    report_progress(f"measure {kind.name} for {seconds:g} s")
+    schedules = [rare_events.Schedule(interval.fleet, kind, seconds) for interval, _ in pairs]
     during = [Interval(interval.fleet) for interval, _ in pairs]
 
     def step(passed_s: float) -> None:
@@ -318,10 +324,10 @@
 
     pass_interval(during, seconds, step)
     for (before, found), after, schedule in zip(pairs, during, schedules, strict=True):
-        additional_s = pressed.mean_additional_s(before.loaded_percent(), after.loaded_percent(), seconds)
+        additional_s = rare_events.mean_additional_s(before.loaded_percent(), after.loaded_percent(), seconds)
         found.cpu_percent[kind.name] = schedule.percent(additional_s)
         if kind.name == "configuration":
-            found.fleet |= pressed.change_figures(schedule, loaded(before.fleet))
+            found.fleet |= rare_events.change_figures(schedule, loaded(before.fleet))
 
 
 def point(run: Run, interval: Interval, rare: RareEvents, options: RunOptions) -> Point:
--- a/sprucepost/scale/sources.py
+++ b/sprucepost/scale/sources.py
@@ -16,7 +16,7 @@
     ASKS = "asks"
 
 
-EVERYTHING = frozenset(Source)
+ALL_SOURCES = frozenset(Source)
 REFERENCES: Mapping[str, frozenset[Source]] = {
     "bare": frozenset(),
     "peers": frozenset({Source.PEERS}),
--- a/sprucepost/scale/sweeps.py
+++ b/sprucepost/scale/sweeps.py
@@ -33,7 +33,7 @@
 """Beside each other on eight cores; the same in both sweeps, so that processor times can be compared."""
 
 
-def full(variables: Sequence[str], repeats: int, plan: str, command: str) -> Results:
+def measure_full(variables: Sequence[str], repeats: int, plan: str, command: str) -> Results:
     """Move these variables, all where none is named. ResultsError for an unknown one, ScaleError where a run fails."""
     unknown = [name for name in variables if name not in FULL]
     if unknown:
@@ -41,7 +41,7 @@
     return _measured({name: FULL[name] for name in variables or FULL}, repeats, plan, command)
 
 
-def at_plan(size: FleetSize, repeats: int, command: str) -> Results:
+def measure_at_plan(size: FleetSize, repeats: int, command: str) -> Results:
     """The planned size itself, all variables at once. ScaleError where the machine can't hold it or a run fails."""
     base = planned_size(size)
     return _measured({"placers": (size.placers,)}, repeats, size.name, command, base)
@@ -62,7 +62,7 @@
     )
 
 
-def quick(plan: str, command: str) -> Results:
+def measure_quick(plan: str, command: str) -> Results:
     """The sweep of two minutes. ScaleError where a run fails."""
     return _measured(QUICK, QUICK_REPEATS, plan, command)
 
@@ -77,7 +77,7 @@
     return structs.replace(found, base=kept_base)
 
 
-def added(kept: Results, more: Results) -> Results:
+def merged_results(kept: Results, more: Results) -> Results:
     """Both sets of points in one. ResultsError where they are not of one version, base and plan."""
     for name in ("version", "base", "plan", "processors"):
         one, other = getattr(kept, name), getattr(more, name)
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -6,13 +6,14 @@
 
 from sprucepost.scale.hollow.clients import KEEPALIVE_MS
 from sprucepost.scale.hollow.members import fleet_records, member_name, record_of
-from sprucepost.scale.hollow.settings import Known
+from sprucepost.scale.hollow.settings import KnownMember
 from sprucepost.view.record import merge
 from sprucepost.view.rings import ring_successors
 from sprucepost.wire.connection import Options
 
 FLEET = [
-    Known(n, f"host{n // 2}", f"room{n % 3}", 1000 + n, f"life{n}", f"127.0.0.1:{n}", real=n < 3) for n in range(30)
+    KnownMember(n, f"host{n // 2}", f"room{n % 3}", 1000 + n, f"life{n}", f"127.0.0.1:{n}", real=n < 3)
+    for n in range(30)
 ]
 
 
--- a/tests/scale/test_pressed.py
+++ b/tests/scale/test_rare_events.py
@@ -8,8 +8,8 @@
 
 from sprucepost.loop.epoll import EpollLoop
 from sprucepost.scale.fleet import Fleet, FleetOptions
-from sprucepost.scale.pressed import KINDS, Kind, Schedule
 from sprucepost.scale.processes import ProcessGroup
+from sprucepost.scale.rare_events import KINDS, Kind, Schedule
 from sprucepost.scale.size import RunSize
 
 
--- a/tests/scale/test_runner.py
+++ b/tests/scale/test_runner.py
@@ -16,7 +16,7 @@
 from sprucepost.scale import results
 from sprucepost.scale.fleet import Fleet, FleetOptions
 from sprucepost.scale.processes import DoesNotFit, Limits, Needs, NotStarted, ProcessGroup, ScaleError
-from sprucepost.scale.runner import NotSettled, Run, RunOptions, check, interleaved, measure, moved, sweep
+from sprucepost.scale.runner import NotSettled, Run, RunOptions, check, interleaved_runs, measure, size_with, sweep
 from sprucepost.scale.size import RunSize
 from sprucepost.scale.sources import REFERENCES, attribution
 
@@ -54,7 +54,7 @@
 def test_a_point_has_the_figures_of_its_real_processes_and_leaves_nothing_behind(tmp_path: Path) -> None:
     before = children(os.getpid())
     size = replace(SMALL, changes_per_day=1440.0, restarts_per_day=1440.0)
-    found = sweep({"placers": [6]}, size, 1, SHORT, say=lambda text: None)
+    found = sweep({"placers": [6]}, size, 1, SHORT, report_progress=lambda text: None)
     assert children(os.getpid()) == before
     results.save(found, tmp_path / "found.json")
     assert results.load(tmp_path / "found.json") == found
@@ -79,7 +79,7 @@
 
 def test_real_companions_take_the_place_of_hollow_ones() -> None:
     options = replace(SHORT, fleet=FleetOptions(hollow=False, nodes=0))
-    (point,) = measure([Run("placers", 5, 0, replace(SMALL, placers=5))], options, say=lambda text: None)
+    (point,) = measure([Run("placers", 5, 0, replace(SMALL, placers=5))], options, report_progress=lambda text: None)
     placers = [sample.process for sample in point.samples if sample.role == "placer"]
     assert placers == ["placer0", "placer1", "placer2"], "the same are measured as beside hollow ones"
 
@@ -107,7 +107,7 @@
 def test_a_run_that_does_not_settle_ends_with_what_it_waited_for() -> None:
     before = children(os.getpid())
     with pytest.raises(NotSettled, match=r"^not settled after 0.5 s: .+$"):
-        measure([Run("placers", 6, 0, SMALL)], replace(SHORT, settle_limit_s=0.5), say=lambda text: None)
+        measure([Run("placers", 6, 0, SMALL)], replace(SHORT, settle_limit_s=0.5), report_progress=lambda text: None)
     assert children(os.getpid()) == before
 
 
@@ -118,9 +118,15 @@
     monkeypatch.setattr(Limits, "of_this_machine", staticmethod(Limits))
     before = children(os.getpid())
     with pytest.raises(DoesNotFit, match=r"^this run needs \d+ processes, the limit is 300$"):
-        sweep({"placers": [400]}, SMALL, 1, RunOptions(fleet=FleetOptions(hollow=False)), say=lambda text: None)
+        sweep(
+            {"placers": [400]},
+            SMALL,
+            1,
+            RunOptions(fleet=FleetOptions(hollow=False)),
+            report_progress=lambda text: None,
+        )
     with pytest.raises(DoesNotFit, match=r"^this run needs \d+ descriptors in one process, the limit is 1024$"):
-        sweep({"workers": [4, 5000]}, SMALL, 1, RunOptions(), say=lambda text: None)
+        sweep({"workers": [4, 5000]}, SMALL, 1, RunOptions(), report_progress=lambda text: None)
     assert children(os.getpid()) == before
 
 
@@ -168,7 +174,7 @@
 
 
 def test_repeats_and_variables_are_interleaved() -> None:
-    runs = interleaved({"placers": [8, 16], "workers": [4]}, SMALL, 2)
+    runs = interleaved_runs({"placers": [8, 16], "workers": [4]}, SMALL, 2)
     assert [(run.variable, run.value, run.repeat) for run in runs] == [
         ("placers", 8, 0), ("workers", 4, 0), ("placers", 16, 0),
         ("placers", 8, 1), ("workers", 4, 1), ("placers", 16, 1),
@@ -177,11 +183,11 @@
 
 
 def test_a_size_that_cannot_be_is_refused() -> None:
-    assert moved(SMALL, "starts_per_s", 8).starts_per_s == 8.0
+    assert size_with(SMALL, "starts_per_s", 8).starts_per_s == 8.0
     with pytest.raises(ValueError, match=r"^nodes: none of placers"):
-        moved(SMALL, "nodes", 8)
+        size_with(SMALL, "nodes", 8)
     with pytest.raises(ValueError, match=r"^workers: must be at least 1$"):
-        moved(SMALL, "workers", 0)
+        size_with(SMALL, "workers", 0)
 
 
 def test_processor_time_is_told_apart_by_the_placers_that_lack_a_source() -> None:
--- a/tests/scale/test_sweeps.py
+++ b/tests/scale/test_sweeps.py
@@ -9,7 +9,7 @@
 from sprucepost.scale.fits import FARTHEST, SIZES_LEAST
 from sprucepost.scale.results import ResultsError
 from sprucepost.scale.size import VARIABLES
-from sprucepost.scale.sweeps import BASE, FULL, FULL_REPEATS, QUICK, added, full, planned_size
+from sprucepost.scale.sweeps import BASE, FULL, FULL_REPEATS, QUICK, measure_full, merged_results, planned_size
 from sprucepost.scale.target import target_of
 from tests.scale.generated import generated
 from tests.scale.support import size
@@ -42,11 +42,11 @@
 
 def test_an_unknown_variable_is_told_before_anything_runs() -> None:
     with pytest.raises(ResultsError, match="weather: none of placers, workers"):
-        full(["placers", "weather"], 1, "small", "test")
+        measure_full(["placers", "weather"], 1, "small", "test")
 
 
 def test_results_of_one_version_are_put_together_and_others_are_not() -> None:
     one, other = generated({"cpu_percent": (1.0, {})}, 1), generated({"cpu_percent": (1.0, {})}, 2)
-    assert added(one, other).points == one.points + other.points
+    assert merged_results(one, other).points == one.points + other.points
     with pytest.raises(ResultsError, match="version: v0 in the kept results, v1 in the new ones"):
-        added(one, structs.replace(other, version="v1"))
+        merged_results(one, structs.replace(other, version="v1"))
