--- a/sprucepost/scale/calibration.py
+++ b/sprucepost/scale/calibration.py
@@ -50,6 +50,7 @@
 
     @property
     def agrees(self) -> bool:
+        """Whether the difference is within :data:`TOLERANCE`."""
         return abs(self.difference) <= TOLERANCE
 
     def __str__(self) -> str:
--- a/sprucepost/scale/fleet.py
+++ b/sprucepost/scale/fleet.py
@@ -71,7 +71,7 @@
     """Whether most placers are hollow; if not, all are real ones, for calibration."""
     references: bool = True
     nodes: int = 2
-    """Number of real placers on the platform's front, which have their own hosts, bulletin and owners."""
+    """Number of real placers on the platform's front, with their own hosts, bulletin and owners; 0: none."""
     lists_watched: bool = True
     """Whether hollow placers watch the list, which loads the list's server but not the other placers."""
     members_per_process: int = 60
@@ -92,6 +92,7 @@
 
     @property
     def is_reference(self) -> bool:
+        """Whether the placer lacks a source of load."""
         return self.sources != ALL_SOURCES
 
 
@@ -269,7 +270,7 @@
                     continue
                 if done(status):
                     break
-                yield f"{hollow.process.name}: {text}, {status.unconnected} streams missing, {status.here_least} members seen"
+                yield f"{hollow.process.name}: {text}, {status.unconnected} unconnected, {status.here_least} members seen"
 
     def _start_placers(self) -> Steps[None]:
         wanted = [(f"placer{number}", ALL_SOURCES) for number in range(self.real_count)]
--- a/sprucepost/scale/hollow/clients.py
+++ b/sprucepost/scale/hollow/clients.py
@@ -28,6 +28,7 @@
     """
 
     def draw_life_ms(self, service: Service) -> float:
+        """Draw the run time of a task in ms."""
         return self._rng.expovariate(1.0 / service.life_ms)
 
 
@@ -56,6 +57,7 @@
 
     @property
     def addresses(self) -> list[str]:
+        """Empty: clients do not listen."""
         return []
 
     def _services(self, team: str) -> list[Service]:
--- a/sprucepost/scale/hollow/members.py
+++ b/sprucepost/scale/hollow/members.py
@@ -80,6 +80,7 @@
 
     @property
     def name(self) -> str:
+        """Name of the member in the view."""
         return self.peers.view.own_record.name
 
     def join(self, records: Sequence[Record]) -> None:
@@ -109,10 +110,12 @@
 
     @property
     def addresses(self) -> list[str]:
+        """Empty: members announce their addresses in :attr:`known`."""
         return []
 
     @property
     def known(self) -> list[KnownMember]:
+        """Records of the members for the order ``join``."""
         return [member.known for member in self.members]
 
     def _join_all(self, records: Sequence[Record]) -> Co[None]:
--- a/sprucepost/scale/hollow/platform.py
+++ b/sprucepost/scale/hollow/platform.py
@@ -224,6 +224,7 @@
         self._changed[host] = None
 
     def write_later(self, wait_ms: float, transport: Transport, data: bytes) -> None:
+        """Write to a connection after ``wait_ms``."""
         self.loop.call_later(wait_ms, lambda: transport.write(data))
 
     def draw_life_ms(self) -> float:
--- a/sprucepost/scale/hollow/workers.py
+++ b/sprucepost/scale/hollow/workers.py
@@ -63,6 +63,7 @@
 
     @property
     def addresses(self) -> list[str]:
+        """Addresses of the workers, in the order of the settings."""
         return [host.public for host in self._hosts]
 
     # Tasks of hollow placers
--- a/sprucepost/scale/processes.py
+++ b/sprucepost/scale/processes.py
@@ -109,10 +109,12 @@
 
     @property
     def pid(self) -> int:
+        """Process id."""
         return self._child.pid
 
     @property
     def running(self) -> bool:
+        """Whether the process has not ended."""
         return self._child.poll() is None
 
     def announcement(self, kind: type[T]) -> T | None:
--- a/sprucepost/scale/runner.py
+++ b/sprucepost/scale/runner.py
@@ -259,6 +259,7 @@
         return {placer.name: read_counters(placer.http) for placer in loaded(self.fleet)}
 
     def cpu_percent(self, placer: RealPlacer) -> float:
+        """Processor time of a placer over the interval, in per cent of one core."""
         before, after = self.before[placer.name], self.after[placer.name]
         return 100.0 * (after.cpu_s - before.cpu_s) / (after.at_s - before.at_s)
 
@@ -406,6 +407,7 @@
 
 
 def port_of(address: str) -> int:
+    """Port of an address ``HOST:PORT``."""
     return int(address.rpartition(":")[2])
 
 
--- a/sprucepost/scale/state.py
+++ b/sprucepost/scale/state.py
@@ -131,7 +131,7 @@
 
 
 def _hold_records() -> Any:
-    """Records as they are received: decoded, with their own strings, and cached by the codec. New members on each call."""
+    """Records as received: decoded, with their own strings, and cached by the codec. New members on each call."""
     first = next(_first_numbers)
     return [decode(encode(RecordUpdates((_member(first + n),)))) for n in range(ENTRIES)]
 
