--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -28,7 +28,7 @@
 from sprucepost.rules.cold_kept import ColdKept
 from sprucepost.rules.trace import trace
 from sprucepost.settings.cluster import Kind
-from sprucepost.standin.orders import order
+from sprucepost.standin.orders import send_order
 from sprucepost.wire.capture import read_capture
 from sprucepost.wire.client import ClientConnection, open_client
 from tests.placer.support import cluster
@@ -80,7 +80,7 @@
             if connection is None or connection.closed:
                 connection = yield from open_client(self.loop, ("127.0.0.1", self.ports[name]))
                 self.controls[name] = connection
-            return (yield from order(connection, what, **arguments))
+            return (yield from send_order(connection, what, **arguments))
 
         return self.run_co(co)
 
--- a/benchmarks/list_storm.py
+++ b/benchmarks/list_storm.py
@@ -15,14 +15,14 @@
 from sprucepost.loop import Co, Loop, Scope, in_scope, sleep
 from sprucepost.loop.epoll import EpollLoop
 from sprucepost.placer.discovery import DiscoveryWatch, WatchOptions
-from sprucepost.standin.listing import CALL_LINES, Listing
+from sprucepost.standin.listing import CALL_COST_ENTRIES, ListService
 from sprucepost.wire.server import Server
 
 
 def storm(loop: Loop, scope: Scope, size: int, per_s: float, again_ms: float, limit_ms: float) -> Co[dict[str, Any]]:
     """``again_ms``: the pause of a watch whose call failed, half of it drawn, as the module does."""
-    listing = Listing(loop, lines_per_s=per_s * CALL_LINES, call_wait_ms=1e9)
-    calls = Listing.__dict__["_admit"]
+    listing = ListService(loop, lines_per_s=per_s * CALL_COST_ENTRIES, call_wait_ms=1e9)
+    calls = ListService.__dict__["_admit"]
     counts = {"calls": 0, "open": 0, "most_open": 0}
 
     def admit(call: Any, answer: Any) -> None:
--- a/benchmarks/refusals.py
+++ b/benchmarks/refusals.py
@@ -54,7 +54,7 @@
 
             def main(scope: Scope) -> Co[dict[str, Any]]:
                 owner = Owner(loop, scope, address)
-                owner.link.takes_credit, owner.link.batches = False, batches
+                owner.link.accepts_credit, owner.link.accepts_batches = False, batches
                 while not owner.link.up:
                     yield from sleep(20.0)
                 yield from owner.play(size, EVERY_MS, 1000.0)
--- a/sprucepost/cli/badday.py
+++ b/sprucepost/cli/badday.py
@@ -90,22 +90,22 @@
             yield from sleep(min(500.0, max(1.0, end - self.loop.now())))
             fleet.check_alive()
             self._progress()
-        yield from fleet.owners("asking", on=False)
+        yield from fleet.order_owners("asking", on=False)
         yield from injector.wait_until_lifted()  # faults that reach past the end are lifted
         if self.scenario.peers:
             self.note("peers_quiet", {})
             yield from self._settled(fleet)
         deadline = max(cls.deadline_ms for cls in self.scenario.cluster.classes)
         until = self.loop.now() + deadline + 1000.0
-        result = yield from fleet.owners("result")
+        result = yield from fleet.order_owners("result")
         while result["open"] and self.loop.now() < until:
             yield from sleep(200.0)
-            result = yield from fleet.owners("result")
+            result = yield from fleet.order_owners("result")
         fleet.check_alive()
         self.note("ended", {})
         for task in probes.values():
             task.cancel()
-        machines = yield from fleet.field("state")
+        machines = yield from fleet.order_machines("state")
         fleet.stop("owners")
         fleet.stop("placer")
         fleet.stop("")
--- a/sprucepost/cli/fleet.py
+++ b/sprucepost/cli/fleet.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from sprucepost.loop import Address, Co, Loop, sleep
-from sprucepost.standin.orders import order
+from sprucepost.standin.orders import send_order
 from sprucepost.standin.scenario import Scenario
 from sprucepost.wire.client import ClientConnection, open_client
 
@@ -111,9 +111,9 @@
         told = {name: process.announcement() for name, process in self.processes.items()}
         yield from self._connect("tap", told["tap"]["control"])
         yield from self._connect("list", told["list"]["control"])
-        self._list_port = (yield from self.tap("add", name="list", target=f"127.0.0.1:{told['list']['listen']}"))[
-            "port"
-        ]
+        self._list_port = (
+            yield from self.order_proxy("add", name="list", target=f"127.0.0.1:{told['list']['listen']}")
+        )["port"]
         machines = {
             "cluster": self._cluster, "report_to": f"127.0.0.1:{told['list']['listen']}",
             "manners": scenario.class_manners, "seed": scenario.seed,
@@ -125,28 +125,28 @@
             self._spawn_placer(number)
         if scenario.peers:
             for number in range(STRANGERS):
-                yield from self.tap("name", ip=f"127.0.4.{number + 1}", name=f"stranger-{number}")
+                yield from self.order_proxy("name", ip=f"127.0.4.{number + 1}", name=f"stranger-{number}")
                 self._spawn_stranger(number)
         yield from self._connect("machines", self.processes["machines"].announcement()["control"])
         fronts = []
         for number in range(scenario.placers):
             yield from self._placer_up(number)
             fronts.append((yield from self._front(number)))
-        yield from self.tap("name", ip="127.0.2.1", name="owners")
+        yield from self.order_proxy("name", ip="127.0.2.1", name="owners")
         self._fronts = fronts
 
     def _place(self, number: int) -> Co[None]:
         """Its name at the tap and, where it keeps a view, a port there: known to others before it listens."""
         ip, name = f"127.0.1.{number + 1}", f"placer-{number}"
-        yield from self.tap("name", ip=ip, name=name, zone=self.zone_of(number))
+        yield from self.order_proxy("name", ip=ip, name=name, zone=self.zone_of(number))
         if self.scenario.peers:
-            front = yield from self.tap("add", name=name, target="127.0.0.1:1", zone=self.zone_of(number))
+            front = yield from self.order_proxy("add", name=name, target="127.0.0.1:1", zone=self.zone_of(number))
             self._peer_fronts[number] = f"127.0.0.1:{front['port']}"
 
     def _front(self, number: int) -> Co[str]:
         """The tap's port before that placer."""
         target = f"127.0.0.1:{self._placer_ports[number]}"
-        front = yield from self.tap("add", name=f"placer-{number}", target=target, zone=self.zone_of(number))
+        front = yield from self.order_proxy("add", name=f"placer-{number}", target=target, zone=self.zone_of(number))
         return f"127.0.0.1:{front['port']}"
 
     def start_owners(self) -> Co[None]:
@@ -212,27 +212,27 @@
 
     # The stage
 
-    def field(self, what: str, /, **arguments: Any) -> Co[Any]:
-        return (yield from order(self._control["machines"], what, **arguments))
+    def order_machines(self, what: str, /, **arguments: Any) -> Co[Any]:
+        return (yield from send_order(self._control["machines"], what, **arguments))
 
-    def listing(self, what: str, /, **arguments: Any) -> Co[Any]:
-        return (yield from order(self._control["list"], what, **arguments))
+    def order_list(self, what: str, /, **arguments: Any) -> Co[Any]:
+        return (yield from send_order(self._control["list"], what, **arguments))
 
-    def tap(self, what: str, /, **arguments: Any) -> Co[Any]:
-        return (yield from order(self._control["tap"], what, **arguments))
+    def order_proxy(self, what: str, /, **arguments: Any) -> Co[Any]:
+        return (yield from send_order(self._control["tap"], what, **arguments))
 
-    def owners(self, what: str, /, **arguments: Any) -> Co[Any]:
-        return (yield from order(self._control["owners"], what, **arguments))
+    def order_owners(self, what: str, /, **arguments: Any) -> Co[Any]:
+        return (yield from send_order(self._control["owners"], what, **arguments))
 
     def add_machine(self, model: dict[str, Any], cold: bool) -> Co[None]:
         name = model["name"]
-        port = (yield from self.field("add", model=model, cold=cold))["port"]
-        front = yield from self.tap("add", name=name, target=f"127.0.0.1:{port}", zone=model["zone"])
-        yield from self.field("announce", machine=name, address=f"127.0.0.1:{front['port']}")
+        port = (yield from self.order_machines("add", model=model, cold=cold))["port"]
+        front = yield from self.order_proxy("add", name=name, target=f"127.0.0.1:{port}", zone=model["zone"])
+        yield from self.order_machines("announce", machine=name, address=f"127.0.0.1:{front['port']}")
 
     def kill_placer(self, number: int) -> None:
         name = f"placer-{number}"
-        self.note("placer_killed", placer=name)
+        self.record_event("placer_killed", placer=name)
         process = self.processes.pop(name, None)  # none where it has stopped by itself by now
         if process is not None:
             process.stop(signal.SIGKILL)
@@ -250,7 +250,7 @@
         self._starting.discard(process.name)
         self._tell(process, signal.SIGUSR2)  # what was told while it could not hear
         self._tell(process, signal.SIGHUP)
-        self.note("placer_started", placer=f"placer-{number}")
+        self.record_event("placer_started", placer=f"placer-{number}")
 
     def _tell(self, process: Process | None, number: int) -> None:
         """A signal to a placer, unless it has no handler for it yet."""
@@ -267,12 +267,12 @@
         name = f"placer-{number}"
         process = self.processes.get(name)
         if process is not None:
-            self.note("placer_stopped" if stalled else "placer_continued", placer=name)
+            self.record_event("placer_stopped" if stalled else "placer_continued", placer=name)
             process.stop(signal.SIGSTOP if stalled else signal.SIGCONT)
 
     def term_placer(self, number: int) -> None:
         name = f"placer-{number}"
-        self.note("placer_asked_to_stop", placer=name)
+        self.record_event("placer_asked_to_stop", placer=name)
         self.processes[name].stop(signal.SIGTERM)
         self._leaving.add(name)
 
@@ -293,21 +293,21 @@
         (self.folder / f"{name}.clock").write_text(f"{by_ms}\n")
         self._tell(self.processes.get(name), signal.SIGUSR2)
 
-    def start_twin(self, number: int) -> Co[None]:
+    def start_duplicate(self, number: int) -> Co[None]:
         name, ip = f"twin-{number}", f"127.0.3.{number + 1}"
         if name in self.processes:
             return
-        yield from self.tap("name", ip=ip, name=name, zone=self.zone_of(number))
+        yield from self.order_proxy("name", ip=ip, name=name, zone=self.zone_of(number))
         self._spawn_placer(number, name, ip)
         yield from self._announced(self.processes[name])
 
-    def stop_twin(self, number: int) -> None:
+    def stop_duplicate(self, number: int) -> None:
         process = self.processes.get(f"twin-{number}")
         if process is not None:
             process.stop(signal.SIGTERM)
             self._leaving.add(process.name)
 
-    def resize(self, size: int, lead_ms: float, overlap_ms: float, told: int = 0) -> Co[None]:
+    def resize(self, size: int, lead_ms: float, overlap_ms: float, notified: int = 0) -> Co[None]:
         before, self._size = self._size, size
         self._generation = {
             "number": 1, "previous_instances": before, "begins_ms": time.time() * 1000.0 + lead_ms,
@@ -320,7 +320,7 @@
             path.with_suffix(".new").write_text(json.dumps(raw, indent=1))
             path.with_suffix(".new").replace(path)
         running = [number for number in range(before) if f"placer-{number}" in self.processes]
-        for number in running[: told or None]:
+        for number in running[: notified or None]:
             self._tell(self.processes.get(f"placer-{number}"), signal.SIGHUP)
         yield from sleep(lead_ms)
         for number in range(before, size):
@@ -328,8 +328,8 @@
             self._spawn_placer(number)
             yield from self._announced(self.processes[f"placer-{number}"])
             yield from self._placer_up(number)
-            self.note("placer_started", placer=f"placer-{number}")
-            yield from self.owners("placer", address=(yield from self._front(number)))
+            self.record_event("placer_started", placer=f"placer-{number}")
+            yield from self.order_owners("placer", address=(yield from self._front(number)))
 
     def views(self) -> list[str]:
         """The digest that each placer which runs shows of its fleet; what keeps it from showing one."""
@@ -340,7 +340,7 @@
                 found.append(_digest(self.processes[f"placer-{number}"].http))
         return found
 
-    def note(self, what: str, **more: Any) -> None:
+    def record_event(self, what: str, **more: Any) -> None:
         self._note(what, more)
 
     # The end
--- a/sprucepost/cli/load.py
+++ b/sprucepost/cli/load.py
@@ -20,7 +20,7 @@
 from sprucepost.plotting import NoCharts
 from sprucepost.rules.record import RecordError
 from sprucepost.settings import SettingsError
-from sprucepost.standin.daemons import address_of
+from sprucepost.standin.daemons import parse_address
 
 
 class LoadError(Exception):
@@ -81,7 +81,7 @@
                 other = json.loads(against.read_bytes())
             except (OSError, ValueError) as error:
                 raise LoadError(f"{against}: {error}", 2) from None
-        figures = play([(name, [address_of(a) for a in addresses], plan) for name, addresses, plan in sides])
+        figures = play([(name, [parse_address(a) for a in addresses], plan) for name, addresses, plan in sides])
         first, *rest = figures
         if save is not None:
             _write(save, json.dumps(figures[first] if not rest else figures, indent=1) + "\n")
--- a/sprucepost/cli/main.py
+++ b/sprucepost/cli/main.py
@@ -117,7 +117,7 @@
     from sprucepost.standin import daemons
 
     settings = read_or_exit(file, daemons.MachineFile)
-    run_daemon(daemons.machines, settings, settings.seed)
+    run_daemon(daemons.run_machines, settings, settings.seed)
 
 
 @main.command("list")
@@ -126,7 +126,7 @@
     """Run a stand-in list of machines."""
     from sprucepost.standin import daemons
 
-    run_daemon(daemons.listing, read_or_exit(file, daemons.ListFile), None)
+    run_daemon(daemons.run_list, read_or_exit(file, daemons.ListFile), None)
 
 
 @main.command()
@@ -135,7 +135,7 @@
     """Run the recording relay."""
     from sprucepost.standin import daemons
 
-    run_daemon(daemons.tap, read_or_exit(file, daemons.TapFile), None)
+    run_daemon(daemons.run_proxy, read_or_exit(file, daemons.ProxyFile), None)
 
 
 @main.group()
@@ -150,7 +150,7 @@
     from sprucepost.standin import daemons
 
     settings = read_or_exit(file, daemons.OwnerFile)
-    run_daemon(daemons.owners, settings, settings.seed)
+    run_daemon(daemons.run_owners, settings, settings.seed)
 
 
 @owner.command()
@@ -372,9 +372,9 @@
     """Print the day that `badday --random --seed` plays."""
     import msgspec
 
-    from sprucepost.standin.drawing import draw
+    from sprucepost.standin.drawing import generate_scenario
 
-    click.echo(msgspec.json.format(msgspec.json.encode(draw(seed, length_s, peers)), indent=1).decode())
+    click.echo(msgspec.json.format(msgspec.json.encode(generate_scenario(seed, length_s, peers)), indent=1).decode())
 
 
 @scenario.command("import")
--- a/sprucepost/cli/search.py
+++ b/sprucepost/cli/search.py
@@ -19,7 +19,7 @@
 
 from sprucepost.cli.tables import problems, table
 from sprucepost.rules.record import RESULT, SCENARIO
-from sprucepost.standin.drawing import draw, kinds_of
+from sprucepost.standin.drawing import count_kinds, generate_scenario
 from sprucepost.standin.scenario import Fault, Scenario
 
 DAYS = "days.jsonl"
@@ -56,7 +56,7 @@
 
 def outcome(day: Day) -> dict[str, Any]:
     """What became of a day whose process has ended: ``good``, ``bad`` with what was wrong, or ``failed``."""
-    found: dict[str, Any] = {"seed": day.seed, "faults": kinds_of(day.scenario.faults)}
+    found: dict[str, Any] = {"seed": day.seed, "faults": count_kinds(day.scenario.faults)}
     result = day.folder / RESULT
     if day.child.returncode not in (0, 1) or not result.exists():
         said = (day.folder / "printed.txt").read_text(errors="replace").strip().splitlines()
@@ -237,4 +237,4 @@
 
 
 def drawn(length_s: float, peers: bool = False) -> Callable[[int], Scenario]:
-    return lambda seed: draw(seed, length_s, peers)
+    return lambda seed: generate_scenario(seed, length_s, peers)
--- a/sprucepost/cli/submit.py
+++ b/sprucepost/cli/submit.py
@@ -8,7 +8,7 @@
 
 from sprucepost.loop import Co, Scope, in_scope, sleep
 from sprucepost.loop.epoll import EpollLoop
-from sprucepost.standin.daemons import address_of
+from sprucepost.standin.daemons import parse_address
 from sprucepost.standin.owner_link import OwnerLink
 from sprucepost.v1 import common_pb2
 from sprucepost.v1 import placer_pb2 as pb
@@ -22,7 +22,7 @@
     frames: list[pb.PlacerFrame] = []
 
     def main(scope: Scope) -> Co[int]:
-        link = OwnerLink(loop, scope, address_of(address), "cli", frames.append, lambda resumed: None)
+        link = OwnerLink(loop, scope, parse_address(address), "cli", frames.append, lambda resumed: None)
         until = loop.now() + CONNECT_MS
         while not link.up:
             if loop.now() > until:
--- a/sprucepost/load/run.py
+++ b/sprucepost/load/run.py
@@ -16,7 +16,7 @@
 from sprucepost.load.arrivals import Ask
 from sprucepost.load.plan import Plan
 from sprucepost.loop import Address, Co, Loop, Scope, sleep
-from sprucepost.standin.owner_link import HELD, OwnerLink
+from sprucepost.standin.owner_link import HELD_BACK_TOO_LONG, OwnerLink
 from sprucepost.v1 import common_pb2
 from sprucepost.v1 import placer_pb2 as pb
 
@@ -112,7 +112,7 @@
         ]
         for links in self._links:
             for link in links:
-                link.takes_credit, link.batches = plan.credit, plan.batches
+                link.accepts_credit, link.accepts_batches = plan.credit, plan.batches
 
     def _frame(self, answer: pb.PlacerFrame) -> None:
         kind = str(answer.WhichOneof("body"))
@@ -140,7 +140,7 @@
                 result.by_owner[ask.owner] += 1
         elif kind == "refused":
             bucket.refused += 1
-            result.held += answer.refused.why == HELD
+            result.held += answer.refused.why == HELD_BACK_TOO_LONG
 
     def _ask(self, number: int, ask: Ask, due: float) -> None:
         result, name = self.result, f"{self._prefix}-{number}"
@@ -164,7 +164,7 @@
         links = self._links[owner]
         for n in range(len(links)):
             link = links[(number + n) % len(links)]
-            if link.room != 0:
+            if link.remaining_credit != 0:
                 return link
         return links[number % len(links)]
 
--- a/sprucepost/scale/fleet.py
+++ b/sprucepost/scale/fleet.py
@@ -38,7 +38,7 @@
 from sprucepost.scale.sources import EVERYTHING, REFERENCES, Source
 from sprucepost.settings import PeerOptions, PlacerFile, PlacerOptions
 from sprucepost.settings.placer import Limits as PlacerLimits
-from sprucepost.standin.orders import order
+from sprucepost.standin.orders import send_order
 from sprucepost.view.rings import ring_count
 from sprucepost.wire.client import open_client
 from sprucepost.wire.status import RpcError
@@ -431,7 +431,7 @@
         def give() -> Any:
             connection = yield from open_client(self._loop, parse_address(hollow.announcement.control))
             try:
-                return (yield from order(connection, what, **arguments))
+                return (yield from send_order(connection, what, **arguments))
             finally:
                 connection.close()
 
--- a/sprucepost/scale/hollow/__main__.py
+++ b/sprucepost/scale/hollow/__main__.py
@@ -17,8 +17,8 @@
 from sprucepost.scale.hollow.platform import Platform
 from sprucepost.scale.hollow.settings import Announcement, ClientsFile, HollowFile, MembersFile, PlatformFile
 from sprucepost.scale.hollow.workers import Workers
-from sprucepost.standin.daemons import serve_orders, until_stopped
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.daemons import serve_orders, wait_for_stop_signal
+from sprucepost.standin.orders import OrderService
 
 
 class Company(Protocol):
@@ -26,7 +26,7 @@
 
     @property
     def addresses(self) -> list[str]: ...
-    def orders(self) -> Orders: ...
+    def orders(self) -> OrderService: ...
 
 
 def build(loop: Loop, scope: Scope, file: HollowFile) -> Company:
@@ -46,7 +46,7 @@
     control = f"127.0.0.1:{serve_orders(loop, scope, company.orders(), '127.0.0.1:0')}"
     known = company.known if isinstance(company, Members) else []
     announce(msgspec.json.encode(Announcement(control, company.addresses, known)).decode())
-    return (yield from until_stopped(loop, scope))
+    return (yield from wait_for_stop_signal(loop, scope))
 
 
 def main(path: Path) -> int:
--- a/sprucepost/scale/hollow/clients.py
+++ b/sprucepost/scale/hollow/clients.py
@@ -10,8 +10,8 @@
 from sprucepost.placer.daemon import parse_address
 from sprucepost.scale import deployment
 from sprucepost.scale.hollow.settings import ClientsFile
-from sprucepost.standin.orders import Orders
-from sprucepost.standin.owners import Owners, Service, Tally
+from sprucepost.standin.orders import OrderService
+from sprucepost.standin.owners import ClassStatistics, Owners, Service
 
 SERVICES_PER_CLASS = 4
 KEEPALIVE_MS = 10_000.0
@@ -47,7 +47,7 @@
                 prefix=f"{team}-{loop.token(4).hex()}",
                 keepalive_ms=KEEPALIVE_MS,
             )
-            owners.factor = 0.0
+            owners.rate_factor = 0.0
             scope.spawn(owners.run(), f"asks of {team}")
             self._owners[team] = owners
 
@@ -67,23 +67,23 @@
 
     # Orders
 
-    def orders(self) -> Orders:
+    def orders(self) -> OrderService:
         """``ask``: begin, with so many tasks at once; ``reset``: count from now on; ``result``; ``status``: sessions up."""
-        return Orders({"ask": self._ask, "reset": self._reset, "result": self._result, "status": self._status})
+        return OrderService({"ask": self._ask, "reset": self._reset, "result": self._result, "status": self._status})
 
     def _ask(self, running: int) -> dict[str, Any]:
         """From now on, and so many tasks at once."""
         teams, shares = list(self._owners.values()), list(self._file.shares.values())
         for owners in teams:
-            owners.factor = 1.0
+            owners.rate_factor = 1.0
         for _ in range(running):
             owners = self._rng.choices(teams, shares)[0]
-            owners.want(self._rng.choice(owners.services))
+            owners.submit_new_task(self._rng.choice(owners.services))
         return {}
 
     def _reset(self) -> dict[str, Any]:
         for owners in self._owners.values():
-            owners.tally = {name: Tally() for name in owners.tally}
+            owners.statistics = {name: ClassStatistics() for name in owners.statistics}
         return {}
 
     def _status(self) -> dict[str, Any]:
@@ -95,7 +95,7 @@
         return {name: self._class_result(name) for name in deployment.CLASS_SHARES}
 
     def _class_result(self, name: str) -> dict[str, Any]:
-        tallies = [owners.tally[name] for owners in self._owners.values()]
+        tallies = [owners.statistics[name] for owners in self._owners.values()]
         starts, outcomes = HdrHistogram(1, 600_000, 2), dict[str, int]()
         for tally in tallies:
             starts.add(tally.start_ms)
--- a/sprucepost/scale/hollow/members.py
+++ b/sprucepost/scale/hollow/members.py
@@ -21,7 +21,7 @@
 from sprucepost.placer.discovery import CONNECT_TIMEOUT_MS, CONNECTION_OPTIONS, WATCH_PATH
 from sprucepost.scale.hollow.settings import Known, MembersFile, MemberSpec, MembersStatus
 from sprucepost.settings.running import settings_fingerprint
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.orders import OrderService
 from sprucepost.v1 import fleet_pb2
 from sprucepost.view import Record
 from sprucepost.view.messages import Dial
@@ -142,9 +142,9 @@
 
     # Orders
 
-    def orders(self) -> Orders:
+    def orders(self) -> OrderService:
         """``join`` and ``begin``, in that order; ``status``: whether all members of this process see the fleet."""
-        return Orders({"join": self._join, "begin": self._begin, "status": self._status})
+        return OrderService({"join": self._join, "begin": self._begin, "status": self._status})
 
     def _join(self, fleet: list[dict[str, Any]]) -> dict[str, Any]:
         known = msgspec.convert(fleet, list[Known])
--- a/sprucepost/scale/hollow/platform.py
+++ b/sprucepost/scale/hollow/platform.py
@@ -20,7 +20,7 @@
 from sprucepost.placer.daemon import format_address, parse_address
 from sprucepost.scale import deployment
 from sprucepost.scale.hollow.settings import HostSpec, PlatformFile
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.orders import OrderService
 
 RUNS_AFTER_MS = 30.0
 BULLETIN_MS = 500.0
@@ -260,9 +260,9 @@
 
     # Orders
 
-    def orders(self) -> Orders:
+    def orders(self) -> OrderService:
         """``begin``: asks and tasks; ``status``: what has been asked and answered."""
-        return Orders({"begin": self._begin, "status": self._status})
+        return OrderService({"begin": self._begin, "status": self._status})
 
     def _begin(
         self,
--- a/sprucepost/scale/hollow/workers.py
+++ b/sprucepost/scale/hollow/workers.py
@@ -15,8 +15,8 @@
 from sprucepost.scale import deployment
 from sprucepost.scale.hollow.settings import WorkersFile
 from sprucepost.standin.machine_types import AttemptId, MachineModel, MachineState, Offer
-from sprucepost.standin.machines import Field, MachineHost, class_models
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.machines import MachinePool, MachineServer, class_models
+from sprucepost.standin.orders import OrderService
 
 HOLLOW_PLACER = 1_000_000
 """Number under which the tasks of hollow placers stand at a worker; no real placer has it."""
@@ -26,19 +26,19 @@
 IDLE_MS = 1000.0
 
 
-class ReportingField(Field):
+class ReportingField(MachinePool):
     """Reports a worker when its room has changed, not each time that one of its tasks tells its use."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         self._room: dict[str, tuple[float, float]] = {}
 
-    def touched(self, host: MachineHost) -> None:
+    def on_activity(self, host: MachineServer) -> None:
         """Called with everything that happens at a machine."""
         name, room = host.model.model.name, host.model.requested()
         if self._room.get(name) != room:
             self._room[name] = room
-            self.changed(host)
+            self.mark_changed(host)
 
 
 class Workers:
@@ -52,9 +52,9 @@
         scope.spawn(self.field.report(), "reports")
         for fields in file.workers:
             host = self.field.add(MachineModel(**fields))
-            host.public = format_address(host.address)
-            self.field.changed(host)
-        self._hosts = list(self.field.hosts.values())
+            host.listed_address = format_address(host.address)
+            self.field.mark_changed(host)
+        self._hosts = list(self.field.machines.values())
         self._requests = count(1)
         self._starts_per_s = 0.0
         self._life_ms = 1.0
@@ -62,7 +62,7 @@
 
     @property
     def addresses(self) -> list[str]:
-        return [host.public for host in self._hosts]
+        return [host.listed_address for host in self._hosts]
 
     # Tasks of hollow placers
 
@@ -74,7 +74,7 @@
             if rate:
                 self._offer(self._rng.choice(self._hosts))
 
-    def _offer(self, host: MachineHost) -> None:
+    def _offer(self, host: MachineServer) -> None:
         number = next(self._requests)
         shares = deployment.CLASS_SHARES
         name = self._rng.choices(list(shares), list(shares.values()))[0]
@@ -94,16 +94,16 @@
 
     # Restarts
 
-    def _restart(self, host: MachineHost) -> Co[None]:
+    def _restart(self, host: MachineServer) -> Co[None]:
         host.crash()
         yield from sleep(DOWN_MS)
-        host.up(cold=True)
+        host.start(cold=True)
 
     # Orders
 
-    def orders(self) -> Orders:
+    def orders(self) -> OrderService:
         """``tasks``: those of hollow placers; ``restart``: a worker; ``status``: how many tasks there are."""
-        return Orders({"tasks": self._tasks, "restart": self._restart_one, "status": self._status})
+        return OrderService({"tasks": self._tasks, "restart": self._restart_one, "status": self._status})
 
     def _tasks(self, starts_per_s: float, running: int, life_ms: float) -> dict[str, Any]:
         """As many running from the start, and new ones at that rate. Lives are exponential, so that the time which is left
--- a/sprucepost/standin/daemons.py
+++ b/sprucepost/standin/daemons.py
@@ -11,19 +11,19 @@
 
 from sprucepost.loop import Address, Co, Loop, Scope, sleep
 from sprucepost.settings import Cluster
-from sprucepost.standin.listing import Listing
+from sprucepost.standin.listing import ListService
 from sprucepost.standin.machine_types import MachineModel
-from sprucepost.standin.machines import Field, class_models
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.machines import MachinePool, class_models
+from sprucepost.standin.orders import OrderService
 from sprucepost.standin.owners import Owners, Service
-from sprucepost.standin.tap import Tap
+from sprucepost.standin.tap import RecordingProxy
 from sprucepost.wire.capture import CaptureWriter
 from sprucepost.wire.server import Method, Server
 
 Announce = Callable[[str], None]
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     return host, int(port)
 
@@ -87,7 +87,7 @@
         return found
 
 
-class TapFile(Struct, forbid_unknown_fields=True, frozen=True):
+class ProxyFile(Struct, forbid_unknown_fields=True, frozen=True):
     """What the tap process reads."""
 
     capture: str | None = None
@@ -97,7 +97,7 @@
         return []
 
 
-def until_stopped(loop: Loop, scope: Scope) -> Co[int]:
+def wait_for_stop_signal(loop: Loop, scope: Scope) -> Co[int]:
     """Wait for SIGTERM or SIGINT, then cancel the scope; the exit status."""
     stopped: list[bool] = []
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -108,41 +108,43 @@
     return 0
 
 
-def serve_orders(loop: Loop, scope: Scope, orders: Orders, at: str, more: dict[str, Method] | None = None) -> int:
+def serve_orders(loop: Loop, scope: Scope, orders: OrderService, at: str, more: dict[str, Method] | None = None) -> int:
     """Serve orders, and ``more`` beside them, on that address; the port that was bound."""
-    address = Server(loop, scope, {**orders.methods(), **(more or {})}).listen(address_of(at))
+    address = Server(loop, scope, {**orders.methods(), **(more or {})}).listen(parse_address(at))
     assert isinstance(address, tuple)
     return address[1]
 
 
-def machines(loop: Loop, scope: Scope, file: MachineFile, announce: Announce) -> Co[int]:
-    field = Field(loop, scope, file.cluster, class_models(file.cluster, file.manners), address_of(file.report_to))
+def run_machines(loop: Loop, scope: Scope, file: MachineFile, announce: Announce) -> Co[int]:
+    field = MachinePool(
+        loop, scope, file.cluster, class_models(file.cluster, file.manners), parse_address(file.report_to)
+    )
     scope.spawn(field.report(), "reports")
     ports = {}
     for raw in file.machines:
         host = field.add(MachineModel(**raw))
         assert isinstance(host.address, tuple)
         ports[raw["name"]] = host.address[1]
-        host.public = f"{host.address[0]}:{host.address[1]}"
-        field.changed(host)
+        host.listed_address = f"{host.address[0]}:{host.address[1]}"
+        field.mark_changed(host)
     announce(json.dumps({"control": serve_orders(loop, scope, field.orders(), file.control), "machines": ports}))
-    return (yield from until_stopped(loop, scope))
+    return (yield from wait_for_stop_signal(loop, scope))
 
 
-def listing(loop: Loop, scope: Scope, file: ListFile, announce: Announce) -> Co[int]:
-    service = Listing(loop, file.late_ms, file.lines_per_s, file.call_wait_ms)
+def run_list(loop: Loop, scope: Scope, file: ListFile, announce: Announce) -> Co[int]:
+    service = ListService(loop, file.late_ms, file.lines_per_s, file.call_wait_ms)
     port = serve_orders(loop, scope, service.orders(), file.listen, service.methods())
     announce(json.dumps({"listen": port, "control": port}))
-    return (yield from until_stopped(loop, scope))
+    return (yield from wait_for_stop_signal(loop, scope))
 
 
-def owners(loop: Loop, scope: Scope, file: OwnerFile, announce: Announce) -> Co[int]:
+def run_owners(loop: Loop, scope: Scope, file: OwnerFile, announce: Announce) -> Co[int]:
     service = Owners(
         loop,
         scope,
         file.cluster,
         [Service(**raw) for raw in file.services],
-        [address_of(text) for text in file.placers],
+        [parse_address(text) for text in file.placers],
         file.rate_per_s,
         file.wanted_ms,
         file.again_ms,
@@ -150,18 +152,18 @@
     )
     scope.spawn(service.run(), "asking")
     announce(json.dumps({"control": serve_orders(loop, scope, service.orders(), file.control)}))
-    return (yield from until_stopped(loop, scope))
+    return (yield from wait_for_stop_signal(loop, scope))
 
 
-def tap(loop: Loop, scope: Scope, file: TapFile, announce: Announce) -> Co[int]:
+def run_proxy(loop: Loop, scope: Scope, file: ProxyFile, announce: Announce) -> Co[int]:
     if file.capture is None:
-        relay = Tap(loop)
+        relay = RecordingProxy(loop)
         announce(json.dumps({"control": serve_orders(loop, scope, relay.orders(), file.control)}))
-        return (yield from until_stopped(loop, scope))
+        return (yield from wait_for_stop_signal(loop, scope))
     with open(file.capture, "wb", buffering=1 << 20) as out:
-        relay = Tap(loop, CaptureWriter(out.write))
+        relay = RecordingProxy(loop, CaptureWriter(out.write))
         announce(json.dumps({"control": serve_orders(loop, scope, relay.orders(), file.control)}))
         try:
-            return (yield from until_stopped(loop, scope))
+            return (yield from wait_for_stop_signal(loop, scope))
         finally:
             relay.stop()
--- a/sprucepost/standin/drawing.py
+++ b/sprucepost/standin/drawing.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Row:
+class FaultRanges:
     """How one kind of fault is drawn; ``len_s`` as a share of the day, times where it lasts."""
 
     len_share: Range = (0.05, 0.3)
@@ -32,54 +32,56 @@
     most: int = 2  # in one day
 
 
-FAULTS: Mapping[str, Row] = {
-    "crash": Row(len_share=(0.04, 0.25), part=(0.1, 0.6)),
-    "vanish": Row(len_share=(0.08, 0.3), part=(0.08, 0.4)),
-    "slow": Row(part=(0.1, 0.7), size=(2.0, 15.0)),
-    "ageing": Row(len_share=(0.15, 0.3), part=(0.1, 0.4), size=(3.0, 15.0), extra=(1.0, 2.0)),
-    "class_fail": Row(part=(0.2, 0.7)),
-    "answer_lost": Row(len_share=(0.1, 0.4), part=(0.2, 0.9), size=(0.1, 0.9)),
-    "balancer_stall": Row(part=(0.1, 1.0), size=(200.0, 5000.0), extra=(0.0, 3.0)),
-    "burst": Row(len_share=(0.05, 0.2), size=(1.5, 3.0)),
-    "ask_twice": Row(len_share=(0.1, 0.5), part=(0.1, 0.8)),
-    "hot_key": Row(part=(0.1, 0.4), size=(1.5, 3.0)),
-    "heavy_tail": Row(size=(1.5, 3.0)),
-    "zone_cut": Row(len_share=(0.05, 0.3), zone=True),
-    "deploy": Row(len_share=(0.2, 0.5), part=(0.3, 0.9), size=(0.1, 0.35), extra=(0.5, 2.5)),
-    "shrink": Row(len_share=(0.1, 0.3), size=(1.2, 1.6), most=1),
-    "grow": Row(len_share=(0.04, 0.2), size=(1.3, 2.2), extra=(0.5, 1.0), most=1),
-    "discovery_down": Row(len_share=(0.08, 0.4)),
-    "discovery_stale": Row(len_share=(0.1, 0.5), size=(1.0, 6.0)),
-    "reconnect": Row(len_share=(0.01, 0.1), part=(0.1, 0.6)),
-    "placer_kill": Row(len_share=(0.02, 0.15), part=(0.1, 0.5)),
-    "reset": Row(len_share=(0.0, 0.0), part=(0.2, 1.0), most=3),
-    "list_empty": Row(len_share=(0.05, 0.2), most=1),
-    "list_back": Row(len_share=(0.05, 0.2), size=(1.0, 10.0), most=1),
-    "list_gone": Row(len_share=(0.05, 0.2), part=(0.3, 0.6), most=1),
-    "one_way_cut": Row(len_share=(0.05, 0.25), extra=(0.0, 1.0), zone=True),
-    "slow_link": Row(part=(0.1, 0.7), size=(20.0, 800.0), extra=(0.0, 40_000.0)),
-    "descriptors": Row(part=(0.1, 0.6)),
-    "clock_step": Row(part=(0.1, 0.5), size=(-8000.0, 8000.0), most=1),
-    "same_number": Row(len_share=(0.15, 0.4), part=(0.0, 0.0), most=1),
-    "placer_stop": Row(len_share=(0.02, 0.1), part=(0.1, 0.4), size=(50.0, 2500.0)),
-    "resize": Row(len_share=(0.2, 0.4), size=(1.2, 1.7), most=1),
+FAULT_RANGES: Mapping[str, FaultRanges] = {
+    "crash": FaultRanges(len_share=(0.04, 0.25), part=(0.1, 0.6)),
+    "vanish": FaultRanges(len_share=(0.08, 0.3), part=(0.08, 0.4)),
+    "slow": FaultRanges(part=(0.1, 0.7), size=(2.0, 15.0)),
+    "ageing": FaultRanges(len_share=(0.15, 0.3), part=(0.1, 0.4), size=(3.0, 15.0), extra=(1.0, 2.0)),
+    "class_fail": FaultRanges(part=(0.2, 0.7)),
+    "answer_lost": FaultRanges(len_share=(0.1, 0.4), part=(0.2, 0.9), size=(0.1, 0.9)),
+    "balancer_stall": FaultRanges(part=(0.1, 1.0), size=(200.0, 5000.0), extra=(0.0, 3.0)),
+    "burst": FaultRanges(len_share=(0.05, 0.2), size=(1.5, 3.0)),
+    "ask_twice": FaultRanges(len_share=(0.1, 0.5), part=(0.1, 0.8)),
+    "hot_key": FaultRanges(part=(0.1, 0.4), size=(1.5, 3.0)),
+    "heavy_tail": FaultRanges(size=(1.5, 3.0)),
+    "zone_cut": FaultRanges(len_share=(0.05, 0.3), zone=True),
+    "deploy": FaultRanges(len_share=(0.2, 0.5), part=(0.3, 0.9), size=(0.1, 0.35), extra=(0.5, 2.5)),
+    "shrink": FaultRanges(len_share=(0.1, 0.3), size=(1.2, 1.6), most=1),
+    "grow": FaultRanges(len_share=(0.04, 0.2), size=(1.3, 2.2), extra=(0.5, 1.0), most=1),
+    "discovery_down": FaultRanges(len_share=(0.08, 0.4)),
+    "discovery_stale": FaultRanges(len_share=(0.1, 0.5), size=(1.0, 6.0)),
+    "reconnect": FaultRanges(len_share=(0.01, 0.1), part=(0.1, 0.6)),
+    "placer_kill": FaultRanges(len_share=(0.02, 0.15), part=(0.1, 0.5)),
+    "reset": FaultRanges(len_share=(0.0, 0.0), part=(0.2, 1.0), most=3),
+    "list_empty": FaultRanges(len_share=(0.05, 0.2), most=1),
+    "list_back": FaultRanges(len_share=(0.05, 0.2), size=(1.0, 10.0), most=1),
+    "list_gone": FaultRanges(len_share=(0.05, 0.2), part=(0.3, 0.6), most=1),
+    "one_way_cut": FaultRanges(len_share=(0.05, 0.25), extra=(0.0, 1.0), zone=True),
+    "slow_link": FaultRanges(part=(0.1, 0.7), size=(20.0, 800.0), extra=(0.0, 40_000.0)),
+    "descriptors": FaultRanges(part=(0.1, 0.6)),
+    "clock_step": FaultRanges(part=(0.1, 0.5), size=(-8000.0, 8000.0), most=1),
+    "same_number": FaultRanges(len_share=(0.15, 0.4), part=(0.0, 0.0), most=1),
+    "placer_stop": FaultRanges(len_share=(0.02, 0.1), part=(0.1, 0.4), size=(50.0, 2500.0)),
+    "resize": FaultRanges(len_share=(0.2, 0.4), size=(1.2, 1.7), most=1),
 }
-PEERS: Mapping[str, Row] = {  # what days are drawn from besides whose placers keep a view of their fleet
-    "peer_cut": Row(len_share=(0.04, 0.45), part=(0.1, 0.5), extra=(0.0, 2.49), most=2),
-    "peer_flap": Row(len_share=(0.1, 0.4), part=(0.1, 0.5), size=(150.0, 2500.0)),
-    "peer_slow": Row(len_share=(0.1, 0.4), part=(0.1, 0.5), size=(50.0, 900.0)),
-    "peer_reset": Row(len_share=(0.1, 0.5), part=(0.1, 1.0), extra=(0.3, 3.0), most=2),
-    "balancer_stall": FAULTS["balancer_stall"],
-    "placer_kill": FAULTS["placer_kill"],
-    "placer_crowd": Row(len_share=(0.01, 0.05), part=(0.1, 0.3), size=(2.0, 6.0), most=1),
-    "placer_stop": FAULTS["placer_stop"],
-    "clock_step": FAULTS["clock_step"],
+PEER_FAULT_RANGES: Mapping[
+    str, FaultRanges
+] = {  # what days are drawn from besides whose placers keep a view of their fleet
+    "peer_cut": FaultRanges(len_share=(0.04, 0.45), part=(0.1, 0.5), extra=(0.0, 2.49), most=2),
+    "peer_flap": FaultRanges(len_share=(0.1, 0.4), part=(0.1, 0.5), size=(150.0, 2500.0)),
+    "peer_slow": FaultRanges(len_share=(0.1, 0.4), part=(0.1, 0.5), size=(50.0, 900.0)),
+    "peer_reset": FaultRanges(len_share=(0.1, 0.5), part=(0.1, 1.0), extra=(0.3, 3.0), most=2),
+    "balancer_stall": FAULT_RANGES["balancer_stall"],
+    "placer_kill": FAULT_RANGES["placer_kill"],
+    "placer_crowd": FaultRanges(len_share=(0.01, 0.05), part=(0.1, 0.3), size=(2.0, 6.0), most=1),
+    "placer_stop": FAULT_RANGES["placer_stop"],
+    "clock_step": FAULT_RANGES["clock_step"],
 }
 EFFECTS = (["safe", "keyed", "unsafe"], ["keyed", "unsafe"], ["safe", "keyed"], ["unsafe"], ["keyed", "keyed"])
-COLD = ("crash", "deploy", "grow", "vanish", "ageing")  # what leaves machines that have just come up
+COLD_START_FAULTS = ("crash", "deploy", "grow", "vanish", "ageing")  # what leaves machines that have just come up
 
 
-def draw(seed: int, length_s: float = 24.0, peers: bool = False) -> Scenario:
+def generate_scenario(seed: int, length_s: float = 24.0, peers: bool = False) -> Scenario:
     """The day of that seed. Seeds are apart: two that follow each other have nothing in common. With ``peers`` its placers
     keep a view of their fleet, there are more of them, and they have faults of their own besides."""
     rng = _random.Random(f"day {seed}")
@@ -120,9 +122,9 @@
     for fault in raw["faults"]:
         if fault["kind"] == "resize":
             fault["extra"] = rng.choice((0.0, 1.0))
-    for kind in rng.sample(sorted(PEERS), rng.randint(1, 4)):
-        for _ in range(rng.randint(1, PEERS[kind].most)):
-            fault = _fault(rng, kind, PEERS[kind], raw["length_s"], raw["cluster"]["zones"])
+    for kind in rng.sample(sorted(PEER_FAULT_RANGES), rng.randint(1, 4)):
+        for _ in range(rng.randint(1, PEER_FAULT_RANGES[kind].most)):
+            fault = _fault(rng, kind, PEER_FAULT_RANGES[kind], raw["length_s"], raw["cluster"]["zones"])
             if kind == "peer_cut":
                 fault["extra"] = float(round(fault["extra"]))
                 if rng.random() < 0.4:
@@ -201,19 +203,19 @@
 
 def _faults(rng: _random.Random, length_s: float, zones: list[str]) -> list[dict[str, Any]]:
     """Some kinds, each once or more. Every second day at least one kind that leaves cold machines is among them."""
-    kinds = [kind for kind, row in FAULTS.items() if not row.zone or len(zones) > 1]
+    kinds = [kind for kind, row in FAULT_RANGES.items() if not row.zone or len(zones) > 1]
     chosen = rng.sample(kinds, rng.randint(2, 9))
-    if rng.random() < 0.5 and not set(chosen) & set(COLD):
-        chosen.append(rng.choice(COLD))
+    if rng.random() < 0.5 and not set(chosen) & set(COLD_START_FAULTS):
+        chosen.append(rng.choice(COLD_START_FAULTS))
     faults = []
     for kind in chosen:
-        row = FAULTS[kind]
+        row = FAULT_RANGES[kind]
         for _ in range(rng.randint(1, row.most) if rng.random() < 0.4 else 1):
             faults.append(_fault(rng, kind, row, length_s, zones))
     return sorted(faults, key=lambda fault: (fault["at_s"], fault["kind"]))
 
 
-def _fault(rng: _random.Random, kind: str, row: Row, length_s: float, zones: list[str]) -> dict[str, Any]:
+def _fault(rng: _random.Random, kind: str, row: FaultRanges, length_s: float, zones: list[str]) -> dict[str, Any]:
     fault: dict[str, Any] = {
         "kind": kind,
         "at_s": round(rng.uniform(0.05, 0.85) * length_s, 2),
@@ -228,7 +230,7 @@
     return fault
 
 
-def kinds_of(faults: list[Fault]) -> dict[str, int]:
+def count_kinds(faults: list[Fault]) -> dict[str, int]:
     """How often each kind of fault is in a day."""
     counts: dict[str, int] = {}
     for fault in faults:
--- a/sprucepost/standin/faults/client_faults.py
+++ b/sprucepost/standin/faults/client_faults.py
@@ -3,30 +3,30 @@
 from __future__ import annotations
 
 from sprucepost.loop import Co
-from sprucepost.standin.faults.context import FaultContext, FaultPlay, hold
+from sprucepost.standin.faults.context import FaultContext, FaultFunction, hold
 from sprucepost.standin.scenario import Fault
 
 
 def burst(context: FaultContext, fault: Fault, number: int) -> Co[None]:
     """``size``: times as many submissions."""
-    yield from context.control.owners("rate", factor=fault.size)
+    yield from context.control.order_owners("rate", factor=fault.size)
     yield from hold(fault)
-    yield from context.control.owners("rate", factor=1.0)
+    yield from context.control.order_owners("rate", factor=1.0)
 
 
 def ask_twice(context: FaultContext, fault: Fault, number: int) -> Co[None]:
     """``part`` of the tasks are submitted a second time, in the same session."""
-    yield from context.control.owners("twice", part=fault.part)
+    yield from context.control.order_owners("twice", part=fault.part)
     yield from hold(fault)
-    yield from context.control.owners("twice", part=0.0)
+    yield from context.control.order_owners("twice", part=0.0)
 
 
 def reconnect(context: FaultContext, fault: Fault, number: int) -> Co[None]:
     """Of ``part`` of the services all tasks are cancelled, and submitted again within the fault's length."""
-    yield from context.control.owners("restart", share=fault.part, within_ms=fault.len_s * 1000.0)
+    yield from context.control.order_owners("restart", share=fault.part, within_ms=fault.len_s * 1000.0)
 
 
-CLIENT_FAULTS: dict[str, FaultPlay] = {
+CLIENT_FAULTS: dict[str, FaultFunction] = {
     "burst": burst,
     "ask_twice": ask_twice,
     "reconnect": reconnect,
--- a/sprucepost/standin/faults/context.py
+++ b/sprucepost/standin/faults/context.py
@@ -12,19 +12,19 @@
 class FleetControl(Protocol):
     """What can be done to a running fleet, whether of processes or of a simulation."""
 
-    def field(self, order: str, /, **arguments: Any) -> Co[Any]:
+    def order_machines(self, order: str, /, **arguments: Any) -> Co[Any]:
         """An order to the machines."""
         ...
 
-    def listing(self, order: str, /, **arguments: Any) -> Co[Any]:
+    def order_list(self, order: str, /, **arguments: Any) -> Co[Any]:
         """An order to the list."""
         ...
 
-    def tap(self, order: str, /, **arguments: Any) -> Co[Any]:
+    def order_proxy(self, order: str, /, **arguments: Any) -> Co[Any]:
         """An order to the relay."""
         ...
 
-    def owners(self, order: str, /, **arguments: Any) -> Co[Any]:
+    def order_owners(self, order: str, /, **arguments: Any) -> Co[Any]:
         """An order to the owners."""
         ...
 
@@ -56,22 +56,22 @@
         """The wall clock of that placer's host is off by so much from now on."""
         ...
 
-    def start_twin(self, number: int) -> Co[None]:
+    def start_duplicate(self, number: int) -> Co[None]:
         """A second process with that placer's number."""
         ...
 
-    def stop_twin(self, number: int) -> None:
+    def stop_duplicate(self, number: int) -> None:
         """End the second process with that placer's number."""
         ...
 
-    def resize(self, size: int, lead_ms: float, overlap_ms: float, told: int = 0) -> Co[None]:
+    def resize(self, size: int, lead_ms: float, overlap_ms: float, notified: int = 0) -> Co[None]:
         """Another number of placers, by an announced generation; returns when the new ones run.
 
         ``told``: so many of the old ones are told, 0 for all.
         """
         ...
 
-    def note(self, what: str, **more: Any) -> None:
+    def record_event(self, what: str, **more: Any) -> None:
         """Something happened, for the run's own record."""
         ...
 
@@ -119,9 +119,11 @@
         """A machine that a fault had taken down comes back."""
         self.machines_in_hand.discard(name)
         if name in self.machines:
-            told = yield from self.control.field("up", machine=name)
+            told = yield from self.control.order_machines("up", machine=name)
             if "moved" in told:
-                yield from self.control.tap("add", name=name, target=told["moved"], zone=self.machines[name]["zone"])
+                yield from self.control.order_proxy(
+                    "add", name=name, target=told["moved"], zone=self.machines[name]["zone"]
+                )
 
     def pick_placers(self, fault: Fault, number: int) -> list[int]:
         """The placers that a fault meets, of those that are up."""
@@ -136,5 +138,5 @@
             self.placers_down.discard(placer)
 
 
-FaultPlay = Callable[[FaultContext, Fault, int], Co[None]]
+FaultFunction = Callable[[FaultContext, Fault, int], Co[None]]
 """Injects a fault and lifts it again; the number is the fault's place in its scenario."""
--- a/sprucepost/standin/faults/discovery_faults.py
+++ b/sprucepost/standin/faults/discovery_faults.py
@@ -6,28 +6,28 @@
 from typing import Any
 
 from sprucepost.loop import Co
-from sprucepost.standin.faults.context import FaultContext, FaultPlay, hold
+from sprucepost.standin.faults.context import FaultContext, FaultFunction, hold
 from sprucepost.standin.scenario import Fault
 
 
 def _send_wrong_list(context: FaultContext, fault: Fault, **what: Any) -> Co[None]:
-    yield from context.control.listing("lie", **what)
+    yield from context.control.order_list("lie", **what)
     yield from hold(fault)
-    yield from context.control.listing("truth")
+    yield from context.control.order_list("truth")
 
 
 def list_down(context: FaultContext, fault: Fault, number: int) -> Co[None]:
     """No stream of the list opens or goes on."""
-    yield from context.control.listing("down", down=True)
+    yield from context.control.order_list("down", down=True)
     yield from hold(fault)
-    yield from context.control.listing("down", down=False)
+    yield from context.control.order_list("down", down=False)
 
 
 def list_stale(context: FaultContext, fault: Fault, number: int) -> Co[None]:
     """``size``: seconds by which the list is later than it is anyway."""
-    yield from context.control.listing("late", late_ms=context.scenario.list_late_ms + fault.size * 1000.0)
+    yield from context.control.order_list("late", late_ms=context.scenario.list_late_ms + fault.size * 1000.0)
     yield from hold(fault)
-    yield from context.control.listing("late", late_ms=context.scenario.list_late_ms)
+    yield from context.control.order_list("late", late_ms=context.scenario.list_late_ms)
 
 
 def list_empty(context: FaultContext, fault: Fault, number: int) -> Co[None]:
@@ -45,7 +45,7 @@
     yield from _send_wrong_list(context, fault, kind="gone", machines=context.pick_machines(fault, number))
 
 
-DISCOVERY_FAULTS: dict[str, FaultPlay] = {
+DISCOVERY_FAULTS: dict[str, FaultFunction] = {
     "discovery_down": list_down,
     "discovery_stale": list_stale,
     "list_empty": list_empty,
--- a/sprucepost/standin/faults/injector.py
+++ b/sprucepost/standin/faults/injector.py
@@ -6,14 +6,14 @@
 
 from sprucepost.loop import Co, Loop, Scope, Task, sleep
 from sprucepost.standin.faults.client_faults import CLIENT_FAULTS
-from sprucepost.standin.faults.context import FaultContext, FaultPlay, FleetControl
+from sprucepost.standin.faults.context import FaultContext, FaultFunction, FleetControl
 from sprucepost.standin.faults.discovery_faults import DISCOVERY_FAULTS
 from sprucepost.standin.faults.link_faults import LINK_FAULTS
 from sprucepost.standin.faults.machine_faults import MACHINE_FAULTS
 from sprucepost.standin.faults.placer_faults import PLACER_FAULTS
 from sprucepost.standin.scenario import Fault, Scenario
 
-FAULT_KINDS: dict[str, FaultPlay] = {
+FAULT_KINDS: dict[str, FaultFunction] = {
     **MACHINE_FAULTS,
     **CLIENT_FAULTS,
     **DISCOVERY_FAULTS,
@@ -39,7 +39,7 @@
     def setup(self) -> Co[None]:
         """The machines of the start."""
         scenario = self._scenario
-        yield from self._control.tap("latency", same_ms=scenario.same_ms, cross_ms=scenario.cross_ms)
+        yield from self._control.order_proxy("latency", same_ms=scenario.same_ms, cross_ms=scenario.cross_ms)
         for _ in range(scenario.fleet.machines):
             yield from self._context.add_machine(cold=False)
 
@@ -55,6 +55,6 @@
 
     def _inject(self, fault: Fault, number: int) -> Co[None]:
         yield from sleep(fault.at_s * 1000.0)
-        self._control.note("fault", kind=fault.kind, len_s=fault.len_s, part=fault.part, size=fault.size)
+        self._control.record_event("fault", kind=fault.kind, len_s=fault.len_s, part=fault.part, size=fault.size)
         yield from FAULT_KINDS[fault.kind](self._context, fault, number)
-        self._control.note("fault_over", kind=fault.kind)
+        self._control.record_event("fault_over", kind=fault.kind)
--- a/sprucepost/standin/faults/link_faults.py
+++ b/sprucepost/standin/faults/link_faults.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from sprucepost.loop import Co, sleep
-from sprucepost.standin.faults.context import FaultContext, FaultPlay, hold
+from sprucepost.standin.faults.context import FaultContext, FaultFunction, hold
 from sprucepost.standin.scenario import Fault
 
 
@@ -30,22 +30,26 @@
     for a in sides[0]:
         for b in sides[1]:
             name = f"peers {number} {a} {b}"
-            yield from context.control.tap("set", name=f"{name} up", client=a, target=b, up=out, down=back, **what)
-            yield from context.control.tap("set", name=f"{name} down", client=b, target=a, up=back, down=out, **what)
+            yield from context.control.order_proxy(
+                "set", name=f"{name} up", client=a, target=b, up=out, down=back, **what
+            )
+            yield from context.control.order_proxy(
+                "set", name=f"{name} down", client=b, target=a, up=back, down=out, **what
+            )
 
 
 def _lift_conditions(context: FaultContext, number: int, sides: tuple[list[str], list[str]]) -> Co[None]:
     for a in sides[0]:
         for b in sides[1]:
             for way in ("up", "down"):
-                yield from context.control.tap("lift", name=f"peers {number} {a} {b} {way}")
+                yield from context.control.order_proxy("lift", name=f"peers {number} {a} {b} {way}")
 
 
 def zone_cut(context: FaultContext, fault: Fault, number: int) -> Co[None]:
     """Nothing passes into or out of ``zone``."""
-    yield from context.control.tap("set", name=f"cut {number}", cut_zone=fault.zone, hold=True)
+    yield from context.control.order_proxy("set", name=f"cut {number}", cut_zone=fault.zone, hold=True)
     yield from hold(fault)
-    yield from context.control.tap("lift", name=f"cut {number}")
+    yield from context.control.order_proxy("lift", name=f"cut {number}")
 
 
 def one_way_cut(context: FaultContext, fault: Fault, number: int) -> Co[None]:
@@ -53,12 +57,12 @@
     out = not fault.extra
     inside = [name for name, model in context.machines.items() if model["zone"] == fault.zone]
     for name in inside:  # a machine is a target: what leaves it goes down
-        yield from context.control.tap(
+        yield from context.control.order_proxy(
             "set", name=f"one way {number} {name}", target=name, up=not out, down=out, hold=True
         )
     yield from hold(fault)
     for name in inside:
-        yield from context.control.tap("lift", name=f"one way {number} {name}")
+        yield from context.control.order_proxy("lift", name=f"one way {number} {name}")
 
 
 def slow_link(context: FaultContext, fault: Fault, number: int) -> Co[None]:
@@ -66,17 +70,17 @@
     some = context.pick_machines(fault, number)
     for name in some:
         slow = {"delay_ms": fault.size, "rate": fault.extra}
-        yield from context.control.tap("set", name=f"slow {number} {name}", target=name, **slow)
+        yield from context.control.order_proxy("set", name=f"slow {number} {name}", target=name, **slow)
     yield from hold(fault)
     for name in some:
-        yield from context.control.tap("lift", name=f"slow {number} {name}")
+        yield from context.control.order_proxy("lift", name=f"slow {number} {name}")
 
 
 def reset(context: FaultContext, fault: Fault, number: int) -> Co[None]:
     """Every connection to some machines, and to all placers, is reset once."""
     for name in context.pick_machines(fault, number):
-        yield from context.control.tap("blow", kind="reset", target=name)
-    yield from context.control.tap("blow", kind="reset", target="placer-*")
+        yield from context.control.order_proxy("blow", kind="reset", target=name)
+    yield from context.control.order_proxy("blow", kind="reset", target="placer-*")
 
 
 def peer_cut(context: FaultContext, fault: Fault, number: int) -> Co[None]:
@@ -110,13 +114,13 @@
     until = context.loop.now() + fault.len_s * 1000.0
     while True:
         for name in _pick_sides(context, fault, number)[0]:
-            yield from context.control.tap("blow", kind="reset", client=name, target="placer-*")
+            yield from context.control.order_proxy("blow", kind="reset", client=name, target="placer-*")
         if not fault.extra or context.loop.now() + fault.extra * 1000.0 >= until:
             return
         yield from sleep(fault.extra * 1000.0)
 
 
-LINK_FAULTS: dict[str, FaultPlay] = {
+LINK_FAULTS: dict[str, FaultFunction] = {
     "zone_cut": zone_cut,
     "one_way_cut": one_way_cut,
     "slow_link": slow_link,
--- a/sprucepost/standin/faults/machine_faults.py
+++ b/sprucepost/standin/faults/machine_faults.py
@@ -6,16 +6,16 @@
 from typing import Any
 
 from sprucepost.loop import Co, sleep
-from sprucepost.standin.faults.context import FaultContext, FaultPlay, hold
+from sprucepost.standin.faults.context import FaultContext, FaultFunction, hold
 from sprucepost.standin.scenario import Fault
 
 
 def _multiply_use(context: FaultContext, fault: Fault, what: list[str]) -> Co[None]:
     for name in what:
-        yield from context.control.field("use", what=name, factor=fault.size)
+        yield from context.control.order_machines("use", what=name, factor=fault.size)
     yield from hold(fault)
     for name in what:
-        yield from context.control.field("use", what=name, factor=1.0)
+        yield from context.control.order_machines("use", what=name, factor=1.0)
 
 
 def _set_for_a_while(
@@ -23,20 +23,20 @@
 ) -> Co[None]:
     """Have machines behave in one way while the fault lasts, and in another after it."""
     for name in machines:
-        yield from context.control.field("set", machine=name, **during)
+        yield from context.control.order_machines("set", machine=name, **during)
     yield from hold(fault)
     for name in machines:
-        yield from context.control.field("set", machine=name, **after)
+        yield from context.control.order_machines("set", machine=name, **after)
 
 
 def _retire(context: FaultContext, names: list[str], drain_s: float) -> Co[None]:
     """Machines drain together, then stop for good."""
     for name in names:
         context.machines.pop(name, None)
-        yield from context.control.field("drain", machine=name)
+        yield from context.control.order_machines("drain", machine=name)
     yield from sleep(drain_s * 1000.0)
     for name in names:
-        yield from context.control.field("crash", machine=name)
+        yield from context.control.order_machines("crash", machine=name)
         context.machines_in_hand.discard(name)
 
 
@@ -44,7 +44,7 @@
     """Some machines die, and come back cold."""
     some = context.pick_machines_to_stop(fault, number)
     for name in some:
-        yield from context.control.field("crash", machine=name)
+        yield from context.control.order_machines("crash", machine=name)
     yield from hold(fault)
     for name in some:
         yield from context.restart_machine(name)
@@ -54,13 +54,13 @@
     """Some machines fall silent; they die at the end, and come back."""
     some = context.pick_machines_to_stop(fault, number)
     for name in some:
-        yield from context.control.tap("set", name=f"vanish {name}", target=name, hold=True)
-        yield from context.control.field("mute", machine=name)
+        yield from context.control.order_proxy("set", name=f"vanish {name}", target=name, hold=True)
+        yield from context.control.order_machines("mute", machine=name)
     yield from hold(fault)
     for name in some:
-        yield from context.control.field("crash", machine=name)
-        yield from context.control.tap("blow", kind="reset", target=name)
-        yield from context.control.tap("lift", name=f"vanish {name}")
+        yield from context.control.order_machines("crash", machine=name)
+        yield from context.control.order_proxy("blow", kind="reset", target=name)
+        yield from context.control.order_proxy("lift", name=f"vanish {name}")
         yield from context.restart_machine(name)
 
 
@@ -77,10 +77,10 @@
     for step in range(1, steps + 1):
         slow = max(1.0, fault.size) ** (step / steps)
         for name in some:
-            yield from context.control.field("set", machine=name, slow=slow)
+            yield from context.control.order_machines("set", machine=name, slow=slow)
         yield from sleep(fault.len_s * 1000.0 / steps)
     for name in some:
-        yield from context.control.field("crash", machine=name)
+        yield from context.control.order_machines("crash", machine=name)
     yield from sleep(max(1.0, fault.extra) * 1000.0)
     for name in some:
         yield from context.restart_machine(name)
@@ -116,7 +116,7 @@
 def shrink(context: FaultContext, fault: Fault, number: int) -> Co[None]:
     """``size``: times fewer machines and submissions; the others drain one after the other."""
     some = context.pick_machines_to_stop(fault, number, 1.0 - 1.0 / max(1.0, fault.size))
-    yield from context.control.owners("rate", factor=1.0 / max(1.0, fault.size))
+    yield from context.control.order_owners("rate", factor=1.0 / max(1.0, fault.size))
     for name in some:
         yield from _retire(context, [name], fault.len_s / max(1, len(some)))
 
@@ -124,7 +124,7 @@
 def grow(context: FaultContext, fault: Fault, number: int) -> Co[None]:
     """``size``: times as many machines, one after the other; ``extra``: by how much of that submissions grow too."""
     more = round((max(1.0, fault.size) - 1.0) * len(context.machines))
-    yield from context.control.owners("rate", factor=1.0 + (max(1.0, fault.size) - 1.0) * fault.extra)
+    yield from context.control.order_owners("rate", factor=1.0 + (max(1.0, fault.size) - 1.0) * fault.extra)
     for _ in range(more):
         yield from context.add_machine(cold=True)
         yield from sleep(fault.len_s / max(1, more) * 1000.0)
@@ -143,7 +143,7 @@
     yield from _multiply_use(context, fault, [f"class:{cls}"])
 
 
-MACHINE_FAULTS: dict[str, FaultPlay] = {
+MACHINE_FAULTS: dict[str, FaultFunction] = {
     "crash": crash,
     "vanish": vanish,
     "slow": slow,
--- a/sprucepost/standin/faults/placer_faults.py
+++ b/sprucepost/standin/faults/placer_faults.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sprucepost.loop import Co, sleep
-from sprucepost.standin.faults.context import FaultContext, FaultPlay, hold
+from sprucepost.standin.faults.context import FaultContext, FaultFunction, hold
 from sprucepost.standin.scenario import Fault
 
 
@@ -83,10 +83,10 @@
     """A second process has one placer's number."""
     some = context.pick_placers(fault, number)[:1]
     for placer in some:
-        yield from context.control.start_twin(placer)
+        yield from context.control.start_duplicate(placer)
     yield from hold(fault)
     for placer in some:
-        context.control.stop_twin(placer)
+        context.control.stop_duplicate(placer)
 
 
 def resize(context: FaultContext, fault: Fault, number: int) -> Co[None]:
@@ -95,7 +95,7 @@
     yield from context.control.resize(more, 1500.0, fault.len_s * 1000.0, int(fault.extra))
 
 
-PLACER_FAULTS: dict[str, FaultPlay] = {
+PLACER_FAULTS: dict[str, FaultFunction] = {
     "balancer_stall": stall,
     "placer_kill": placer_kill,
     "placer_stop": placer_stop,
--- a/sprucepost/standin/listing.py
+++ b/sprucepost/standin/listing.py
@@ -11,17 +11,17 @@
 from typing import Any
 
 from sprucepost.loop import Loop, Timer
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.orders import OrderService
 from sprucepost.v1 import fleet_pb2 as pb
 from sprucepost.wire.server import Method, ServerCall
 from sprucepost.wire.status import Code, RpcError
 
 BEAT_MS = 1000.0
 PAST_MS = 60_000.0  # how far back it remembers what it showed
-CALL_LINES = 20.0  # a call costs as much as so many entries
+CALL_COST_ENTRIES = 20.0  # a call costs as much as so many entries
 
 
-class Listing:
+class ListService:
     """The list's state and service."""
 
     def __init__(
@@ -116,7 +116,7 @@
         if self.down or wait > self._call_wait:
             call.finish(RpcError(Code.UNAVAILABLE, "the list is down" if self.down else "the list is busy"))
             return
-        cost = (CALL_LINES + len(self._entries)) / self._lines_per_s * 1000.0
+        cost = (CALL_COST_ENTRIES + len(self._entries)) / self._lines_per_s * 1000.0
         self._free_at = now + wait + cost
         self.loop.call_later(wait + cost, lambda: answer() if call.end_status is None else None)
 
@@ -140,8 +140,8 @@
 
     # Orders
 
-    def orders(self) -> Orders:
-        return Orders({"down": self._down, "late": self._late, "lie": self._tell_lie, "truth": self._tell_truth})
+    def orders(self) -> OrderService:
+        return OrderService({"down": self._down, "late": self._late, "lie": self._tell_lie, "truth": self._tell_truth})
 
     def _tell_lie(self, kind: str, back_ms: float = 0.0, machines: list[str] | None = None) -> dict[str, Any]:
         """``empty``; ``back``: as it was so long ago; ``gone``: without those machines. All watchers hear it at once."""
--- a/sprucepost/standin/machines.py
+++ b/sprucepost/standin/machines.py
@@ -13,7 +13,7 @@
 from sprucepost.settings import Cluster
 from sprucepost.standin import machine_types as m
 from sprucepost.standin.key_group import KeyGroup
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.orders import OrderService
 from sprucepost.standin.simulated_machine import SimulatedMachine
 from sprucepost.v1 import common_pb2, fleet_pb2, machine_pb2
 from sprucepost.wire.client import ClientCall, open_client
@@ -41,13 +41,13 @@
         self.ack_due = False
 
 
-class MachineHost:
+class MachineServer:
     """One machine: its model, its port, its links."""
 
-    def __init__(self, field: Field, model: m.MachineModel, address: Address) -> None:
+    def __init__(self, field: MachinePool, model: m.MachineModel, address: Address) -> None:
         self.field, self.loop = field, field.loop
         self.model = SimulatedMachine(model, field.loop.rng(), self._happen, lambda cls: field.group(cls, model))
-        self.life = 0
+        self.incarnation = 0
         self.links: dict[int, Link] = {}
         self.answer_loss = 0.0
         self.lost_answers = 0
@@ -58,13 +58,13 @@
         self._timer: Timer | None = None
         self.server: Server | None = None
         self.address: Address = address
-        self.public = ""  # what the list tells
+        self.listed_address = ""  # what the list tells
         self._open()
 
     # Life
 
     def _open(self) -> None:
-        self.life = int.from_bytes(self.loop.token(7), "big")
+        self.incarnation = int.from_bytes(self.loop.token(7), "big")
         self.server = Server(
             self.loop, self.field.scope, {PATH: Method(attach=self._attach)}, Options(keepalive_ms=5000)
         )
@@ -73,12 +73,12 @@
         except OSError:  # while it was down another process of this host has got its port
             self.address = self._wanted = self.server.listen(("127.0.0.1", 0))
 
-    def up(self, cold: bool) -> None:
+    def start(self, cold: bool) -> None:
         """Start the process again, empty."""
         if self.server is None:
             self._open()
         self.model.up(self.field.now(), cold)
-        self.field.changed(self)
+        self.field.mark_changed(self)
 
     def crash(self) -> None:
         """The process dies: connections are reset, all that it held is gone."""
@@ -93,16 +93,16 @@
                 connection.abort("crashed")
             self.server.close()
             self.server = None
-        self.field.changed(self)
+        self.field.mark_changed(self)
 
-    def mute(self) -> None:
+    def go_silent(self) -> None:
         """The machine goes silent: its process is gone, but nobody is told. Connections stay open unanswered."""
         self.model.down()
         self.links.clear()
         if self.server is not None:
             for connection in list(self.server.connections):
                 connection.transport.pause()
-        self.field.changed(self)
+        self.field.mark_changed(self)
 
     # Streams
 
@@ -144,7 +144,7 @@
         call.on_done = lambda status: self._left(link, call)
         reply = Frame(load=self._load(), ack=link.session.ack())
         attached = reply.attached
-        attached.machine, attached.life, attached.session = self.model.model.name, self.life, link.token
+        attached.machine, attached.life, attached.session = self.model.model.name, self.incarnation, link.token
         attached.started_ms = self.model.started
         attached.resumed, attached.last_seen, attached.resume_ms = resumed, link.session.last_received, RESUME_MS
         for task in self.model.held(hello.number):
@@ -256,7 +256,7 @@
                 return
         elif isinstance(what, m.TaskEnded):
             self.counts[f"ended {what.kind.name.lower()}"] += 1
-        self.field.touched(self)
+        self.field.on_activity(self)
         if what.attempt_id in self._muted:
             return
         if link is None or link.incarnation != incarnation:
@@ -319,7 +319,7 @@
             started_ms=model.started,
             free_cores=model.model.cores - cores,
             free_memory=model.model.memory - memory,
-            address=self.public,
+            address=self.listed_address,
         )
 
 
@@ -363,18 +363,18 @@
     )
 
 
-class Field:
+class MachinePool:
     """All machines of this process, and their reports to the list."""
 
     def __init__(
         self, loop: Loop, scope: Scope, cluster: Cluster, classes: dict[str, m.ClassModel], list_at: Address
     ) -> None:
         self.loop, self.scope, self.cluster, self.classes = loop, scope, cluster, classes
-        self.hosts: dict[str, MachineHost] = {}
+        self.machines: dict[str, MachineServer] = {}
         self._groups: dict[str, KeyGroup] = {}
         self._scopes = {cls.name: cls.group for cls in cluster.classes}
         self._list_at = list_at
-        self._changed: dict[str, MachineHost] = {}
+        self._changed: dict[str, MachineServer] = {}
         self._offset = loop.wall() - loop.now()
 
     def now(self) -> float:
@@ -386,12 +386,12 @@
         place = {"all": "", "zone": model.zone, "cell": model.cell}[scope]
         return self._groups.setdefault(f"{cls.name} {scope} {place}", KeyGroup())
 
-    def touched(self, host: MachineHost) -> None:
+    def on_activity(self, host: MachineServer) -> None:
         """Its room has changed: the list hears of it with the next report."""
-        if host.public:
+        if host.listed_address:
             self._changed[host.model.model.name] = host
 
-    changed = touched
+    mark_changed = on_activity
 
     def report(self) -> Co[None]:
         """Keep the list informed, for ever."""
@@ -399,7 +399,7 @@
             try:
                 connection = yield from open_client(self.loop, self._list_at, 2000.0)
                 call: ClientCall = connection.call(REPORT_PATH)
-                self._changed = {name: host for name, host in self.hosts.items() if host.public}
+                self._changed = {name: host for name, host in self.machines.items() if host.listed_address}
                 while call.end_status is None:
                     if self._changed:
                         changed, self._changed = self._changed, {}
@@ -413,16 +413,16 @@
 
     # Orders
 
-    def orders(self) -> Orders:
-        return Orders(
+    def orders(self) -> OrderService:
+        return OrderService(
             {
                 "add": self._add, "announce": self._announce, "up": self._up, "crash": self._crash, "mute": self._mute,
                 "drain": self._drain, "set": self._set, "use": self._use, "state": self._state,
             }
         )  # fmt: skip
 
-    def add(self, model: m.MachineModel, address: Address = ("127.0.0.1", 0), cold: bool = False) -> MachineHost:
-        host = self.hosts[model.name] = MachineHost(self, model, address)
+    def add(self, model: m.MachineModel, address: Address = ("127.0.0.1", 0), cold: bool = False) -> MachineServer:
+        host = self.machines[model.name] = MachineServer(self, model, address)
         host.model.started = self.now() if cold else 0.0
         return host
 
@@ -432,36 +432,36 @@
         return {"port": host.address[1]}
 
     def _announce(self, machine: str, address: str) -> dict[str, Any]:
-        host = self.hosts[machine]
-        host.public = address
-        self.changed(host)
+        host = self.machines[machine]
+        host.listed_address = address
+        self.mark_changed(host)
         return {}
 
     def _up(self, machine: str, cold: bool = True) -> dict[str, Any]:
-        host = self.hosts[machine]
+        host = self.machines[machine]
         before = host.address
-        host.up(cold)
+        host.start(cold)
         assert isinstance(host.address, tuple)
         return {} if host.address == before else {"moved": f"{host.address[0]}:{host.address[1]}"}
 
     def _crash(self, machine: str) -> dict[str, Any]:
-        self.hosts[machine].crash()
+        self.machines[machine].crash()
         return {}
 
     def _mute(self, machine: str) -> dict[str, Any]:
-        self.hosts[machine].mute()
+        self.machines[machine].go_silent()
         return {}
 
     def _drain(self, machine: str) -> dict[str, Any]:
-        host = self.hosts[machine]
+        host = self.machines[machine]
         host.model.drain(self.now())
         host.schedule()
-        self.changed(host)
+        self.mark_changed(host)
         return {}
 
     def _set(self, machine: str, slow: float | None = None, deaf_class: str | None = None,
              answer_loss: float | None = None) -> dict[str, Any]:  # fmt: skip
-        host = self.hosts[machine]
+        host = self.machines[machine]
         if slow is not None:
             host.model.slow = slow
         if answer_loss is not None:
@@ -471,7 +471,7 @@
         return {}
 
     def _use(self, what: str, factor: float) -> dict[str, Any]:
-        for host in self.hosts.values():
+        for host in self.machines.values():
             host.model.extra_use[what] = factor
             host.model.redraw(self.now())
             host.schedule()
@@ -487,7 +487,7 @@
                 "lost_answers": host.lost_answers,
                 "counts": dict(sorted(host.counts.items())),
             }
-            for name, host in sorted(self.hosts.items())
+            for name, host in sorted(self.machines.items())
         }
 
 
--- a/sprucepost/standin/orders.py
+++ b/sprucepost/standin/orders.py
@@ -15,7 +15,7 @@
 PATH = "/sprucepost.v1.StandIn/Do"
 
 
-class Orders:
+class OrderService:
     """Serves orders by name; a wrong order gets a status that names it."""
 
     def __init__(self, known: dict[str, Callable[..., dict[str, Any]]]) -> None:
@@ -35,7 +35,7 @@
         yield
 
 
-def order(connection: ClientConnection, what: str, /, **arguments: Any) -> Co[Any]:
+def send_order(connection: ClientConnection, what: str, /, **arguments: Any) -> Co[Any]:
     """Give an order; its result."""
     request = pb.Order(what=what, arguments=json.dumps(arguments)).SerializeToString()
     reply = yield from connection.unary(PATH, request, timeout_ms=10_000.0)
--- a/sprucepost/standin/owner_link.py
+++ b/sprucepost/standin/owner_link.py
@@ -21,7 +21,7 @@
 
 
 OUTCOMES = ("bound", "refused", "failed")
-HELD = "held back until its time was over"
+HELD_BACK_TOO_LONG = "held back until its time was over"
 
 
 @dataclass(slots=True)
@@ -66,8 +66,8 @@
         self.number = -1
         self.incarnation = 0
         self.hold_acks = False
-        self.batches = True  # refusals may come in one frame
-        self.takes_credit = True
+        self.accepts_batches = True  # refusals may come in one frame
+        self.accepts_credit = True
         self.credit = 0  # asks that may be without an outcome; 0: any number
         self.open: Counter[str] = Counter()  # asks sent, or kept for the next stream, without an outcome, by task
         self._open = 0
@@ -84,12 +84,12 @@
         return self.call is not None and self.connection is not None and not self.connection.draining
 
     @property
-    def room(self) -> int | None:
+    def remaining_credit(self) -> int | None:
         """How many more asks the placer takes now; None: any number."""
         return max(0, self.credit - self._open - len(self._held)) if self.credit else None
 
     @property
-    def held(self) -> int:
+    def held_count(self) -> int:
         """Asks held back here."""
         return len(self._held)
 
@@ -143,7 +143,7 @@
                 self._give_up(held)
 
     def _give_up(self, held: _Held) -> None:
-        self._on_frame(pb.PlacerFrame(task=held.name, refused=pb.Refused(why=HELD)))
+        self._on_frame(pb.PlacerFrame(task=held.name, refused=pb.Refused(why=HELD_BACK_TOO_LONG)))
 
     def _sweep_at(self, due: float) -> None:
         if self._sweep is None:
@@ -256,8 +256,8 @@
             session=self._token,
             last_seen=self.session.last_received,
             owner=self.owner,
-            batches=self.batches,
-            credit=self.takes_credit,
+            batches=self.accepts_batches,
+            credit=self.accepts_credit,
         )
         call.send(pb.OwnerFrame(hello=hello).SerializeToString())
         data = yield from within((yield from current()), 2000.0, call.receive())
--- a/sprucepost/standin/owners.py
+++ b/sprucepost/standin/owners.py
@@ -16,7 +16,7 @@
 
 from sprucepost.loop import Address, Co, Loop, Scope, Timer, sleep
 from sprucepost.settings import Cluster
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.orders import OrderService
 from sprucepost.standin.owner_link import KEEPALIVE_MS, OwnerLink
 from sprucepost.v1 import common_pb2
 from sprucepost.v1 import placer_pb2 as pb
@@ -38,7 +38,7 @@
 
 
 @dataclass(eq=False)
-class Wanted:
+class WantedTask:
     """One task that an owner wants."""
 
     name: str
@@ -61,7 +61,7 @@
 
 
 @dataclass
-class Tally:
+class ClassStatistics:
     """What became of the asks of a class."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -91,10 +91,10 @@
         self._prefix, self._keepalive_ms = prefix, keepalive_ms
         self._classes = {cls.name: cls for cls in cluster.classes}
         self._rng = loop.rng()
-        self._rate, self.factor = rate_per_s, 1.0
+        self._rate, self.rate_factor = rate_per_s, 1.0
         self._wanted_ms, self._again_ms = wanted_ms, again_ms
-        self.tasks: dict[str, Wanted] = {}
-        self.tally: dict[str, Tally] = {cls.name: Tally() for cls in cluster.classes}
+        self.tasks: dict[str, WantedTask] = {}
+        self.statistics: dict[str, ClassStatistics] = {cls.name: ClassStatistics() for cls in cluster.classes}
         self.second_answers = 0
         self.twice = 0.0  # share of asks that come a second time while they are open
         self.asking = True  # else nothing is asked for, also not again
@@ -125,16 +125,16 @@
     def run(self) -> Co[None]:
         """Ask for new tasks, for ever, at the rate of the moment."""
         while True:
-            wait = self._rng.expovariate(max(1e-6, self._rate * self.factor / 1000.0))
+            wait = self._rng.expovariate(max(1e-6, self._rate * self.rate_factor / 1000.0))
             yield from sleep(min(wait, 1000.0))
             if self.asking and wait <= 1000.0:
-                self.want(self._rng.choice(self.services))
+                self.submit_new_task(self._rng.choice(self.services))
 
     def draw_life_ms(self, service: Service) -> float:
         """Of one task; its mean is the service's."""
         return service.life_ms * self._rng.lognormvariate(-0.125, 0.5)
 
-    def want(self, service: Service) -> Wanted:
+    def submit_new_task(self, service: Service) -> WantedTask:
         """A new task of that service."""
         self._count += 1
         task = common_pb2.Task(
@@ -146,7 +146,7 @@
             life_ms=self.draw_life_ms(service),
         )
         now = self.loop.now()
-        wanted = Wanted(f"{self._prefix}-{self._count}", service, task, now + self._wanted_ms, first_asked=now)
+        wanted = WantedTask(f"{self._prefix}-{self._count}", service, task, now + self._wanted_ms, first_asked=now)
         self.tasks[wanted.name] = wanted
         self._ask(wanted)
         return wanted
@@ -156,7 +156,7 @@
         up = [n for n, link in enumerate(self.links) if link.up]
         return self._rng.choice(up) if up else -1
 
-    def _ask(self, wanted: Wanted) -> None:
+    def _ask(self, wanted: WantedTask) -> None:
         wanted.again = None
         now, cls = self.loop.now(), self._classes[wanted.service.task_class]
         if wanted.over or now >= wanted.until or not self.asking:
@@ -176,7 +176,7 @@
             ask = wanted.asks
             self.loop.call_later(self._rng.uniform(0.0, TWICE_MS), lambda: self._ask_twice(wanted, placer, ask))
 
-    def _ask_twice(self, wanted: Wanted, placer: int, ask: int) -> None:
+    def _ask_twice(self, wanted: WantedTask, placer: int, ask: int) -> None:
         """The same ask once more while it is open, in the same session: it is owed an answer of its own."""
         if wanted.over or not wanted.open or wanted.asks != ask or not self.links[placer].up:
             return
@@ -185,12 +185,12 @@
         left = wanted.asked_at + self._classes[wanted.service.task_class].deadline_ms - self.loop.now()
         self.links[placer].submit(wanted.name, wanted.task, left, True)
 
-    def _ask_later(self, wanted: Wanted, wait_ms: float) -> None:
+    def _ask_later(self, wanted: WantedTask, wait_ms: float) -> None:
         if wanted.again is not None:
             wanted.again.cancel()
         wanted.again = self.loop.call_later(wait_ms, lambda: self._ask(wanted))
 
-    def _pause(self, wanted: Wanted) -> float:
+    def _pause(self, wanted: WantedTask) -> float:
         """How long an owner waits after a refusal or failure, longer after many."""
         wait = self._again_ms * self._rng.uniform(1.0, 1.8) * min(4.0, 1.0 + 0.25 * max(0, wanted.asks - 3))
         cls = self._classes[wanted.service.task_class]
@@ -198,10 +198,10 @@
             wait = max(wait, self.cluster.owner_wait_ms)
         return wait
 
-    def _tally(self, wanted: Wanted, what: str) -> None:
-        self.tally[wanted.service.task_class].outcomes[what] += 1
+    def _tally(self, wanted: WantedTask, what: str) -> None:
+        self.statistics[wanted.service.task_class].outcomes[what] += 1
 
-    def _finish(self, wanted: Wanted, what: str) -> None:
+    def _finish(self, wanted: WantedTask, what: str) -> None:
         if not wanted.over:
             wanted.over = True
             self._tally(wanted, what)
@@ -212,15 +212,17 @@
 
     # Answers
 
-    def _answered(self, wanted: Wanted, what: str) -> None:
+    def _answered(self, wanted: WantedTask, what: str) -> None:
         """The one outcome of an ask."""
         wanted.open = False
         if wanted.gives_up is not None:
             wanted.gives_up.cancel()
         self._tally(wanted, what)
-        self.tally[wanted.service.task_class].answer_ms.record_value(max(1, int(self.loop.now() - wanted.asked_at)))
+        self.statistics[wanted.service.task_class].answer_ms.record_value(
+            max(1, int(self.loop.now() - wanted.asked_at))
+        )
 
-    def _no_answer(self, wanted: Wanted) -> None:
+    def _no_answer(self, wanted: WantedTask) -> None:
         """The owner gives up on this ask: a task was lost on the way."""
         if wanted.open and not wanted.over:
             wanted.open = False
@@ -241,7 +243,7 @@
             if not wanted.ran:
                 wanted.ran = True
                 start = max(1, int(self.loop.now() - wanted.first_asked))
-                self.tally[wanted.service.task_class].start_ms.record_value(start)
+                self.statistics[wanted.service.task_class].start_ms.record_value(start)
         elif kind == "surfaced":
             if not wanted.open and not wanted.placed and not wanted.over:
                 self._tally(wanted, "handed over")
@@ -253,7 +255,7 @@
         elif kind == "ended":
             self._ended(wanted, frame.ended)
 
-    def _outcome(self, wanted: Wanted, placer: int, kind: str, frame: pb.PlacerFrame) -> None:
+    def _outcome(self, wanted: WantedTask, placer: int, kind: str, frame: pb.PlacerFrame) -> None:
         owed = wanted.owed.get(placer)
         if not owed:
             if kind == "bound" and wanted.handed:
@@ -282,13 +284,13 @@
             wanted.harm = True
             self._ask_later(wanted, self._pause(wanted))
 
-    def _bound(self, wanted: Wanted, placer: int, machine: str) -> None:
+    def _bound(self, wanted: WantedTask, placer: int, machine: str) -> None:
         wanted.placer, wanted.placed, wanted.harm = placer, machine, False
         if wanted.again is not None:
             wanted.again.cancel()
             wanted.again = None
 
-    def _ended(self, wanted: Wanted, ended: pb.Ended) -> None:
+    def _ended(self, wanted: WantedTask, ended: pb.Ended) -> None:
         if wanted.open or wanted.over:
             return
         if wanted.handed and not wanted.placed:
@@ -331,8 +333,8 @@
 
     # Orders
 
-    def orders(self) -> Orders:
-        return Orders({
+    def orders(self) -> OrderService:
+        return OrderService({
             "rate": self._set_rate, "twice": self._set_twice, "restart": self._restart, "asking": self._asking,
             "result": self.result, "placer": self._placer,
         })  # fmt: skip
@@ -343,7 +345,7 @@
         return {"placers": len(self.links)}
 
     def _set_rate(self, factor: float) -> dict[str, Any]:
-        self.factor = factor
+        self.rate_factor = factor
         return {}
 
     def _set_twice(self, part: float) -> dict[str, Any]:
@@ -364,7 +366,7 @@
         return {"tasks": len(tasks)}
 
     def _want_again(self, service: Service) -> None:
-        self.want(service)
+        self.submit_new_task(service)
 
     def result(self) -> dict[str, Any]:
         """Everything counted so far."""
@@ -379,7 +381,7 @@
                     "answer_ms": quantiles(tally.answer_ms),
                     "start_ms": quantiles(tally.start_ms),
                 }
-                for name, tally in sorted(self.tally.items())
+                for name, tally in sorted(self.statistics.items())
             },
             "open": sum(wanted.open for wanted in self.tasks.values()),
             "wanted": len(self.tasks),
--- a/sprucepost/standin/scenario.py
+++ b/sprucepost/standin/scenario.py
@@ -9,7 +9,7 @@
 
 from sprucepost.settings import Cluster
 
-Kind = Literal[
+FaultKind = Literal[
     "crash", "vanish", "slow", "ageing", "class_fail", "answer_lost", "balancer_stall", "burst", "hot_key", "heavy_tail",
     "zone_cut", "deploy", "shrink", "grow", "discovery_down", "discovery_stale", "reconnect", "placer_kill", "reset",
     "list_empty", "list_back", "list_gone", "one_way_cut", "slow_link", "descriptors", "clock_step", "same_number",
@@ -22,7 +22,7 @@
 class Fault(Struct, forbid_unknown_fields=True, frozen=True):
     """One trouble. What ``part``, ``size`` and ``extra`` mean stands by each kind in ``docs/scenarios.md``."""
 
-    kind: Kind
+    kind: FaultKind
     at_s: Seconds
     len_s: Seconds = 5.0
     part: Share = 0.25
--- a/sprucepost/standin/tap.py
+++ b/sprucepost/standin/tap.py
@@ -17,14 +17,14 @@
 from typing import Any
 
 from sprucepost.loop import Acceptor, Address, Loop, Sock, Timer, Transport
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.orders import OrderService
 from sprucepost.wire.capture import CaptureWriter
 
 HELD_MOST = 4 * 1024 * 1024  # bytes kept for one direction; over that the sender has to wait
 
 
 @dataclass(frozen=True)
-class Condition:
+class LinkCondition:
     """What a link suffers. ``up`` is from client to target."""
 
     client: str = "*"
@@ -45,7 +45,7 @@
 class _Way:
     """One direction of a relayed connection."""
 
-    def __init__(self, pipe: Pipe, source: Transport, sink: Transport, up: bool) -> None:
+    def __init__(self, pipe: ProxiedConnection, source: Transport, sink: Transport, up: bool) -> None:
         self.pipe, self.source, self.sink, self.up = pipe, source, sink, up
         self.queue: deque[tuple[float, bytes]] = deque()  # due, data; empty data is the stream's end
         self.held = 0
@@ -105,10 +105,10 @@
         self._pass()
 
 
-class Pipe:
+class ProxiedConnection:
     """One relayed connection."""
 
-    def __init__(self, tap: Tap, client: str, target: str, near: Transport, far: Transport) -> None:
+    def __init__(self, tap: RecordingProxy, client: str, target: str, near: Transport, far: Transport) -> None:
         self.tap, self.client, self.target, self.near, self.far = tap, client, target, near, far
         self.number = tap.capture.opened(tap.loop.wall(), client, target) if tap.capture is not None else 0
         self.up = _Way(self, near, far, True)
@@ -129,7 +129,7 @@
         if self.over:
             return
         self.over = True
-        self.tap.pipes.pop(self, None)
+        self.tap.connections.pop(self, None)
         if self.tap.capture is not None:
             self.tap.capture.closed(self.tap.loop.wall(), self.number)
         if after_flush:
@@ -142,7 +142,7 @@
         self.far.abort()
 
 
-class Tap:
+class RecordingProxy:
     """All relays. ``names`` gives a client's name by its address, ``zones`` the room of each client and target."""
 
     def __init__(self, loop: Loop, capture: CaptureWriter | None = None) -> None:
@@ -152,11 +152,11 @@
         self.same_ms = self.cross_ms = 0.0
         self.names: dict[str, str] = {}
         self.zones: dict[str, str] = {}
-        self.pipes: dict[Pipe, None] = {}
+        self.connections: dict[ProxiedConnection, None] = {}
         self.targets: dict[str, Address] = {}
         self._acceptors: dict[str, Acceptor] = {}
-        self._conditions: dict[str, Condition] = {}
-        self._of: dict[tuple[str, str], list[Condition]] = {}
+        self._conditions: dict[str, LinkCondition] = {}
+        self._of: dict[tuple[str, str], list[LinkCondition]] = {}
 
     def add(self, name: str, target: Address, listen: Address = ("127.0.0.1", 0)) -> Address:
         """Relay to ``target``; the address to connect to instead."""
@@ -180,8 +180,8 @@
         except OSError:
             sock.close(reset=True)
             return
-        pipe = Pipe(self, client, name, Transport(self.loop, sock), Transport(self.loop, far))
-        self.pipes[pipe] = None
+        pipe = ProxiedConnection(self, client, name, Transport(self.loop, sock), Transport(self.loop, far))
+        self.connections[pipe] = None
 
         def connected() -> None:
             self.loop.watch(far, None, None)
@@ -198,11 +198,11 @@
         here, there = self.zones.get(client), self.zones.get(target)
         return 0.0 if not here or not there else self.same_ms if here == there else self.cross_ms
 
-    def record(self, pipe: Pipe, up: bool, data: bytes, late: float = 0.0) -> None:
+    def record(self, pipe: ProxiedConnection, up: bool, data: bytes, late: float = 0.0) -> None:
         if self.capture is not None:
             self.capture.data(self.loop.wall(), pipe.number, up, data, late)
 
-    def conditions_of(self, pipe: Pipe) -> list[Condition]:
+    def conditions_of(self, pipe: ProxiedConnection) -> list[LinkCondition]:
         key = (pipe.client, pipe.target)
         if key not in self._of:
             self._of[key] = [c for c in self._conditions.values() if c.touches(*key, self.zones)]
@@ -210,22 +210,24 @@
 
     # Spoiling
 
-    def set(self, name: str, condition: Condition | None) -> None:
+    def set_condition(self, name: str, condition: LinkCondition | None) -> None:
         """Set or lift a condition; what it held back passes at once."""
         if condition is None:
             self._conditions.pop(name, None)
         else:
             self._conditions[name] = condition
         self._of.clear()
-        for pipe in list(self.pipes):
+        for pipe in list(self.connections):
             pipe.up.kick()
             pipe.down.kick()
 
-    def blow(self, kind: str, client: str = "*", target: str = "*", up: bool = True, after: int = 0) -> int:
+    def break_connections(
+        self, kind: str, client: str = "*", target: str = "*", up: bool = True, after: int = 0
+    ) -> int:
         """``reset``, ``half_close`` or ``truncate`` (after so many more bytes one way); how many connections it met."""
         met = [
             pipe
-            for pipe in list(self.pipes)
+            for pipe in list(self.connections)
             if fnmatch.fnmatchcase(pipe.client, client) and fnmatch.fnmatchcase(pipe.target, target)
         ]
         for pipe in met:
@@ -245,12 +247,12 @@
     def stop(self) -> None:
         """Break off every connection, and record nothing more: the file is about to be closed, and in the loop's last turn
         bytes may still wait to be passed on. What is not recorded is not relayed."""
-        for pipe in list(self.pipes):
+        for pipe in list(self.connections):
             pipe.break_off()
         self.capture, self._stopped = None, True
 
-    def orders(self) -> Orders:
-        return Orders(
+    def orders(self) -> OrderService:
+        return OrderService(
             {
                 "add": self._add,
                 "set": self._set,
@@ -283,12 +285,12 @@
         return {}
 
     def _set(self, name: str, **condition: Any) -> dict[str, Any]:
-        self.set(name, Condition(**condition))
+        self.set_condition(name, LinkCondition(**condition))
         return {}
 
     def _lift(self, name: str) -> dict[str, Any]:
-        self.set(name, None)
+        self.set_condition(name, None)
         return {}
 
     def _blow(self, kind: str, client: str = "*", target: str = "*", up: bool = True, after: int = 0) -> dict[str, Any]:
-        return {"met": self.blow(kind, client, target, up, after)}
+        return {"met": self.break_connections(kind, client, target, up, after)}
--- a/tests/load/test_run.py
+++ b/tests/load/test_run.py
@@ -9,7 +9,7 @@
 from sprucepost.load.plan import Class, Plan, Poisson
 from sprucepost.load.run import Run
 from sprucepost.loop import Co
-from sprucepost.standin.tap import Condition
+from sprucepost.standin.tap import LinkCondition
 from tests.placer.support import World, play
 from tests.wire.support import wait_for
 
@@ -47,7 +47,7 @@
 
         def asked_in_silence() -> Iterator[Ask]:
             # Taken once every link is up, and before the first ask leaves: no moment between that a busy machine misses.
-            world.tap.set("silence", Condition(target="placer-0", hold=True))
+            world.tap.set_condition("silence", LinkCondition(target="placer-0", hold=True))
             yield from [ask] * 3
 
         return (yield from run.play(asked_in_silence())).figures(1.0)
@@ -65,8 +65,8 @@
         what = plan(100.0, 1.5, 3, owners=1)
         job = world.scope.spawn(Run(world.loop, world.scope, [front], what).play(asks(what)), "load")
         yield from wait_for(lambda: placer.engine.ledger.outcomes)
-        world.tap.set("stall", Condition(target="placer-0", hold=True))
-        world.loop.call_later(500.0, lambda: world.tap.set("stall", None))
+        world.tap.set_condition("stall", LinkCondition(target="placer-0", hold=True))
+        world.loop.call_later(500.0, lambda: world.tap.set_condition("stall", None))
         yield from wait_for(lambda: job.done, 8000)
         return job.take().figures(1.5)
 
--- a/tests/placer/support.py
+++ b/tests/placer/support.py
@@ -14,11 +14,11 @@
 from sprucepost.rules.trace import trace
 from sprucepost.settings import Cluster, PlacerFile, PlacerOptions
 from sprucepost.settings.cluster import Kind, TaskClass
-from sprucepost.standin.listing import Listing
+from sprucepost.standin.listing import ListService
 from sprucepost.standin.machine_types import MachineModel
-from sprucepost.standin.machines import Field, MachineHost, class_models
+from sprucepost.standin.machines import MachinePool, MachineServer, class_models
 from sprucepost.standin.owner_link import OwnerLink
-from sprucepost.standin.tap import Tap
+from sprucepost.standin.tap import RecordingProxy
 from sprucepost.v1 import common_pb2
 from sprucepost.v1 import placer_pb2 as pb
 from sprucepost.wire.capture import CaptureWriter, read_capture
@@ -72,26 +72,26 @@
     def __init__(self, loop: EpollLoop, scope: Scope, settings: Cluster) -> None:
         self.loop, self.scope, self.cluster = loop, scope, settings
         self.captured: list[bytes] = []
-        self.tap = Tap(loop, CaptureWriter(self.captured.append))
+        self.tap = RecordingProxy(loop, CaptureWriter(self.captured.append))
         self.tap.names = {f"127.0.1.{n + 1}": f"placer-{n}" for n in range(8)}
-        self.listing = Listing(loop, late_ms=50.0)
+        self.listing = ListService(loop, late_ms=50.0)
         list_server = Server(loop, scope, self.listing.methods())
         self.list_address = list_server.listen(("127.0.0.1", 0))
         self.list_tap = self.tap.add("list", self.list_address)
         manners: dict[str, dict[str, Any]] = {cls.name: {"work_ms": 5.0} for cls in settings.classes}
-        self.field = Field(loop, scope, settings, class_models(settings, manners), self.list_address)
+        self.field = MachinePool(loop, scope, settings, class_models(settings, manners), self.list_address)
         scope.spawn(self.field.report(), "reports")
         self.placers: list[Placer] = []
 
-    def machine(self, name: str, zone: str = "room-a", **changes: Any) -> MachineHost:
+    def machine(self, name: str, zone: str = "room-a", **changes: Any) -> MachineServer:
         values: dict[str, Any] = {
             "name": name, "kind": "std", "zone": zone, "cell": f"{zone}-1", "cores": 32.0, "memory": 64.0,
             "admit_ms": 2.0, "unclaimed_ms": 2000.0,
         }  # fmt: skip
         host = self.field.add(MachineModel(**{**values, **changes}))
         address = self.tap.add(name, host.address)
-        host.public = f"127.0.0.1:{address[1]}"
-        self.field.changed(host)
+        host.listed_address = f"127.0.0.1:{address[1]}"
+        self.field.mark_changed(host)
         return host
 
     def placer(self, number: int = 0, instances: int = 1, told: Cluster | None = None, **changes: Any) -> Placer:
--- a/tests/placer/test_credit.py
+++ b/tests/placer/test_credit.py
@@ -33,10 +33,10 @@
         yield from wait_for(lambda: owner.up)
         bound(placer.owners, 3)
         yield from wait_for(lambda: owner.credit == 3)
-        most, full = 0, owner.room
+        most, full = 0, owner.remaining_credit
         for n in range(10):
             owner.submit(f"t{n}", task(life_ms=50), 3000)
-        held, room = owner.held, owner.room
+        held, room = owner.held_count, owner.remaining_credit
         while len(followed.frames) < 10:
             most = max(most, sum(s.owed.total() for s in placer.owners.sessions.values()))
             yield from sleep(2.0)
@@ -84,7 +84,7 @@
         front = world.tap.add("placer-0", placer.grpc_address)
         owner, followed = world.owner(front)
         yield from wait_for(lambda: owner.up)
-        world.tap.blow("reset", target="placer-0")
+        world.tap.break_connections("reset", target="placer-0")
         yield from wait_for(lambda: not owner.up)
         began = world.loop.now()
         assert owner.connection is None
--- a/tests/placer/test_lifecycle.py
+++ b/tests/placer/test_lifecycle.py
@@ -23,7 +23,7 @@
 from sprucepost.placer.notify import Notifier, activated
 from sprucepost.settings import PlacerFile
 from sprucepost.settings.reload import changes, refused
-from sprucepost.standin.tap import Condition
+from sprucepost.standin.tap import LinkCondition
 from tests.placer.support import World, cluster, play, task
 from tests.test_settings import good
 from tests.wire.support import wait_for
@@ -230,7 +230,7 @@
             statuses.append((yield from placer.run()))
 
         world.scope.spawn(run(), "placer")
-        world.tap.set("slow", Condition(target="m1", up=False, delay_ms=150))
+        world.tap.set_condition("slow", LinkCondition(target="m1", up=False, delay_ms=150))
         owner.submit("bound", task("once", service="a"), 1500)
         yield from wait_for(lambda: "offered" in followed.kinds("bound"))
         placer.engine.driver.scheduler._choose_machine = lambda task: None  # type: ignore[method-assign]
@@ -258,7 +258,7 @@
             statuses.append((yield from placer.run()))
 
         world.scope.spawn(run(), "placer")
-        world.tap.set("mute", Condition(target="m1", up=False, hold=True))
+        world.tap.set_condition("mute", LinkCondition(target="m1", up=False, hold=True))
         owner.submit("t", task("once"), 2000)
         yield from wait_for(lambda: "offered" in followed.kinds("t"))
         placer.stop()
--- a/tests/placer/test_path.py
+++ b/tests/placer/test_path.py
@@ -8,7 +8,7 @@
 
 from sprucepost.loop import Co, sleep
 from sprucepost.settings.placer import Limits
-from sprucepost.standin.tap import Condition
+from sprucepost.standin.tap import LinkCondition
 from sprucepost.v1 import common_pb2
 from sprucepost.v1 import placer_pb2 as pb
 from sprucepost.wire.client import open_client
@@ -69,13 +69,13 @@
         owner.hold_acks = True
         yield from world.ready(placer, 1)
         yield from wait_for(lambda: owner.up)
-        world.tap.set("answers", Condition(target="placer-0", up=False, hold=True))  # answers go nowhere
+        world.tap.set_condition("answers", LinkCondition(target="placer-0", up=False, hold=True))  # answers go nowhere
         owner.submit("t", task(), 3000)
         yield from wait_for(lambda: placer.engine.ledger.outcomes)
-        world.tap.blow("reset", target="placer-0")
-        world.tap.set("answers", None)
+        world.tap.break_connections("reset", target="placer-0")
+        world.tap.set_condition("answers", None)
         yield from wait_for(lambda: followed.outcomes("t"))
-        world.tap.blow("reset", target="placer-0")  # again, unacknowledged still: sent again, told once
+        world.tap.break_connections("reset", target="placer-0")  # again, unacknowledged still: sent again, told once
         yield from wait_for(lambda: len(followed.sessions) == 3)
         yield from sleep(100)
         return followed.sessions, followed.outcomes("t"), placer.owners.counters["owner_resumed"]
@@ -130,10 +130,10 @@
         placer = world.placer()
         owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
-        world.tap.set("answers", Condition(target="m1", up=False, hold=True))
+        world.tap.set_condition("answers", LinkCondition(target="m1", up=False, hold=True))
         owner.submit("t", task("once", life_ms=20_000), 600)
         yield from wait_for(lambda: followed.outcomes("t"))
-        world.tap.set("answers", None)
+        world.tap.set_condition("answers", None)
         yield from wait_for(lambda: "surfaced" in followed.kinds("t"))
         owner.hand_over("t", task("once"), "m1")
         yield from wait_for(lambda: "bound" in followed.kinds("t"))
@@ -149,11 +149,11 @@
         placer = world.placer()
         owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
-        world.tap.set("answers", Condition(target="m1", up=False, hold=True))
+        world.tap.set_condition("answers", LinkCondition(target="m1", up=False, hold=True))
         owner.submit("t", task("once"), 600)
         yield from wait_for(lambda: followed.outcomes("t"))
         assert len(host.model.tasks) == 1
-        world.tap.set("answers", None)
+        world.tap.set_condition("answers", None)
         yield from wait_for(lambda: not host.model.tasks)
         return host.counts["ended unclaimed"]
 
@@ -166,7 +166,7 @@
         placer = world.placer()
         owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
-        world.tap.blow("truncate", target="m1", after=30)  # the offer's frame breaks off
+        world.tap.break_connections("truncate", target="m1", after=30)  # the offer's frame breaks off
         owner.submit("t", task(), 3000)
         yield from wait_for(lambda: followed.outcomes("t"))
         return followed.outcomes("t"), placer.links.counters["link_resumed"]
@@ -181,7 +181,7 @@
         placer = world.placer()
         owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 2)
-        for pipe in list(world.tap.pipes):
+        for pipe in list(world.tap.connections):
             if pipe.target == "m1":
                 pipe.near.pause()  # the placer's own send buffer fills
                 pipe.up.source.resume = lambda: None  # type: ignore[method-assign]
@@ -267,7 +267,7 @@
         world.machine("m1")
         old = world.placer()
         yield from world.ready(old, 1)
-        world.tap.blow("reset", target="m1")  # as a process that was stopped for long
+        world.tap.break_connections("reset", target="m1")  # as a process that was stopped for long
         old.links.suspended = True
         yield from sleep(50)
         new = world.placer()
@@ -307,7 +307,7 @@
         yield from wait_for(lambda: followed.outcomes("placed"))
         owner.cancel("placed")
         yield from wait_for(lambda: "ended" in followed.kinds("placed"))
-        world.tap.set("slow", Condition(target="m1", down=False, delay_ms=100))
+        world.tap.set_condition("slow", LinkCondition(target="m1", down=False, delay_ms=100))
         owner.submit("open", task("once"), 3000)
         yield from wait_for(lambda: "offered" in followed.kinds("open"))
         owner.cancel("open")
@@ -342,9 +342,9 @@
         yield from world.ready(placer, 1)
         owner.submit("t", task(), 3000)
         yield from wait_for(lambda: "running" in followed.kinds("t"))
-        world.tap.set("list", Condition(target="list", hold=True))  # nobody tells of it
+        world.tap.set_condition("list", LinkCondition(target="list", hold=True))  # nobody tells of it
         host.crash()
-        host.up(cold=True)
+        host.start(cold=True)
         yield from wait_for(lambda: "ended" in followed.kinds("t"))
         return followed.frames["t"][-1].ended.how == pb.Ended.LOST
 
@@ -363,7 +363,7 @@
         owner.submit("t", task(), 1500)
         yield from wait_for(lambda: "offered" in followed.kinds("t"))
         host.model.drain(world.field.now())
-        world.field.changed(host)
+        world.field.mark_changed(host)
         yield from wait_for(lambda: link.closed_to_offers)
         link.call = call
         link._write_offers()
@@ -381,7 +381,7 @@
         placer = world.placer()
         owner, followed = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
-        world.tap.set("m1", Condition(target="m1", up=False, hold=True))
+        world.tap.set_condition("m1", LinkCondition(target="m1", up=False, hold=True))
         for n in range(20):
             owner.submit(f"t{n}", task("web" if n % 2 else "once", service=f"s{n}"), 700)
         yield from wait_for(lambda: len(followed.frames) == 20)
@@ -567,7 +567,7 @@
         placer = world.placer(limits=Limits(open_tasks=1))
         front = world.tap.add("placer-0", placer.grpc_address)
         owner, followed = world.owner(front)
-        owner.batches = batches
+        owner.accepts_batches = batches
         yield from wait_for(lambda: owner.up)
         owner.submit("open", task(), 800)
         for n in range(50):
--- a/tests/placer/test_storms.py
+++ b/tests/placer/test_storms.py
@@ -34,9 +34,9 @@
                 asked += 1
             yield from sleep(60)
             if round % 4 == 2:
-                world.tap.blow("reset", target="placer-0")
+                world.tap.break_connections("reset", target="placer-0")
                 for m in range(MACHINES):
-                    world.tap.blow("reset", target=f"m{m}")
+                    world.tap.break_connections("reset", target=f"m{m}")
         yield from wait_for(
             lambda: (
                 all(len(followed.frames) == ASKS for _, followed in owners)
--- a/tests/rules/test_broken_placers.py
+++ b/tests/rules/test_broken_placers.py
@@ -14,7 +14,7 @@
 from sprucepost.placer.daemon import Placer
 from sprucepost.rules.checker import RunHistory
 from sprucepost.settings import Cluster
-from sprucepost.standin.tap import Condition
+from sprucepost.standin.tap import LinkCondition
 from sprucepost.v1 import placer_pb2 as pb
 from tests.placer.support import World, cluster, play, task
 from tests.wire.support import wait_for
@@ -123,19 +123,19 @@
 
 
 def drain_m1(world: World) -> Co[None]:
-    world.field.hosts["m1"].model.drain(world.field.now())
-    world.field.changed(world.field.hosts["m1"])
+    world.field.machines["m1"].model.drain(world.field.now())
+    world.field.mark_changed(world.field.machines["m1"])
     yield from sleep(1500)
 
 
 def hold_answers(world: World) -> None:
-    world.tap.set("answers", Condition(target="m*", up=False, hold=True))
+    world.tap.set_condition("answers", LinkCondition(target="m*", up=False, hold=True))
 
 
 def restart_cold(world: World) -> None:
-    for host in world.field.hosts.values():
+    for host in world.field.machines.values():
         host.model.started = world.field.now()
-        world.field.changed(host)
+        world.field.mark_changed(host)
 
 
 def wait_cold(world: World) -> Co[None]:
--- a/tests/standin/test_drawing.py
+++ b/tests/standin/test_drawing.py
@@ -10,32 +10,44 @@
 
 from sprucepost.loop import Co, Scope, in_scope
 from sprucepost.settings.reading import decode
-from sprucepost.standin.drawing import COLD, FAULTS, PEERS, draw, kinds_of
+from sprucepost.standin.drawing import (
+    COLD_START_FAULTS,
+    FAULT_RANGES,
+    PEER_FAULT_RANGES,
+    count_kinds,
+    generate_scenario,
+)
 from sprucepost.standin.faults import FaultInjector
-from sprucepost.standin.scenario import Fault, Kind, Scenario
+from sprucepost.standin.scenario import Fault, FaultKind, Scenario
 from tests.placing.support import VirtualLoop
 
 
 def test_a_seed_is_one_day_and_another_seed_another() -> None:
-    assert draw(5) == draw(5) and draw(5) != draw(6) and draw(5).faults != draw(6).faults
+    assert (
+        generate_scenario(5) == generate_scenario(5)
+        and generate_scenario(5) != generate_scenario(6)
+        and generate_scenario(5).faults != generate_scenario(6).faults
+    )
 
 
 def test_every_drawn_day_can_be_played_and_written_down() -> None:
     for seed in range(200):
-        day = draw(seed)
+        day = generate_scenario(seed)
         assert day.problems() == []
         assert decode(msgspec.json.encode(day), Scenario) == day
-        assert draw(seed, peers=True).problems() == [] and draw(seed, peers=True) == draw(seed, peers=True)
+        assert generate_scenario(seed, peers=True).problems() == [] and generate_scenario(
+            seed, peers=True
+        ) == generate_scenario(seed, peers=True)
         assert all(0 < fault.at_s < day.length_s for fault in day.faults)
 
 
 def test_over_many_days_every_kind_is_met_and_most_days_differ_in_kinds() -> None:
-    assert set(FAULTS) | set(PEERS) == set(get_args(Kind))
-    days = [kinds_of(draw(seed).faults) for seed in range(150)]
+    assert set(FAULT_RANGES) | set(PEER_FAULT_RANGES) == set(get_args(FaultKind))
+    days = [count_kinds(generate_scenario(seed).faults) for seed in range(150)]
     met = Counter(kind for day in days for kind in day)
-    assert set(met) == set(FAULTS) and min(met.values()) >= 5
+    assert set(met) == set(FAULT_RANGES) and min(met.values()) >= 5
     assert len({tuple(day) for day in days}) > 140
-    assert sum(bool(set(day) & set(COLD)) for day in days) > 90
+    assert sum(bool(set(day) & set(COLD_START_FAULTS)) for day in days) > 90
 
 
 class Stage:
@@ -52,7 +64,7 @@
         self.lie = self.listless = False
         self.orders: Counter[str] = Counter()
 
-    def field(self, order: str, /, **arguments: Any) -> Co[Any]:
+    def order_machines(self, order: str, /, **arguments: Any) -> Co[Any]:
         self.orders[order] += 1
         machine = arguments.get("machine", "")
         if order in ("crash", "mute"):
@@ -63,7 +75,7 @@
         return {}
         yield
 
-    def listing(self, order: str, /, **arguments: Any) -> Co[Any]:
+    def order_list(self, order: str, /, **arguments: Any) -> Co[Any]:
         self.orders[order] += 1
         if order in ("lie", "truth"):
             self.lie = order == "lie"
@@ -72,7 +84,7 @@
         return {}
         yield
 
-    def tap(self, order: str, /, **arguments: Any) -> Co[Any]:
+    def order_proxy(self, order: str, /, **arguments: Any) -> Co[Any]:
         self.orders[order] += 1
         if order == "set":
             self.conditions.add(arguments["name"])
@@ -81,7 +93,7 @@
         return {}
         yield
 
-    def owners(self, order: str, /, **arguments: Any) -> Co[Any]:
+    def order_owners(self, order: str, /, **arguments: Any) -> Co[Any]:
         self.orders[order] += 1
         return {}
         yield
@@ -111,20 +123,20 @@
     def step_clock(self, number: int, by_ms: float) -> None:
         self.clocks[number] = by_ms
 
-    def start_twin(self, number: int) -> Co[None]:
+    def start_duplicate(self, number: int) -> Co[None]:
         self.twins.add(number)
         return
         yield
 
-    def stop_twin(self, number: int) -> None:
+    def stop_duplicate(self, number: int) -> None:
         self.twins.discard(number)
 
-    def resize(self, size: int, lead_ms: float, overlap_ms: float, told: int = 0) -> Co[None]:
+    def resize(self, size: int, lead_ms: float, overlap_ms: float, notified: int = 0) -> Co[None]:
         assert size > 4
         return
         yield
 
-    def note(self, what: str, **more: Any) -> None: ...
+    def record_event(self, what: str, **more: Any) -> None: ...
 
 
 def play(day: Scenario) -> Stage:
@@ -145,9 +157,9 @@
     return not gone and not stage.lie and not stage.listless and stage.placers == {0, 1, 2, 3}
 
 
-@pytest.mark.parametrize("kind", sorted({**FAULTS, **PEERS}))
+@pytest.mark.parametrize("kind", sorted({**FAULT_RANGES, **PEER_FAULT_RANGES}))
 def test_each_kind_of_fault_is_lifted_again(kind: str) -> None:
-    day = msgspec.structs.replace(draw(3), placers=4, peers=True)
+    day = msgspec.structs.replace(generate_scenario(3), placers=4, peers=True)
     fault = Fault(kind, 1.0, 4.0, 0.5, 2.0, 1.0, day.cluster.zones[0])  # type: ignore[arg-type]
     stage = play(msgspec.structs.replace(day, faults=[fault]))
     assert whole(stage)
@@ -155,5 +167,5 @@
 
 def test_whole_drawn_days_leave_nothing_behind_however_their_faults_overlap() -> None:
     for seed in range(60):
-        stage = play(msgspec.structs.replace(draw(seed, peers=seed % 2 == 1), placers=4))
+        stage = play(msgspec.structs.replace(generate_scenario(seed, peers=seed % 2 == 1), placers=4))
         assert whole(stage), f"seed {seed}"
--- a/tests/standin/test_tap.py
+++ b/tests/standin/test_tap.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from sprucepost.loop import Co, sleep
-from sprucepost.standin.tap import Condition
+from sprucepost.standin.tap import LinkCondition
 from tests.placer.support import World, play, task
 from tests.wire.support import wait_for
 
@@ -20,13 +20,13 @@
         owner, _ = world.owner(front)
         yield from world.ready(placer, 1)
         yield from wait_for(lambda: owner.up)
-        world.tap.set("slow", Condition(target="placer-0", delay_ms=60.0))
+        world.tap.set_condition("slow", LinkCondition(target="placer-0", delay_ms=60.0))
         for n in range(5):
             owner.submit(f"t{n}", task(), 2000)
         yield from sleep(20.0)
         world.tap.stop()
         recorded = len(world.captured)
         yield from sleep(200.0)
-        return len(world.captured) - recorded, placer.engine.counters["submitted"], len(world.tap.pipes), owner.up
+        return len(world.captured) - recorded, placer.engine.counters["submitted"], len(world.tap.connections), owner.up
 
     assert play(body) == (0, 0, 0, False)
--- a/tests/test_badday.py
+++ b/tests/test_badday.py
@@ -13,7 +13,7 @@
 
 from sprucepost.cli.badday import Player
 from sprucepost.cli.tables import report
-from sprucepost.standin.drawing import draw
+from sprucepost.standin.drawing import generate_scenario
 from sprucepost.standin.scenario import Fault
 
 
@@ -69,7 +69,7 @@
 
 def test_a_day_with_faults_between_placers_settles(tmp_path: Path) -> None:
     """Drawn whole from its seed, with a crash, a cut and a change of size told to one placer put in."""
-    day = draw(7, 16.0, peers=True)
+    day = generate_scenario(7, 16.0, peers=True)
     faults = [
         Fault("peer_cut", 1.0, 4.0, 0.4), Fault("placer_kill", 7.0, 3.0, 0.2),
         Fault("resize", 2.0, 9.0, size=1.3, extra=1.0),
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -13,7 +13,7 @@
 import pytest
 
 from sprucepost.cli import search as s
-from sprucepost.standin.drawing import draw, kinds_of
+from sprucepost.standin.drawing import count_kinds, generate_scenario
 from sprucepost.standin.scenario import Scenario
 
 
@@ -27,7 +27,7 @@
             folder.mkdir(parents=True, exist_ok=True)
             broken = verdict(scenario)
             result = {
-                "seed": seed, "faults": kinds_of(scenario.faults), "verdict": "bad" if broken else "good",
+                "seed": seed, "faults": count_kinds(scenario.faults), "verdict": "bad" if broken else "good",
                 "wrong": ["rule broken"] if broken else [], "broken": broken, "asked": 10, "checked": 100, "undecided": 1,
                 "first": [],
             }  # fmt: skip
@@ -61,7 +61,7 @@
 
 
 def test_a_day_that_could_not_be_played_is_neither_good_nor_kept_as_played(tmp_path: Path) -> None:
-    day = SimpleNamespace(seed=1, scenario=draw(1), folder=tmp_path, child=SimpleNamespace(returncode=3))
+    day = SimpleNamespace(seed=1, scenario=generate_scenario(1), folder=tmp_path, child=SimpleNamespace(returncode=3))
     (tmp_path / "printed.txt").write_text("sprucepost: placer-1 ended with status 1\n")
     result = s.outcome(day)  # type: ignore[arg-type]
     assert result["verdict"] == "failed" and result["wrong"] == ["sprucepost: placer-1 ended with status 1"]
@@ -70,7 +70,7 @@
 
 
 def test_shrinking_leaves_the_faults_that_break_together(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    day = next(draw(seed) for seed in range(1000) if len(draw(seed).faults) >= 8)
+    day = next(generate_scenario(seed) for seed in range(1000) if len(generate_scenario(seed).faults) >= 8)
     guilty = [day.faults[1], day.faults[6]]
 
     def verdict(scenario: Scenario) -> dict[str, int]:
