--- a/benchmarks/list_storm.py
+++ b/benchmarks/list_storm.py
@@ -15,7 +15,7 @@
 from sprucepost.loop import Co, Loop, Scope, in_scope, sleep
 from sprucepost.loop.epoll import EpollLoop
 from sprucepost.placer.discovery import DiscoveryWatch, WatchOptions
-from sprucepost.standin.listing import CALL_COST_ENTRIES, ListService
+from sprucepost.standin.list_service import CALL_COST_ENTRIES, ListService
 from sprucepost.wire.server import Server
 
 
--- a/sprucepost/cli/main.py
+++ b/sprucepost/cli/main.py
@@ -372,7 +372,7 @@
     """Print the day that `badday --random --seed` plays."""
     import msgspec
 
-    from sprucepost.standin.drawing import generate_scenario
+    from sprucepost.standin.scenario_generator import generate_scenario
 
     click.echo(msgspec.json.format(msgspec.json.encode(generate_scenario(seed, length_s, peers)), indent=1).decode())
 
--- a/sprucepost/cli/search.py
+++ b/sprucepost/cli/search.py
@@ -19,8 +19,8 @@
 
 from sprucepost.cli.tables import problems, table
 from sprucepost.rules.record import RESULT, SCENARIO
-from sprucepost.standin.drawing import count_kinds, generate_scenario
 from sprucepost.standin.scenario import Fault, Scenario
+from sprucepost.standin.scenario_generator import count_kinds, generate_scenario
 
 DAYS = "days.jsonl"
 PATIENCE_S = 120.0  # beyond its own length, after which a day counts as failed
--- a/sprucepost/standin/daemons.py
+++ b/sprucepost/standin/daemons.py
@@ -11,12 +11,12 @@
 
 from sprucepost.loop import Address, Co, Loop, Scope, sleep
 from sprucepost.settings import Cluster
-from sprucepost.standin.listing import ListService
+from sprucepost.standin.list_service import ListService
 from sprucepost.standin.machine_types import MachineModel
 from sprucepost.standin.machines import MachinePool, class_models
 from sprucepost.standin.orders import OrderService
 from sprucepost.standin.owners import Owners, Service
-from sprucepost.standin.tap import RecordingProxy
+from sprucepost.standin.recording_proxy import RecordingProxy
 from sprucepost.wire.capture import CaptureWriter
 from sprucepost.wire.server import Method, Server
 
--- a/tests/load/test_run.py
+++ b/tests/load/test_run.py
@@ -9,7 +9,7 @@
 from sprucepost.load.plan import Class, Plan, Poisson
 from sprucepost.load.run import Run
 from sprucepost.loop import Co
-from sprucepost.standin.tap import LinkCondition
+from sprucepost.standin.recording_proxy import LinkCondition
 from tests.placer.support import World, play
 from tests.wire.support import wait_for
 
--- a/tests/placer/support.py
+++ b/tests/placer/support.py
@@ -14,11 +14,11 @@
 from sprucepost.rules.trace import trace
 from sprucepost.settings import Cluster, PlacerFile, PlacerOptions
 from sprucepost.settings.cluster import Kind, TaskClass
-from sprucepost.standin.listing import ListService
+from sprucepost.standin.list_service import ListService
 from sprucepost.standin.machine_types import MachineModel
 from sprucepost.standin.machines import MachinePool, MachineServer, class_models
 from sprucepost.standin.owner_link import OwnerLink
-from sprucepost.standin.tap import RecordingProxy
+from sprucepost.standin.recording_proxy import RecordingProxy
 from sprucepost.v1 import common_pb2
 from sprucepost.v1 import placer_pb2 as pb
 from sprucepost.wire.capture import CaptureWriter, read_capture
--- a/tests/placer/test_lifecycle.py
+++ b/tests/placer/test_lifecycle.py
@@ -23,7 +23,7 @@
 from sprucepost.placer.notify import Notifier, activated
 from sprucepost.settings import PlacerFile
 from sprucepost.settings.reload import changes, refused
-from sprucepost.standin.tap import LinkCondition
+from sprucepost.standin.recording_proxy import LinkCondition
 from tests.placer.support import World, cluster, play, task
 from tests.test_settings import good
 from tests.wire.support import wait_for
--- a/tests/placer/test_path.py
+++ b/tests/placer/test_path.py
@@ -8,7 +8,7 @@
 
 from sprucepost.loop import Co, sleep
 from sprucepost.settings.placer import Limits
-from sprucepost.standin.tap import LinkCondition
+from sprucepost.standin.recording_proxy import LinkCondition
 from sprucepost.v1 import common_pb2
 from sprucepost.v1 import placer_pb2 as pb
 from sprucepost.wire.client import open_client
--- a/tests/rules/test_broken_placers.py
+++ b/tests/rules/test_broken_placers.py
@@ -14,7 +14,7 @@
 from sprucepost.placer.daemon import Placer
 from sprucepost.rules.checker import RunHistory
 from sprucepost.settings import Cluster
-from sprucepost.standin.tap import LinkCondition
+from sprucepost.standin.recording_proxy import LinkCondition
 from sprucepost.v1 import placer_pb2 as pb
 from tests.placer.support import World, cluster, play, task
 from tests.wire.support import wait_for
--- a/tests/standin/test_tap.py
+++ b/tests/standin/test_recording_proxy.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from sprucepost.loop import Co, sleep
-from sprucepost.standin.tap import LinkCondition
+from sprucepost.standin.recording_proxy import LinkCondition
 from tests.placer.support import World, play, task
 from tests.wire.support import wait_for
 
--- a/tests/standin/test_drawing.py
+++ b/tests/standin/test_scenario_generator.py
@@ -10,15 +10,15 @@
 
 from sprucepost.loop import Co, Scope, in_scope
 from sprucepost.settings.reading import decode
-from sprucepost.standin.drawing import (
+from sprucepost.standin.faults import FaultInjector
+from sprucepost.standin.scenario import Fault, FaultKind, Scenario
+from sprucepost.standin.scenario_generator import (
     COLD_START_FAULTS,
     FAULT_RANGES,
     PEER_FAULT_RANGES,
     count_kinds,
     generate_scenario,
 )
-from sprucepost.standin.faults import FaultInjector
-from sprucepost.standin.scenario import Fault, FaultKind, Scenario
 from tests.placing.support import VirtualLoop
 
 
--- a/tests/test_badday.py
+++ b/tests/test_badday.py
@@ -13,8 +13,8 @@
 
 from sprucepost.cli.badday import Player
 from sprucepost.cli.tables import report
-from sprucepost.standin.drawing import generate_scenario
 from sprucepost.standin.scenario import Fault
+from sprucepost.standin.scenario_generator import generate_scenario
 
 
 def run(*arguments: str) -> subprocess.Popen[str]:
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -13,8 +13,8 @@
 import pytest
 
 from sprucepost.cli import search as s
-from sprucepost.standin.drawing import count_kinds, generate_scenario
 from sprucepost.standin.scenario import Scenario
+from sprucepost.standin.scenario_generator import count_kinds, generate_scenario
 
 
 def tell(monkeypatch: pytest.MonkeyPatch, verdict: Any) -> list[int]:
