--- a/sprucepost/plotting/__init__.py
+++ b/sprucepost/plotting/__init__.py
@@ -1,4 +1,4 @@
-"""Pages with tables and charts: one HTML file, nothing loaded from elsewhere; the same figures make the same file."""
+"""Reports with tables and charts: self-contained HTML files, identical for identical figures."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class ChartsUnavailable(Exception):
-    """The charts' library is not installed."""
+    """Charts cannot be drawn because matplotlib is not installed."""
 
 
 def pyplot() -> Any:
-    """The charts' library, set to write SVG. ChartsUnavailable where it is not installed."""
+    """Return matplotlib's pyplot, set to write SVG; raise ChartsUnavailable where matplotlib is not installed."""
     try:
         import matplotlib
     except ImportError:
@@ -28,21 +28,21 @@
     matplotlib.use("svg")
     from matplotlib import pyplot as library
 
-    matplotlib.rcParams["svg.hashsalt"] = "sprucepost"  # the same figures make the same file
+    matplotlib.rcParams["svg.hashsalt"] = "sprucepost"  # element ids are the same in each run
     return library
 
 
 def svg_element(figure: Any) -> str:
-    """The element of a figure, which is closed."""
+    """Return the figure as an SVG element, and close the figure."""
     text = io.StringIO()
     figure.savefig(text, format="svg", metadata={"Date": None})
     pyplot().close(figure)
-    whole = text.getvalue()
-    return whole[whole.index("<svg") :]
+    document = text.getvalue()
+    return document[document.index("<svg") :]
 
 
 def html_table(head: Sequence[str], lines: Sequence[Sequence[str]]) -> str:
-    """A table of text."""
+    """Return an HTML table; the text of its cells is escaped."""
 
     def row(cells: Sequence[str], tag: str) -> str:
         return "<tr>" + "".join(f"<{tag}>{html.escape(cell)}</{tag}>" for cell in cells) + "</tr>"
@@ -51,7 +51,7 @@
 
 
 def html_page(title: str, body: str) -> str:
-    """A document around ``body``, which is HTML."""
+    """Return an HTML document around ``body``, which is inserted as it is."""
     return (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(title)}</title>'
         f"<style>{_STYLE}</style><h1>{html.escape(title)}</h1>{body}</html>\n"
--- a/sprucepost/settings/__init__.py
+++ b/sprucepost/settings/__init__.py
@@ -1,7 +1,8 @@
-"""Settings files: JSON with a schema, checked whole before anything starts.
+"""Settings files: JSON documents with a schema, fully validated before anything starts.
 
-``cluster`` describes the deployment that placers, stand-ins and rule checkers share; ``placer`` adds what one daemon has
-of its own; ``reading`` reads a file and names every fault by its key's path.
+``cluster`` describes the deployment that placers, simulated peers and rule checkers share; ``placer`` adds the settings
+of a single placer process; ``reading`` parses a file and reports each error with the path of its key; ``reload`` and
+``running`` tell which settings may change while a placer runs.
 """
 
 from sprucepost.settings.cluster import Cluster, TaskClass
--- a/sprucepost/settings/cluster.py
+++ b/sprucepost/settings/cluster.py
@@ -1,4 +1,8 @@
-"""The deployment: rooms, machine kinds, classes of tasks, limits. Times in ms, cores and memory in the site's units."""
+"""Settings of a deployment: zones, machine kinds, task classes, tenants and limits.
+
+Times are in milliseconds; cores and memory are in the units that the site uses. Docstrings and descriptions of the Structs
+are part of the published JSON schema.
+"""
 
 from __future__ import annotations
 
@@ -75,7 +79,7 @@
     preempts: bool = False
 
     def problems(self) -> list[str]:
-        """Combinations that cannot be, one line each, with the key's path."""
+        """Return one line for each invalid value or combination, beginning with the path of its key."""
         found = []
         for key, names in (
             ("zones", self.zones),
@@ -98,13 +102,15 @@
 
     @property
     def max_clock_skew_ms(self) -> float:
-        """How far a placer's clock may be from the list's before it takes no seat. A machine counts as cold for so much
-        longer, since a clock that leads finds it warm too early: a host's clock stepped, and two machines got an offer too
-        many in the last 15 ms of their time."""
+        """Largest difference between a placer's clock and the list's at which the placer still places tasks, in ms.
+
+        A machine counts as cold for this much longer, because a clock that is ahead finds it warm too early: after a step
+        of one host's clock, two machines got one offer too many in the last 15 ms of their cold period.
+        """
         return self.fall_ms / 4.0
 
     def to_interface(self, number: int, instances: int, zone: str, tick_ms: float) -> i.Settings:
-        """The decision module's settings for one placer of this deployment."""
+        """Return the decision module's settings for placer ``number`` of ``instances``; ``tick_ms``: granularity of its timers."""
         kinds = [kind.name for kind in self.kinds]
         return i.Settings(
             number=number,
@@ -132,7 +138,7 @@
                 )
                 for cls in self.classes
             ),
-            # The module asks for the list itself: when to call and when to call again are its decisions.
+            # The decision module requests the list itself, so that it decides when to call and when to retry.
             list_mode=i.ListMode.ASK,
             max_attempts=self.max_attempts,
             accepts_cores=self.accepts_cores,
--- a/sprucepost/settings/placer.py
+++ b/sprucepost/settings/placer.py
@@ -1,4 +1,7 @@
-"""What one placer is told beside the deployment."""
+"""Settings of a single placer, in addition to those of its deployment.
+
+Docstrings and descriptions of the Structs are part of the published JSON schema.
+"""
 
 from __future__ import annotations
 
@@ -103,7 +106,7 @@
     placer: PlacerOptions
 
     def generation(self) -> Generation:
-        """The generation in the terms of what decides about it."""
+        """Return the generation settings as the membership package takes them."""
         options = self.placer.generation
         return Generation(
             options.number,
@@ -116,15 +119,16 @@
         )
 
     def problems(self) -> list[str]:
+        """Return one line for each invalid value or combination, beginning with the path of its key."""
         found = [f"cluster.{line}" for line in self.cluster.problems()]
         if self.placer.zone not in self.cluster.zones:
             found.append(f"placer.zone: {self.placer.zone!r} is none of cluster.zones")
         number, generation = self.placer.number, self.placer.generation
-        most = max(self.placer.instances, generation.previous_instances or 0)
-        if number >= most:
+        largest_size = max(self.placer.instances, generation.previous_instances or 0)
+        if number >= largest_size:
             found.append("placer.number: must be below placer.instances")
-        told = (number >= 0) + (self.placer.number_env is not None) + (self.placer.slots is not None)
-        if told != 1:
+        number_sources = (number >= 0) + (self.placer.number_env is not None) + (self.placer.slots is not None)
+        if number_sources != 1:
             found.append("placer.number: one of number, number_env and slots must be given")
         found += [f"placer.generation.{line}" for line in self.generation().problems()]
         for n, cls in enumerate(self.cluster.classes):
--- a/sprucepost/settings/reading.py
+++ b/sprucepost/settings/reading.py
@@ -1,4 +1,4 @@
-"""Read a settings file; every fault is one plain line with the key's path."""
+"""Reading of settings files; each error is one line that begins with the path of its key."""
 
 from __future__ import annotations
 
@@ -12,22 +12,24 @@
 
 
 class SettingsError(Exception):
-    """The file cannot be used. ``lines`` says why, one fault each."""
+    """A settings file cannot be used; ``lines`` holds one line for each error."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
         self.lines = lines
 
 
-class _Checked(Protocol):
+class _Validated(Protocol):
+    """A settings type that checks its own values."""
+
     def problems(self) -> list[str]: ...
 
 
-C = TypeVar("C", bound=_Checked)
+SettingsType = TypeVar("SettingsType", bound=_Validated)
 
 
-def read(path: str | Path, kind: type[C]) -> C:
-    """The settings in a file; SettingsError where it is missing, malformed or makes no sense."""
+def read(path: str | Path, kind: type[SettingsType]) -> SettingsType:
+    """Read the settings in a file; raise SettingsError where it is missing, malformed or invalid."""
     try:
         text = Path(path).read_bytes()
     except OSError as error:
@@ -35,7 +37,8 @@
     return decode(text, kind, str(path))
 
 
-def decode(text: bytes, kind: type[C], where: str = "settings") -> C:
+def decode(text: bytes, kind: type[SettingsType], where: str = "settings") -> SettingsType:
+    """Parse the JSON ``text`` into settings; ``where`` is the prefix of each line of a SettingsError."""
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as error:
@@ -46,14 +49,14 @@
         raise SettingsError([f"{where}: {line}" for line in error.lines]) from None
 
 
-def convert(raw: Any, kind: type[C]) -> C:
-    """The settings in a parsed document; SettingsError with a line for each fault, its key's path in front."""
-    lines = _unknown(raw, kind, "")
+def convert(raw: Any, kind: type[SettingsType]) -> SettingsType:
+    """Convert a parsed document into settings; raise SettingsError with one line for each error."""
+    lines = _unknown_keys(raw, kind, "")
     if not lines:
         try:
             found = msgspec.convert(raw, kind)
         except (msgspec.ValidationError, OverflowError) as error:
-            lines = [_plain(str(error))]
+            lines = [_with_path_first(str(error))]
         else:
             lines = found.problems()
             if not lines:
@@ -62,43 +65,46 @@
 
 
 def schema(kind: type[Any]) -> str:
-    """The JSON schema of a kind of file, as text."""
+    """Return the JSON schema of a settings type, as text."""
     return json.dumps(msgspec.json.schema(kind), indent=1, sort_keys=True) + "\n"
 
 
-def _plain(message: str) -> str:
-    """msgspec's message with the path in front."""
+def _with_path_first(message: str) -> str:
+    """Move the key's path from the end of a msgspec message to its front."""
     text, _, path = message.partition(" - at `")
     path = path.rstrip("`").removeprefix("$").removeprefix(".")
     text = text.replace("`", "")
     return f"{path or 'file'}: {text[:1].lower()}{text[1:]}"
 
 
-def _unknown(raw: Any, kind: Any, path: str) -> list[str]:
-    return _unknown_in(raw, _type_info(kind), path)
+def _unknown_keys(raw: Any, kind: Any, path: str) -> list[str]:
+    return _unknown_keys_of_type(raw, _type_info(kind), path)
 
 
-@lru_cache(maxsize=16)  # a running placer judges one kind again and again
+@lru_cache(maxsize=16)  # a running placer validates the same type repeatedly
 def _type_info(kind: Any) -> Any:
     return msgspec.inspect.type_info(kind)
 
 
-def _unknown_in(raw: Any, info: Any, path: str) -> list[str]:
-    """All keys that no setting has, each with the nearest that one does have: a unit left out is the usual slip."""
+def _unknown_keys_of_type(raw: Any, info: Any, path: str) -> list[str]:
+    """Return a line for each unknown key, with a suggestion where the key differs from a setting in its unit alone.
+
+    A missing or wrong unit suffix is the usual mistake.
+    """
     if isinstance(info, msgspec.inspect.Metadata):
-        return _unknown_in(raw, info.type, path)
+        return _unknown_keys_of_type(raw, info.type, path)
     found: list[str] = []
     if isinstance(info, msgspec.inspect.StructType) and isinstance(raw, dict):
         fields = {field.encode_name: field.type for field in info.fields}
         for key, value in raw.items():
             here = f"{path}.{key}" if path else key
             if key in fields:
-                found += _unknown_in(value, fields[key], here)
+                found += _unknown_keys_of_type(value, fields[key], here)
             else:
-                stem = re.sub(r"_(ms|s|us|sec|seconds|bytes|kb|mb)$", "", key)
-                near = [name for name in fields if re.sub(r"_(ms|bytes)$", "", name) == stem]
-                found.append(f"{here}: unknown key" + (f"; did you mean {near[0]}?" if near else ""))
+                name_without_unit = re.sub(r"_(ms|s|us|sec|seconds|bytes|kb|mb)$", "", key)
+                similar = [name for name in fields if re.sub(r"_(ms|bytes)$", "", name) == name_without_unit]
+                found.append(f"{here}: unknown key" + (f"; did you mean {similar[0]}?" if similar else ""))
     elif isinstance(info, msgspec.inspect.ListType) and isinstance(raw, list):
         for n, value in enumerate(raw):
-            found += _unknown_in(value, info.item_type, f"{path}[{n}]")
+            found += _unknown_keys_of_type(value, info.item_type, f"{path}[{n}]")
     return found
--- a/sprucepost/settings/reload.py
+++ b/sprucepost/settings/reload.py
@@ -1,4 +1,4 @@
-"""What a reload may change. A new file is applied whole or refused whole."""
+"""Which settings a reload may change. A new file is either applied completely or rejected completely."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from sprucepost.settings.placer import PlacerFile
 
-CHANGEABLE = (
+RELOADABLE_KEYS = (
     "placer.instances",
     "placer.generation",
     "placer.log",
@@ -18,7 +18,7 @@
 
 
 def changed_keys(old: PlacerFile, new: PlacerFile) -> list[tuple[str, Any, Any]]:
-    """Every key whose value differs, with both values."""
+    """Return the path, the old and the new value of each key whose value differs."""
     found: list[tuple[str, Any, Any]] = []
 
     def compare(path: str, before: Any, after: Any) -> None:
@@ -33,9 +33,9 @@
 
 
 def restart_required(changed: list[tuple[str, Any, Any]]) -> list[str]:
-    """One line for each change that only a restart can make."""
+    """Return one line for each change that takes effect only by a restart."""
     return [
         f"{path}: cannot change while running (from {before!r} to {after!r})"
         for path, before, after in changed
-        if not any(path == key or path.startswith(f"{key}.") for key in CHANGEABLE)
+        if not any(path == key or path.startswith(f"{key}.") for key in RELOADABLE_KEYS)
     ]
--- a/sprucepost/settings/running.py
+++ b/sprucepost/settings/running.py
@@ -1,7 +1,7 @@
-"""Which deployment-wide keys a running placer takes, and whether a whole configuration of them can be.
+"""Which deployment-wide keys may change while placers run, and the validation of a complete configuration of them.
 
-A key belongs here only where every use reads it anew at each decision. Tenants and classes are named by the file: they are
-neither added nor removed while placers run.
+A key may be listed here only if every use reads it again at each decision. Tenants and classes are defined by the settings
+file: they are neither added nor removed while placers run.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class ExactKeys(ChangeableKeys):
-    """Changeable keys that have nothing under them: found at once, however many tenants there are."""
+    """Changeable keys without nested keys: a set lookup, whose cost does not grow with the number of tenants."""
 
     keys: frozenset[str]
 
@@ -37,12 +37,12 @@
 
 
 def flat_cluster(cluster: Cluster) -> dict[str, Value]:
-    """The deployment's settings by key path, defaults filled in."""
+    """Return the deployment's settings by key path, including defaults."""
     return flatten(to_builtins(cluster), ROOT)
 
 
 def changeable_keys(cluster: Cluster) -> ChangeableKeys:
-    """The keys that a running placer of this deployment takes."""
+    """Return the keys that may change while placers of this deployment run."""
     keys = [f"{ROOT}.{key}" for key in SINGLE_KEYS]
     keys += [f"{ROOT}.tenants[{tenant.name}].{key}" for tenant in cluster.tenants for key in TENANT_KEYS]
     keys += [f"{ROOT}.classes[{cls.name}].{key}" for cls in cluster.classes for key in CLASS_KEYS]
@@ -50,12 +50,12 @@
 
 
 def settings_fingerprint(settings: Any) -> str:
-    """Equal for equal settings."""
+    """Return a digest of the settings that is equal for equal settings."""
     return blake2b(json.dumps(to_builtins(settings), sort_keys=True).encode(), digest_size=8).hexdigest()
 
 
 def key_refusal(key: str, cluster: Cluster) -> str:
-    """Why no change may name this key, in one line; empty where one may."""
+    """Return why the key may not be changed, in one line; empty where it may."""
     if key in changeable_keys(cluster):
         return ""
     if key in flat_cluster(cluster):
@@ -66,16 +66,16 @@
 
 
 class ClusterValidator:
-    """Judges configurations: the changeable keys' values, over what the file fixes."""
+    """Validates configurations: values of the changeable keys, combined with the fixed values of the settings file."""
 
     def __init__(self, cluster: Cluster) -> None:
         changeable = changeable_keys(cluster)
         self._fixed = {key: value for key, value in flat_cluster(cluster).items() if key not in changeable}
-        self._names = _names(cluster)
+        self._names = _element_names(cluster)
 
     @property
     def fixed_fingerprint(self) -> str:
-        """Equal for files that differ in changeable keys alone."""
+        """A digest that is equal for files that differ only in changeable keys."""
         return settings_fingerprint(self._fixed)
 
     def __call__(self, settings: Settings) -> Sequence[Problem]:
@@ -86,28 +86,31 @@
         return []
 
     def cluster(self, settings: Settings) -> Cluster:
-        """The deployment's settings with these values; SettingsError where there is a fault, DocumentError where keys can't
-        stand together."""
+        """Return the deployment's settings with these values.
+
+        Raises SettingsError for invalid values and DocumentError for keys that contradict each other.
+        """
         raw = expand({**self._fixed, **settings}).get(ROOT, {})
         try:
             found = convert(raw, Cluster)
         except SettingsError as error:
-            raise SettingsError([f"{ROOT}.{_named(line, raw)}" for line in error.lines]) from None
-        present = set(_names(found))
+            raise SettingsError([f"{ROOT}.{_with_element_name(line, raw)}" for line in error.lines]) from None
+        present = set(_element_names(found))
         removed = next((name for name in self._names if name not in present), None)
         if removed is not None:
             raise SettingsError([f"{ROOT}.{removed}: can't be removed while placers run"])
         return found
 
 
-def _names(cluster: Cluster) -> list[str]:
+def _element_names(cluster: Cluster) -> list[str]:
+    """The key paths of all tenants and classes."""
     return [f"tenants[{tenant.name}]" for tenant in cluster.tenants] + [
         f"classes[{cls.name}]" for cls in cluster.classes
     ]
 
 
-def _named(line: str, raw: dict[str, Any]) -> str:
-    """The line with an element's name in place of its index in the key's path."""
+def _with_element_name(line: str, raw: dict[str, Any]) -> str:
+    """Replace the index of a list element in the key's path by the element's name."""
     path, colon, text = line.partition(":")
 
     def name(found: re.Match[str]) -> str:
