--- a/sprucepost/cli/__init__.py
+++ b/sprucepost/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line. Commands import what they run when they run, so that each starts fast and small."""
+"""The command line. Each command imports what it needs when it runs, to start quickly and use little memory."""
--- a/sprucepost/cli/configuration.py
+++ b/sprucepost/cli/configuration.py
@@ -1,4 +1,4 @@
-"""``fleet config``: the deployment's configuration, read and changed at one placer (docs/configuration.md)."""
+"""``fleet config``: reads and changes the deployment's configuration through one placer (docs/configuration.md)."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 import click
 
-from sprucepost.cli.members import NoView, ask
+from sprucepost.cli.members import ViewUnavailable, fetch_view
 from sprucepost.cli.tables import table
 
-ASK_MS = 5000.0  # for one placer's answer
-MESSAGE_MOST = 4_194_304  # bytes of one answer
-OFF = "off"
-REFUSED, UNLIKE = 2, 1  # exit statuses
+ANSWER_TIMEOUT_MS = 5000.0
+MAX_ANSWER_BYTES = 4_194_304
+CONFIGURATION_OFF = "off"
+EXIT_REFUSED, EXIT_INCONSISTENT = 2, 1
 
 
-class Unanswered(Exception):
-    """A placer gave no answer; why, in one line."""
+class NoAnswer(Exception):
+    """A placer did not answer; the message says why, in one line."""
 
 
-class ConfigurationOff(Unanswered):
-    """The placer carries no configuration."""
+class ConfigurationOff(NoAnswer):
+    """The placer does not carry a configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberConfiguration:
-    """What one member has in force; ``trouble``: why it isn't known, or is held."""
+    """A member's configuration in force; ``trouble`` says why it is unknown, or why a newer one is held back."""
 
     name: str
     address: str
@@ -44,21 +44,23 @@
 
 @click.group("config")
 def config() -> None:
-    """The configuration of a fleet whose placers carry one, by the HTTP port of any of them."""
+    """Read and change the configuration that a fleet's placers share, through the HTTP port of any of them."""
 
 
 _AUTHOR = click.option(
-    "--author", default=lambda: os.environ.get("USER", "unknown"), help="Who asks for it; the user by default."
+    "--author", default=lambda: os.environ.get("USER", "unknown"), help="Author of the change; by default the user."
 )
-_COMMENT = click.option("--comment", default="", help="Why.")
+_COMMENT = click.option("--comment", default="", help="Reason for the change.")
 
 
 @config.command()
 @click.argument("address")
 @click.argument("pairs", metavar="[KEY=VALUE]...", nargs=-1)
-@click.option("--file", "path", type=click.Path(path_type=Path), help="JSON: a document, or an object of key paths.")
-@click.option("--remove", "removed", multiple=True, metavar="KEY", help="Back to the default; may be repeated.")
-@click.option("--against", default="", help="Refuse it where one of the keys has changed since that version.")
+@click.option(
+    "--file", "path", type=click.Path(path_type=Path), help="JSON file: a nested document, or an object of key paths."
+)
+@click.option("--remove", "removed", multiple=True, metavar="KEY", help="Reset a key to its default; may be repeated.")
+@click.option("--against", default="", help="Refuse the change if one of its keys has changed since this version.")
 @_AUTHOR
 @_COMMENT
 def apply(
@@ -70,8 +72,8 @@
     author: str,
     comment: str,
 ) -> None:
-    """Change keys at the placer whose HTTP port is at ADDRESS: all of them or none. Exit status 2 where it is refused.
-    VALUE is JSON, or else text."""
+    """Change all given keys or none, through the placer whose HTTP port is at ADDRESS. Exit status 2 if it is refused.
+    VALUE is JSON; anything else is taken as text."""
     values = {**_from_file(path), **_from_pairs(pairs)}
     edits: list[dict[str, Any]] = [{"key": key, "value": json.dumps(value)} for key, value in values.items()]
     edits += [{"key": key, "removed": True} for key in removed]
@@ -84,7 +86,7 @@
 @_AUTHOR
 @_COMMENT
 def rollback(address: str, change: str, author: str, comment: str) -> None:
-    """A new change that restores all values as they were right after CHANGE (a position that the history shows)."""
+    """Restore all values as of CHANGE, a position shown by the history, by a new change."""
     _propose(address, rollback_to=change, author=author, comment=comment)
 
 
@@ -92,24 +94,24 @@
 @click.argument("address")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def status(address: str, as_json: bool) -> None:
-    """What each member has in force, of those that the placer sees whose HTTP port is at ADDRESS. Exit status 1 where one
-    has another version than the others, holds the agreed one back, carries none, or doesn't answer."""
+    """Show the configuration in force at each member seen by the placer whose HTTP port is at ADDRESS. Exit status 1
+    if versions differ, or a member holds the agreed version back, carries no configuration or doesn't answer."""
     members = [_member_configuration(member) for member in _members(address) if member["condition"] == "here"]
     if as_json:
         click.echo(json.dumps([{name: getattr(member, name) for name in member.__slots__} for member in members]))
     else:
         rows = [[member.name, member.version, member.digest, member.address, member.trouble] for member in members]
         click.echo(table(["name", "version", "in force", "address", "trouble"], rows))
-    unlike = len({(member.version, member.digest) for member in members}) > 1
-    sys.exit(UNLIKE if unlike or any(member.trouble for member in members) else 0)
+    inconsistent = len({(member.version, member.digest) for member in members}) > 1
+    sys.exit(EXIT_INCONSISTENT if inconsistent or any(member.trouble for member in members) else 0)
 
 
 @config.command()
 @click.argument("address")
-@click.option("--json", "as_json", is_flag=True, help="As the placer tells it.")
+@click.option("--json", "as_json", is_flag=True, help="The placer's JSON, unchanged.")
 def history(address: str, as_json: bool) -> None:
-    """The latest changes as the placer knows them whose HTTP port is at ADDRESS, oldest first."""
-    entries = _page(address)["history"]
+    """Show the latest changes that the placer whose HTTP port is at ADDRESS knows, oldest first."""
+    entries = _fetch_configuration(address)["history"]
     if as_json:
         click.echo(json.dumps(entries, indent=1))
         return
@@ -122,11 +124,11 @@
 
 def _fail(line: str) -> NoReturn:
     click.echo(f"sprucepost: {line}", err=True)
-    sys.exit(REFUSED)
+    sys.exit(EXIT_REFUSED)
 
 
 def _from_file(path: Path | None) -> dict[str, Any]:
-    """The keys that a file sets; the order of a list isn't among them: a file may name some of its elements alone."""
+    """Return the keys that a file sets, without the order of lists: a file may name only some of a list's elements."""
     from sprucepost.configuration.document import ORDER_SUFFIX, flatten
 
     if path is None:
@@ -167,7 +169,7 @@
     )
 
 
-# Asking placers
+# Requests to placers
 
 
 def _members(address: str) -> list[dict[str, Any]]:
@@ -176,15 +178,15 @@
 
 def _view(address: str) -> dict[str, Any]:
     try:
-        return ask(address)
-    except NoView as error:
+        return fetch_view(address)
+    except ViewUnavailable as error:
         _fail(f"{address}: {error}")
 
 
-def _page(address: str) -> dict[str, Any]:
-    """The placer's ``/config``."""
+def _fetch_configuration(address: str) -> dict[str, Any]:
+    """Return the placer's ``/config`` document."""
     try:
-        with urllib.request.urlopen(f"http://{address}/config", timeout=ASK_MS / 1000.0) as answer:
+        with urllib.request.urlopen(f"http://{address}/config", timeout=ANSWER_TIMEOUT_MS / 1000.0) as answer:
             document: dict[str, Any] = json.loads(answer.read())
     except urllib.error.HTTPError as error:
         _fail(f"{address}: {error.read().decode(errors='replace').strip() or error}")
@@ -202,28 +204,27 @@
         reply = call_placer(address, SHOW_PATH, pb.ConfigurationShowRequest().SerializeToString())
         shown = json.loads(pb.ConfigurationShown.FromString(reply).json)
     except ConfigurationOff as error:
-        return MemberConfiguration(name, address, OFF, OFF, str(error))
-    except Unanswered as error:
+        return MemberConfiguration(name, address, CONFIGURATION_OFF, CONFIGURATION_OFF, str(error))
+    except NoAnswer as error:
         return MemberConfiguration(name, address, "?", "?", str(error))
     held = shown["held"]
     return MemberConfiguration(name, address, shown["version"], shown["digest"], "" if held is None else held["line"])
 
 
 def _propose(address: str, **fields: Any) -> None:
-    """Ask the placer for the change of these fields of a proposal, and say what has become of it; exits 2 where it is
-    refused."""
+    """Send a proposal with these fields and print its result; exit with status 2 if it is refused."""
     from sprucepost.placer.configuration_service import PROPOSE_PATH
     from sprucepost.v1 import configuration_pb2 as pb
 
     try:
         proposal = pb.ConfigurationProposal(**fields)
-    except ValueError:  # UnicodeEncodeError: an argument with bytes that are no text
+    except ValueError:  # UnicodeEncodeError: an argument contains bytes that are not UTF-8
         _fail("a key, author, comment or version isn't UTF-8")
     view = _view(address)
     target = next(member["address"] for member in view["members"] if member["name"] == view["name"])
     try:
         receipt = pb.ConfigurationReceipt.FromString(call_placer(target, PROPOSE_PATH, proposal.SerializeToString()))
-    except Unanswered as error:
+    except NoAnswer as error:
         _fail(f"{target}: {error}")
     if receipt.refusal:
         _fail(receipt.refusal)
@@ -231,7 +232,7 @@
 
 
 def call_placer(address: str, path: str, request: bytes) -> bytes:
-    """One call at a placer's gRPC port. Unanswered where there is no answer."""
+    """Make one unary call to a placer's gRPC port; raise NoAnswer where it fails."""
     from sprucepost.loop import TimedOut
     from sprucepost.loop.epoll import EpollLoop
     from sprucepost.wire.client import open_client
@@ -242,9 +243,11 @@
     host, _, port = address.rpartition(":")
 
     def body() -> Generator[Any, Any, bytes]:
-        connection = yield from open_client(loop, (host, int(port)), ASK_MS, Options(max_message_bytes=MESSAGE_MOST))
+        connection = yield from open_client(
+            loop, (host, int(port)), ANSWER_TIMEOUT_MS, Options(max_message_bytes=MAX_ANSWER_BYTES)
+        )
         try:
-            return (yield from connection.unary(path, request, timeout_ms=ASK_MS))
+            return (yield from connection.unary(path, request, timeout_ms=ANSWER_TIMEOUT_MS))
         finally:
             connection.close()
 
@@ -253,8 +256,8 @@
     except RpcError as error:
         if error.code is Code.UNIMPLEMENTED:
             raise ConfigurationOff("carries no configuration") from None
-        raise Unanswered(str(error)) from None
+        raise NoAnswer(str(error)) from None
     except (OSError, TimedOut, ValueError) as error:
-        raise Unanswered(str(error) or type(error).__name__) from None
+        raise NoAnswer(str(error) or type(error).__name__) from None
     finally:
         loop.close()
--- a/sprucepost/cli/main.py
+++ b/sprucepost/cli/main.py
@@ -1,4 +1,4 @@
-"""``sprucepost``: the commands."""
+"""``sprucepost``: the command group and its subcommands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def read_or_exit(path: Path, kind: type[Any]) -> Any:
-    """The settings in a file; else one plain line for each fault on standard error and exit status 2."""
+    """Read the settings in a file; on errors, print one line for each on standard error and exit with status 2."""
     from sprucepost.settings import SettingsError, read
 
     try:
@@ -34,7 +34,7 @@
 def run_daemon(
     body: Callable[[Any, Any, Any, Callable[[str], None]], Any], file: Any, seed: int | None, loop: Any = None
 ) -> None:
-    """Run a daemon's coroutine on a real loop; exit with the status that it returns."""
+    """Run a daemon's coroutine on the epoll loop and exit with the status that it returns."""
     from sprucepost.loop import in_scope
     from sprucepost.loop.epoll import EpollLoop
     from sprucepost.settings import SettingsError
@@ -44,15 +44,15 @@
     def announce(line: str) -> None:
         print(line, flush=True)
 
-    # What start-up made stays for the process's life: the collector need not look at it again. And it comes seldom: tasks
-    # are freed by their counts, cycles are few, while a collection stops everything (measured: 5 to 11 ms for the middle
-    # generation, 79 ms for the oldest under load).
+    # Objects created at start-up live as long as the process, so they are excluded from garbage collection. High
+    # thresholds make collections rare: tasks are freed by reference counting and cycles are few, while a collection
+    # stops the process (5 to 11 ms for the middle generation, 79 ms for the oldest one under load).
     gc.collect()
     gc.freeze()
     gc.set_threshold(100_000, 20, 20)
     try:
         status = loop.run(lambda: in_scope(lambda scope: body(loop, scope, file, announce)))
-    except SettingsError as error:  # what only the start could tell, such as a number that cannot be had
+    except SettingsError as error:  # found only at start-up, such as a placer number that cannot be leased
         for line in error.lines:
             click.echo(f"sprucepost: {line}", err=True)
         sys.exit(2)
@@ -66,7 +66,7 @@
 
 @click.group()
 def main() -> None:
-    """Places long-running tasks on a cluster's machines."""
+    """Place long-running tasks on a cluster's machines."""
 
 
 @main.command()
@@ -86,7 +86,7 @@
 
 @main.command()
 def node() -> None:
-    """Run one placer on the platform's protocol, told by BALANCER_CONFIG (as a module, less memory is used)."""
+    """Run one placer on the platform's protocol, configured by BALANCER_CONFIG (as a module it uses less memory)."""
     from sprucepost.node.service import main as run
 
     sys.exit(run())
@@ -95,7 +95,7 @@
 @main.command(hidden=True)
 @_FILE
 def host(file: Path) -> None:
-    """Run one placer on a host whose wall clock a test can step."""
+    """Run one placer with a wall clock that a test can step."""
     from sprucepost.cli.host import SteppedLoop
     from sprucepost.placer.process import serve
     from sprucepost.settings import PlacerFile
@@ -104,7 +104,7 @@
     clock = SteppedLoop(settings.placer.seed, file.with_suffix(".clock"))
 
     def body(loop: Any, scope: Any, settings: Any, announce: Any) -> Any:
-        clock.obey()
+        clock.watch_offset()
         return serve(loop, scope, settings, announce, file)
 
     run_daemon(body, settings, settings.placer.seed, clock)
@@ -113,7 +113,7 @@
 @main.command()
 @_FILE
 def machine(file: Path) -> None:
-    """Run stand-in machines."""
+    """Run simulated machines."""
     from sprucepost.standin import daemons
 
     settings = read_or_exit(file, daemons.MachineFile)
@@ -123,7 +123,7 @@
 @main.command("list")
 @_FILE
 def list_(file: Path) -> None:
-    """Run a stand-in list of machines."""
+    """Run a simulated list of machines."""
     from sprucepost.standin import daemons
 
     run_daemon(daemons.listing, read_or_exit(file, daemons.ListFile), None)
@@ -132,7 +132,7 @@
 @main.command()
 @_FILE
 def tap(file: Path) -> None:
-    """Run the recording relay."""
+    """Run the recording proxy."""
     from sprucepost.standin import daemons
 
     run_daemon(daemons.tap, read_or_exit(file, daemons.TapFile), None)
@@ -140,13 +140,13 @@
 
 @main.group()
 def owner() -> None:
-    """Ask for tasks."""
+    """Request tasks as an owner."""
 
 
 @owner.command()
 @_FILE
 def watch(file: Path) -> None:
-    """Ask for tasks of services at a rate, until told to stop."""
+    """Request tasks of services at a constant rate, until stopped by a signal."""
     from sprucepost.standin import daemons
 
     settings = read_or_exit(file, daemons.OwnerFile)
@@ -161,14 +161,14 @@
 @click.option("--cores", type=float, default=1.0, show_default=True)
 @click.option("--memory", type=float, default=1.0, show_default=True)
 @click.option("--tenant", default="")
-@click.option("--life-ms", type=float, default=0.0, help="Expected run time; 0: not known.")
-@click.option("--left-ms", type=float, default=5000.0, show_default=True, help="Time until you give up.")
-@click.option("--follow", is_flag=True, help="Stay until the task is over.")
+@click.option("--life-ms", type=float, default=0.0, help="Expected run time; 0: unknown.")
+@click.option("--left-ms", type=float, default=5000.0, show_default=True, help="Time until the owner gives up.")
+@click.option("--follow", is_flag=True, help="Wait until the task has ended.")
 def submit(
     address: str, name: str, task_class: str, service: str, cores: float, memory: float, tenant: str,
     life_ms: float, left_ms: float, follow: bool,
 ) -> None:  # fmt: skip
-    """Submit one task to the placer at ADDRESS and print what comes back, a JSON line each."""
+    """Submit one task to the placer at ADDRESS and print each answer as a JSON line."""
     from sprucepost.cli.submit import run
     from sprucepost.v1 import common_pb2
 
@@ -180,13 +180,13 @@
 
 @main.group()
 def config() -> None:
-    """Settings files."""
+    """Check and print settings files."""
 
 
 @config.command()
 @_FILE
 def check(file: Path) -> None:
-    """Check a placer's settings; exit status 2 where they cannot be used."""
+    """Check a placer's settings; exit status 2 if they are invalid."""
     from sprucepost.settings import PlacerFile
 
     read_or_exit(file, PlacerFile)
@@ -205,7 +205,7 @@
 @config.command()
 @_FILE
 def show(file: Path) -> None:
-    """Print a placer's settings with every default filled in."""
+    """Print a placer's settings with all defaults."""
     import msgspec
 
     from sprucepost.settings import PlacerFile
@@ -213,8 +213,8 @@
     click.echo(json.dumps(msgspec.to_builtins(read_or_exit(file, PlacerFile)), indent=1))
 
 
-class _ByDefault(click.Group):
-    """A group whose own name plays a day: ``badday FILE`` is ``badday play FILE``."""
+class _PlayByDefault(click.Group):
+    """A group whose default subcommand is ``play``: ``badday FILE`` is ``badday play FILE``."""
 
     def resolve_command(self, ctx: click.Context, args: list[str]) -> Any:
         if args and args[0] not in self.commands:
@@ -227,35 +227,40 @@
         return super().parse_args(ctx, args)
 
 
-@main.group(cls=_ByDefault)
+@main.group(cls=_PlayByDefault)
 def badday() -> None:
-    """Bad days on loopback, judged by the five rules from the traffic. Without a command: play."""
+    """Fault scenarios on loopback, checked by the five rules from the recorded traffic. Default command: play."""
 
 
 @badday.command("play")
 @click.argument("scenario", type=click.Path(path_type=Path), required=False)
-@click.option("--seed", type=int, help="Another draw of the same day.")
-@click.option("--seeds", help="A..B, or seeds with commas: play them all, and say which are bad.")
-@click.option("--random", "random_day", is_flag=True, help="Draw the whole day from the seed.")
+@click.option("--seed", type=int, help="Seed of the scenario's random choices.")
+@click.option("--seeds", help="A..B, or seeds with commas: play them all and report those that fail.")
+@click.option("--random", "random_day", is_flag=True, help="Generate the whole scenario from the seed.")
 @click.option(
-    "--peers", is_flag=True, help="Placers keep a view of their fleet; with --random, faults between them too."
+    "--peers", is_flag=True, help="Placers keep a view of their fleet; with --random, also faults between placers."
 )
-@click.option("--jobs", type=click.IntRange(1), default=1, show_default=True, help="Days at a time, with --seeds.")
+@click.option("--jobs", type=click.IntRange(1), default=1, show_default=True, help="Runs in parallel, with --seeds.")
 @click.option(
     "--out",
     type=click.Path(path_type=Path),
     default=Path("found"),
     show_default=True,
-    help="With --seeds: where results and the records of bad days are kept; what is there is not played again.",
+    help="With --seeds: folder for the results and the records of failed runs; seeds with a result are not run again.",
 )
-@click.option("--length", "length_s", type=float, help="Seconds; the faults' times scale with it.")
-@click.option("--record", "keep", type=click.Path(path_type=Path), help="Keep bytes, logs and result in this folder.")
-@click.option("--quiet", is_flag=True, help="No progress.")
+@click.option("--length", "length_s", type=float, help="Length in seconds; fault times are scaled with it.")
+@click.option(
+    "--record",
+    "keep",
+    type=click.Path(path_type=Path),
+    help="Keep traffic, logs and result in this folder.",
+)
+@click.option("--quiet", is_flag=True, help="Print no progress.")
 def badday_play(
     scenario: Path | None, seed: int | None, seeds: str | None, random_day: bool, peers: bool, jobs: int, out: Path,
     length_s: float | None, keep: Path | None, quiet: bool,
 ) -> None:  # fmt: skip
-    """Play a bad day; exit status 1 if a rule broke, 3 if the run itself failed."""
+    """Play a fault scenario; exit status 1 if a rule is broken, 3 if the run itself failed."""
     from msgspec import structs
 
     from sprucepost.cli.badday import default_scenario, play
@@ -264,16 +269,16 @@
     from sprucepost.standin.scenario import Scenario
 
     if random_day and scenario is not None:
-        raise click.UsageError("--random draws the day: give no scenario with it")
+        raise click.UsageError("--random generates the scenario: no scenario file may be given with it")
     if seeds is not None and seed is not None:
-        raise click.UsageError("--seed and --seeds: give one of them")
+        raise click.UsageError("--seed and --seeds cannot be used together")
     if random_day:
-        day_of = random_scenarios(length_s or 24.0, peers)
+        scenario_of = random_scenarios(length_s or 24.0, peers)
     else:
         base = read_or_exit(scenario, Scenario) if scenario else decode(default_scenario(), Scenario)
         base = base.scaled(length_s) if length_s is not None else base
 
-        def day_of(seed: int) -> Scenario:
+        def scenario_of(seed: int) -> Scenario:
             return structs.replace(base, seed=seed, peers=peers or base.peers)
 
     if seeds is not None:
@@ -282,41 +287,41 @@
         except ValueError as error:
             click.echo(f"sprucepost: --seeds: {error}", err=True)
             sys.exit(2)
-        sys.exit(search(chosen, jobs, out, day_of, quiet))
+        sys.exit(search(chosen, jobs, out, scenario_of, quiet))
     if seed is None:
         seed = 1 if random_day else base.seed
-    sys.exit(play(day_of(seed), keep, quiet))
+    sys.exit(play(scenario_of(seed), keep, quiet))
 
 
 @badday.command("shrink")
 @click.argument("scenario", type=click.Path(path_type=Path))
-@click.option("--jobs", type=click.IntRange(1), default=3, show_default=True, help="Plays at a time.")
-@click.option("--tries", type=click.IntRange(1), default=3, show_default=True, help="Plays of each candidate.")
+@click.option("--jobs", type=click.IntRange(1), default=3, show_default=True, help="Runs in parallel.")
+@click.option("--tries", type=click.IntRange(1), default=3, show_default=True, help="Runs of each candidate.")
 @click.option("--out", type=click.Path(path_type=Path), default=Path("found"), show_default=True)
 def badday_shrink(scenario: Path, jobs: int, tries: int, out: Path) -> None:
-    """Cut the day in SCENARIO (a file, or a bad day's record) to the fewest faults that still break it, and print it."""
+    """Reduce SCENARIO (a file, or the record of a failed run) to the fewest faults that still fail, and print it."""
     import msgspec
 
     from sprucepost.cli.search import shrink
     from sprucepost.standin.scenario import Scenario
 
-    day = read_or_exit(scenario / "scenario.json" if scenario.is_dir() else scenario, Scenario)
-    small = shrink(day, out, jobs, tries, lambda text: click.echo(text, err=True))
+    full = read_or_exit(scenario / "scenario.json" if scenario.is_dir() else scenario, Scenario)
+    small = shrink(full, out, jobs, tries, lambda text: click.echo(text, err=True))
     if small is None:
-        click.echo(f"sprucepost: {scenario}: {tries} plays broke nothing", err=True)
+        click.echo(f"sprucepost: {scenario}: no check failed in {tries} runs", err=True)
         sys.exit(1)
     click.echo(msgspec.json.format(msgspec.json.encode(small), indent=1).decode())
 
 
 @main.group()
 def rules() -> None:
-    """The five rules."""
+    """Check recorded runs against the five rules."""
 
 
 @rules.command("check")
 @click.argument("folder", type=click.Path(path_type=Path))
 def rules_check(folder: Path) -> None:
-    """Judge a recorded run again; exit status 1 if a rule broke, 2 if the record cannot be judged."""
+    """Check a recorded run again; exit status 1 if a rule is broken, 2 if the record is unusable."""
     import msgspec
 
     from sprucepost.cli.tables import rules_table
@@ -334,13 +339,13 @@
 
 @main.group()
 def scenario() -> None:
-    """Scenario files: days that badday plays."""
+    """Check, print and generate the scenario files of badday."""
 
 
 @scenario.command("check")
 @_FILE
 def scenario_check(file: Path) -> None:
-    """Check a scenario; exit status 2 where it cannot be played."""
+    """Check a scenario; exit status 2 if it is invalid."""
     from sprucepost.standin.scenario import Scenario
 
     read_or_exit(file, Scenario)
@@ -358,7 +363,7 @@
 
 @scenario.command("show")
 def scenario_show() -> None:
-    """Print the bad day that ``badday`` plays when it is given none."""
+    """Print the scenario that ``badday`` plays when none is given."""
     from sprucepost.cli.badday import default_scenario
 
     click.echo(default_scenario().decode(), nl=False)
@@ -367,9 +372,9 @@
 @scenario.command("draw")
 @click.option("--seed", type=int, required=True)
 @click.option("--length", "length_s", type=click.FloatRange(0, min_open=True), default=24.0, show_default=True)
-@click.option("--peers", is_flag=True, help="As with --peers.")
+@click.option("--peers", is_flag=True, help="As for badday --peers.")
 def scenario_draw(seed: int, length_s: float, peers: bool) -> None:
-    """Print the day that `badday --random --seed` plays."""
+    """Print the scenario that `badday --random --seed` plays."""
     import msgspec
 
     from sprucepost.standin.drawing import draw
@@ -380,9 +385,9 @@
 @scenario.command("import")
 @click.argument("day", type=click.Path(path_type=Path))
 @click.option("--scale", type=click.FloatRange(0, 1, min_open=True), default=1.0, show_default=True,
-              help="Share of the day's machines, placers and traffic.")  # fmt: skip
+              help="Share of the original's machines, placers and traffic.")  # fmt: skip
 def scenario_import(day: Path, scale: float) -> None:
-    """Turn a day drawn by the bench into a scenario on standard output."""
+    """Convert a scenario generated by the bench, and print it in the format of badday."""
     from sprucepost.settings import SettingsError
     from sprucepost.settings.reading import decode
     from sprucepost.standin.bench_day import convert
@@ -407,7 +412,7 @@
 
 @main.group()
 def fleet() -> None:
-    """Placers on this machine, for tests and small sites."""
+    """Run placers on this machine, for tests and small sites, and show the view of a running fleet."""
 
 
 fleet.add_command(configuration)
@@ -415,11 +420,11 @@
 _DIR = click.option("--dir", "folder", type=click.Path(path_type=Path), required=True, help="The fleet's folder.")
 
 
-def _tell(folder: Path, **order: Any) -> dict[str, Any]:
-    from sprucepost.cli.runner import tell
+def _send_command(folder: Path, **command: Any) -> dict[str, Any]:
+    from sprucepost.cli.runner import send_command
 
     try:
-        reply = tell(folder, **order)
+        reply = send_command(folder, **command)
     except (OSError, ValueError) as error:
         click.echo(f"sprucepost: {folder}: no fleet runs here ({error})", err=True)
         sys.exit(2)
@@ -434,7 +439,7 @@
 @_DIR
 @click.option("--size", type=click.IntRange(1), required=True)
 def up(file: Path, folder: Path, size: int) -> None:
-    """Start SIZE placers and supervise them until `fleet down`. The number and instances in FILE are not used."""
+    """Start SIZE placers and supervise them until `fleet down`. The number and instances in FILE are ignored."""
     from sprucepost.cli.runner import Control, Runner
     from sprucepost.settings import PlacerFile
 
@@ -459,23 +464,23 @@
 @fleet.command()
 @click.argument("address", required=False)
 @click.option("--dir", "folder", type=click.Path(path_type=Path), help="The fleet's folder.")
-@click.option("--json", "as_json", is_flag=True, help="The whole summary.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole summary as JSON.")
 def status(address: str | None, folder: Path | None, as_json: bool) -> None:
-    """A row for each placer: of the runner in --dir, or as the placer tells it whose HTTP port is at ADDRESS (exit status 1
-    where one that is here is not ready, or two hold one number)."""
+    """Print a row for each placer, of the runner in --dir or as seen by the placer whose HTTP port is at ADDRESS. With
+    ADDRESS, exit status 1 if a member that is here is not ready, or if two members hold the same number."""
     from sprucepost.cli.tables import table
 
     if (address is None) == (folder is None):
-        raise click.UsageError("give an ADDRESS or --dir")
+        raise click.UsageError("exactly one of ADDRESS and --dir is required")
     if address is not None:
-        from sprucepost.cli.members import STATUS, shown
+        from sprucepost.cli.members import STATUS_COLUMNS, view_table
 
         view = _view(address)
-        click.echo(json.dumps(view, indent=1) if as_json else shown(view, STATUS))
+        click.echo(json.dumps(view, indent=1) if as_json else view_table(view, STATUS_COLUMNS))
         here = [member for member in view["members"] if member["condition"] == "here"]
         sys.exit(1 if view["conflicts"] or any(member["status"] != "ready" for member in here) else 0)
     assert folder is not None
-    reply = _tell(folder, what="status")
+    reply = _send_command(folder, what="status")
     if as_json:
         click.echo(json.dumps(reply, indent=1))
         return
@@ -487,41 +492,47 @@
 @_DIR
 @click.option("--batch", type=click.IntRange(1), default=4, show_default=True)
 def roll(folder: Path, batch: int) -> None:
-    """Replace every placer, a batch at a time."""
-    click.echo(json.dumps(_tell(folder, what="roll", batch=batch)))
+    """Restart every placer, a batch at a time."""
+    click.echo(json.dumps(_send_command(folder, what="roll", batch=batch)))
 
 
 @fleet.command()
 @_DIR
 @click.option("--size", type=click.IntRange(1), required=True)
 @click.option(
-    "--lead-s", type=float, default=5.0, show_default=True, help="Between telling all and the change's begin."
+    "--lead-s",
+    type=float,
+    default=5.0,
+    show_default=True,
+    help="Time between the announcement and the begin of the change.",
+)
+@click.option(
+    "--overlap-s", type=float, default=60.0, show_default=True, help="Time from the change's begin to its end."
 )
-@click.option("--overlap-s", type=float, default=60.0, show_default=True, help="The change is over so long after that.")
 def resize(folder: Path, size: int, lead_s: float, overlap_s: float) -> None:
-    """Another number of placers, by an announced generation."""
-    click.echo(json.dumps(_tell(folder, what="resize", size=size, lead_s=lead_s, overlap_s=overlap_s)))
+    """Change the number of placers by an announced generation."""
+    click.echo(json.dumps(_send_command(folder, what="resize", size=size, lead_s=lead_s, overlap_s=overlap_s)))
 
 
 def _view(address: str) -> dict[str, Any]:
-    from sprucepost.cli.members import NoView, ask
+    from sprucepost.cli.members import ViewUnavailable, fetch_view
 
     try:
-        return ask(address)
-    except NoView as error:
+        return fetch_view(address)
+    except ViewUnavailable as error:
         click.echo(f"sprucepost: {address}: {error}", err=True)
         sys.exit(2)
 
 
 @fleet.command()
 @click.argument("address")
-@click.option("--json", "as_json", is_flag=True, help="As the placer tells it.")
+@click.option("--json", "as_json", is_flag=True, help="The placer's JSON, unchanged.")
 def members(address: str, as_json: bool) -> None:
-    """The fleet as the placer sees it whose HTTP port is at ADDRESS; exit status 1 where two hold one number."""
-    from sprucepost.cli.members import shown
+    """Show the fleet as seen by the placer whose HTTP port is at ADDRESS; exit status 1 if two hold the same number."""
+    from sprucepost.cli.members import view_table
 
     view = _view(address)
-    click.echo(json.dumps(view, indent=1) if as_json else shown(view))
+    click.echo(json.dumps(view, indent=1) if as_json else view_table(view))
     sys.exit(1 if view["conflicts"] else 0)
 
 
@@ -529,13 +540,13 @@
 @click.argument("address")
 @click.option("--every", "every_s", type=click.FloatRange(0.1, 60), default=1.0, show_default=True, help="Seconds.")
 def fleet_watch(address: str, every_s: float) -> None:
-    """A line for each change that the placer sees whose HTTP port is at ADDRESS, until it cannot be asked any more."""
-    from sprucepost.cli.members import NoView, changes
+    """Print a line for each change seen by the placer whose HTTP port is at ADDRESS, until it stops answering."""
+    from sprucepost.cli.members import ViewUnavailable, condition_changes
 
     try:
-        for line in changes(address, every_s):
+        for line in condition_changes(address, every_s):
             click.echo(line)
-    except NoView as error:
+    except ViewUnavailable as error:
         click.echo(f"sprucepost: {address}: {error}", err=True)
         sys.exit(2)
 
@@ -543,8 +554,8 @@
 @fleet.command()
 @_DIR
 def down(folder: Path) -> None:
-    """Stop all placers; exit status 1 where one did not settle by itself."""
-    exits = _tell(folder, what="down")["exits"]
+    """Stop all placers; exit status 1 if one did not end with status 0."""
+    exits = _send_command(folder, what="down")["exits"]
     click.echo(json.dumps({"exits": exits}))
     sys.exit(1 if any(status != 0 for status in exits.values()) else 0)
 
@@ -555,27 +566,43 @@
 @main.command()
 @click.argument("addresses", nargs=-1, required=True)
 @click.option(
-    "--plan", type=click.Path(path_type=Path), help="A plan (docs/load.md); the options up to --seed are not for it."
+    "--plan",
+    type=click.Path(path_type=Path),
+    help="Plan file (docs/load.md); the options up to --seed do not apply to it.",
 )
 @click.option("--class", "task_class")
-@click.option("--rate", type=click.FloatRange(0, min_open=True), help="Asks a second, over all placers.")
+@click.option("--rate", type=click.FloatRange(0, min_open=True), help="Requests a second, over all placers.")
 @click.option("--length", "length_s", type=click.FloatRange(0, 3600, min_open=True), default=10.0, show_default=True)
-@click.option("--burst", nargs=3, type=float, multiple=True, help="FROM TO TIMES: seconds, and times the rate.")
+@click.option(
+    "--burst",
+    nargs=3,
+    type=float,
+    multiple=True,
+    help="FROM TO TIMES: seconds, and a factor on the rate.",
+)
 @click.option("--cores", type=float, default=0.1, show_default=True)
 @click.option("--memory", type=float, default=0.1, show_default=True)
 @click.option("--left-ms", type=float, default=3000.0, show_default=True)
 @click.option("--aim-ms", type=float, default=500.0, show_default=True)
 @click.option(
-    "--owners", type=click.IntRange(1), default=8, show_default=True, help="Each with a session at each placer."
+    "--owners",
+    type=click.IntRange(1),
+    default=8,
+    show_default=True,
+    help="Each has a session at each placer.",
 )
 @click.option("--services", type=click.IntRange(1), default=50, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--versus", multiple=True, help="Another placer, which gets the same at the same time; may be repeated.")
 @click.option(
-    "--versus-plan", type=click.Path(path_type=Path), help="Another plan, on --versus or on the same placers."
+    "--versus", multiple=True, help="Another placer, which gets the same load at the same time; may be repeated."
+)
+@click.option(
+    "--versus-plan",
+    type=click.Path(path_type=Path),
+    help="A second plan, for --versus or for the same placers.",
 )
-@click.option("--save", type=click.Path(path_type=Path), help="Keep the figures in this file.")
-@click.option("--against", type=click.Path(path_type=Path), help="Compare with the figures kept in this file.")
+@click.option("--save", type=click.Path(path_type=Path), help="Save the figures to this file.")
+@click.option("--against", type=click.Path(path_type=Path), help="Compare with the figures saved in this file.")
 @click.option("--html", "chart", type=click.Path(path_type=Path), help="Write a page with tables and charts.")
 def load(
     addresses: tuple[str, ...], plan: Path | None, task_class: str | None, rate: float | None, length_s: float,
@@ -583,7 +610,7 @@
     owners: int, services: int, seed: int, versus: tuple[str, ...], versus_plan: Path | None, save: Path | None,
     against: Path | None, chart: Path | None,
 ) -> None:  # fmt: skip
-    """Open-loop load on the placers at ADDRESSES; percentiles count from when an ask was due."""
+    """Generate open-loop load on the placers at ADDRESSES; latencies count from the time at which a request was due."""
     from sprucepost.cli.load import command
     from sprucepost.load.plan import Class, Plan, Poisson, Surge
     from sprucepost.settings import SettingsError, read
@@ -592,7 +619,7 @@
         if plan is not None:
             first = read(plan, Plan)
         elif task_class is None or rate is None:
-            raise SettingsError(["load: --plan, or --class and --rate, are needed"])
+            raise SettingsError(["load: --plan, or both --class and --rate, are required"])
         else:
             first = Plan(
                 Poisson(rate, [Surge(*one) for one in burst]), [Class(task_class, 1.0, cores, memory, left_ms, aim_ms)],
--- a/sprucepost/cli/runner.py
+++ b/sprucepost/cli/runner.py
@@ -1,8 +1,9 @@
 """``sprucepost fleet``: a supervisor of placers on one machine, for tests and small sites.
 
-It opens each placer's listening socket once and passes it on, so that a successor takes it with no connection refused;
-limits starts at a time; restarts what crashes, with growing pauses; rolls and resizes with announced generations. It is no
-service manager for a cluster: it knows this machine only, and when it dies its placers run on until they are told to stop.
+It opens each placer's listening sockets once and passes them to each successor, so that no connection is refused during
+a restart. It limits the number of concurrent starts, restarts crashed placers with exponential backoff, and does
+rolling restarts and resizes with announced generations. It is not a cluster's service manager: it supervises this machine only,
+and if it dies its placers keep running until they receive a signal.
 """
 
 from __future__ import annotations
@@ -24,16 +25,16 @@
 from pathlib import Path
 from typing import Any
 
-PARALLEL_STARTS = 16
-READY_S = 60.0
-BACKOFF_FIRST_S = 0.5
-BACKOFF_MOST_S = 30.0
-STEADY_S = 10.0  # one that ran so long before it ended starts again at the first pause
+MAX_PARALLEL_STARTS = 16
+READY_TIMEOUT_S = 60.0
+MIN_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 30.0
+BACKOFF_RESET_S = 10.0  # a placer that ran longer than this before it ended restarts with the shortest backoff
 
 
 @dataclass
 class Instance:
-    """One placer: its sockets live as long as the runner, its process does not."""
+    """One placer: its sockets stay open as long as the runner lives; its process may be replaced."""
 
     number: int
     grpc: socket.socket
@@ -42,34 +43,40 @@
     wanted: bool = True
     started_at: float = 0.0
     restarts: int = 0
-    pause_s: float = BACKOFF_FIRST_S
+    pause_s: float = MIN_BACKOFF_S
     exits: list[int] = field(default_factory=list)
 
-    def address(self, which: socket.socket) -> str:
-        host, port = which.getsockname()[:2]
+    def address(self, listener: socket.socket) -> str:
+        """Return ``host:port`` of one of its sockets."""
+        host, port = listener.getsockname()[:2]
         return f"{host}:{port}"
 
 
 class Runner:
-    """Placers ``0 .. size - 1`` from one settings file; ``source`` gives each its own local address where it is set."""
+    """Supervises placers ``0 .. size - 1``, started from one settings document.
+
+    ``report`` takes each line for the operator. ``source``, where set, is the first two octets of the placers' local
+    addresses, one for each.
+    """
 
     def __init__(
-        self, raw: dict[str, Any], folder: Path, say: Callable[[str], None], source: str | None = None
+        self, raw: dict[str, Any], folder: Path, report: Callable[[str], None], source: str | None = None
     ) -> None:
-        self.raw, self.folder, self.say, self._source = raw, folder, say, source
+        self.raw, self.folder, self.report, self._source = raw, folder, report, source
         self.instances: dict[int, Instance] = {}
         self.generation: dict[str, Any] = {"number": 1}
         self.size = 0
-        self._gate = threading.Semaphore(PARALLEL_STARTS)
+        self._start_slots = threading.Semaphore(MAX_PARALLEL_STARTS)
         self._rng = random.Random(int(raw["placer"].get("seed") or 0))
 
-    # One placer
+    # Single placers
 
-    def _settings(self, number: int) -> Path:
+    def _write_settings(self, number: int) -> Path:
+        """Write the placer's settings file by an atomic replace; its path."""
         zones = self.raw["cluster"]["zones"]
-        own = {key: value for key, value in self.raw["placer"].items() if key not in ("number_env", "slots")}
+        common = {key: value for key, value in self.raw["placer"].items() if key not in ("number_env", "slots")}
         placer = {
-            **own, "number": number, "instances": self.size, "zone": zones[number % len(zones)],
+            **common, "number": number, "instances": self.size, "zone": zones[number % len(zones)],
             "generation": self.generation,
         }  # fmt: skip
         if self._source:
@@ -88,11 +95,11 @@
     def start(self, number: int) -> Instance:
         """Start a placer and wait until it listens."""
         instance = self._instance(number)
-        path = self._settings(number)
-        with self._gate, (self.folder / f"placer-{number}.log").open("ab") as log:
-            # A small go-between sets LISTEN_PID, which only the started process itself can know, and puts the sockets where
-            # the protocol has them.
-            bridge = (
+        path = self._write_settings(number)
+        with self._start_slots, (self.folder / f"placer-{number}.log").open("ab") as log:
+            # The child first runs this short program: it sets LISTEN_PID, which only the child itself knows, moves the
+            # sockets to the descriptors of the socket activation protocol, and then executes the placer.
+            activate = (
                 "import os,sys;a,b=int(sys.argv[1]),int(sys.argv[2]);"
                 "x,y=os.dup(a),os.dup(b);os.dup2(x,3);os.dup2(y,4);"
                 "os.set_inheritable(3,True);os.set_inheritable(4,True);"
@@ -101,7 +108,7 @@
             fds = [instance.grpc.fileno(), instance.http.fileno()]
             environ = {**os.environ, "LISTEN_FDS": "2", "LISTEN_FDNAMES": "grpc:http"}
             instance.process = subprocess.Popen(
-                [sys.executable, "-S", "-c", bridge, *map(str, fds), "-m", "sprucepost", "placer", str(path)],
+                [sys.executable, "-S", "-c", activate, *map(str, fds), "-m", "sprucepost", "placer", str(path)],
                 stdout=subprocess.PIPE, stderr=log, text=True, pass_fds=fds, env=environ, start_new_session=True,
             )  # fmt: skip
             instance.started_at, instance.wanted = time.monotonic(), True
@@ -110,7 +117,7 @@
         return instance
 
     def state(self, instance: Instance) -> str:
-        """``ready``, the reason it is not, or ``down``."""
+        """Return ``ready``, the reason why the placer is not ready, or ``down``."""
         if instance.process is None or instance.process.poll() is not None:
             return "down"
         try:
@@ -121,8 +128,8 @@
         except OSError as error:
             return f"no answer: {error}"
 
-    def stop(self, number: int, limit_s: float = 60.0) -> int | None:
-        """SIGTERM and its exit status; SIGKILL and None where it does not end in time."""
+    def stop(self, number: int, timeout_s: float = 60.0) -> int | None:
+        """Send SIGTERM and return the exit status; kill the placer and return None where it does not end in time."""
         instance = self.instances[number]
         instance.wanted = False
         process = instance.process
@@ -130,7 +137,7 @@
             return 0
         process.send_signal(signal.SIGTERM)
         try:
-            status: int | None = process.wait(limit_s)
+            status: int | None = process.wait(timeout_s)
         except subprocess.TimeoutExpired:
             process.kill()
             process.wait()
@@ -141,34 +148,41 @@
         instance.exits.append(-9 if status is None else status)
         return status
 
-    # The fleet
+    # The whole fleet
 
-    def _all(self, what: Callable[[int], object], numbers: list[int], at_once: int = PARALLEL_STARTS) -> None:
-        with ThreadPoolExecutor(at_once) as pool:
-            list(pool.map(what, numbers))
+    def _for_each(
+        self, action: Callable[[int], object], numbers: list[int], concurrency: int = MAX_PARALLEL_STARTS
+    ) -> None:
+        with ThreadPoolExecutor(concurrency) as pool:
+            list(pool.map(action, numbers))
 
-    def wait_ready(self, numbers: list[int], limit_s: float = READY_S) -> list[int]:
-        """Those that are not ready in time."""
-        until = time.monotonic() + limit_s
+    def wait_ready(self, numbers: list[int], timeout_s: float = READY_TIMEOUT_S) -> list[int]:
+        """Wait until these placers are ready; return those that are not in time."""
+        deadline = time.monotonic() + timeout_s
         waiting = list(numbers)
-        while waiting and time.monotonic() < until:
+        while waiting and time.monotonic() < deadline:
             waiting = [number for number in waiting if self.state(self.instances[number]) != "ready"]
             if waiting:
                 time.sleep(0.2)
         return waiting
 
     def up(self, size: int) -> float:
-        """Start the fleet; seconds until all are ready. RuntimeError names who is not."""
+        """Start the fleet and return the seconds until all placers are ready; RuntimeError names those that are not."""
         began = time.monotonic()
         self.size = size
-        self._all(lambda number: self.start(number), list(range(size)))
+        self._for_each(lambda number: self.start(number), list(range(size)))
         late = self.wait_ready(list(range(size)))
         if late:
-            raise RuntimeError(f"not ready after {READY_S:g} s: {late[:10]} ({self.state(self.instances[late[0]])})")
+            raise RuntimeError(
+                f"not ready after {READY_TIMEOUT_S:g} s: {late[:10]} ({self.state(self.instances[late[0]])})"
+            )
         return time.monotonic() - began
 
     def roll(self, batch: int) -> float:
-        """Replace every placer, ``batch`` at a time: each settles what it took, its successor takes its socket."""
+        """Restart every placer, ``batch`` at a time, and return the seconds that it took.
+
+        Each placer settles its open tasks before it ends; its successor inherits its sockets.
+        """
         began = time.monotonic()
         numbers = sorted(number for number, instance in self.instances.items() if instance.wanted)
 
@@ -177,16 +191,20 @@
             self.start(number)
 
         for at in range(0, len(numbers), batch):
-            some = numbers[at : at + batch]
-            self._all(replace, some, batch)
-            late = self.wait_ready(some)
+            chunk = numbers[at : at + batch]
+            self._for_each(replace, chunk, batch)
+            late = self.wait_ready(chunk)
             if late:
-                raise RuntimeError(f"the roll stops: not ready after {READY_S:g} s: {late}")
-            self.say(f"rolled {min(at + batch, len(numbers))} of {len(numbers)}")
+                raise RuntimeError(f"rolling restart stopped: not ready after {READY_TIMEOUT_S:g} s: {late}")
+            self.report(f"rolled {min(at + batch, len(numbers))} of {len(numbers)}")
         return time.monotonic() - began
 
     def resize(self, size: int, lead_s: float, overlap_s: float) -> float:
-        """Another size, by an announced generation: told to all, begun by all at one moment, over after the overlap."""
+        """Change the number of placers by an announced generation, and return the seconds that it took.
+
+        All running placers learn of it ``lead_s`` before it begins, all begin it at the same time, and it is over
+        ``overlap_s`` later.
+        """
         began = time.monotonic()
         before, old = self.size, sorted(n for n, instance in self.instances.items() if instance.wanted)
         self.size = size
@@ -195,51 +213,51 @@
             "begins_ms": time.time() * 1000.0 + lead_s * 1000.0, "overlap_ms": overlap_s * 1000.0, "announced": True,
         }  # fmt: skip
         for number in old:
-            self._settings(number)
+            self._write_settings(number)
             process = self.instances[number].process
             if process is not None:
                 process.send_signal(signal.SIGHUP)
         time.sleep(lead_s)
-        more = [number for number in range(size) if number not in old]
-        self._all(lambda number: self.start(number), more)
-        late = self.wait_ready(more)
+        added = [number for number in range(size) if number not in old]
+        self._for_each(lambda number: self.start(number), added)
+        late = self.wait_ready(added)
         if late:
-            raise RuntimeError(f"the resize stops half way: not ready: {late}")
-        less = [number for number in old if number >= size]
-        self._all(lambda number: self.stop(number), less)
-        for number in less:
+            raise RuntimeError(f"resize stopped before completion: not ready: {late}")
+        removed = [number for number in old if number >= size]
+        self._for_each(lambda number: self.stop(number), removed)
+        for number in removed:
             instance = self.instances.pop(number)
             instance.grpc.close()
             instance.http.close()
         return time.monotonic() - began
 
     def down(self) -> dict[int, int | None]:
-        """Stop all; exit statuses by number."""
+        """Stop all placers; return their exit statuses by number."""
         statuses: dict[int, int | None] = {}
         numbers = [number for number, instance in self.instances.items() if instance.process is not None]
-        self._all(lambda number: statuses.__setitem__(number, self.stop(number)), numbers, 64)
+        self._for_each(lambda number: statuses.__setitem__(number, self.stop(number)), numbers, 64)
         return dict(sorted(statuses.items()))
 
-    def look(self) -> list[str]:
-        """Restart what has crashed, each after its pause; a line for each."""
-        said = []
+    def restart_crashed(self) -> list[str]:
+        """Restart each crashed placer whose backoff has passed; return a line for each."""
+        reports = []
         for instance in list(self.instances.values()):
             process = instance.process
             if not instance.wanted or process is None or process.poll() is None:
                 continue
-            if time.monotonic() - instance.started_at > STEADY_S:
-                instance.pause_s = BACKOFF_FIRST_S
+            if time.monotonic() - instance.started_at > BACKOFF_RESET_S:
+                instance.pause_s = MIN_BACKOFF_S
             if time.monotonic() < instance.started_at + instance.pause_s:
                 continue
             instance.exits.append(process.returncode)
-            said.append(f"placer {instance.number} ended with status {process.returncode}, started again")
+            reports.append(f"placer {instance.number} ended with status {process.returncode}, started again")
             instance.restarts += 1
-            instance.pause_s = min(BACKOFF_MOST_S, 2 * instance.pause_s) * self._rng.uniform(0.7, 1.3)
+            instance.pause_s = min(MAX_BACKOFF_S, 2 * instance.pause_s) * self._rng.uniform(0.7, 1.3)
             self.start(instance.number)
-        return said
+        return reports
 
     def summary(self) -> list[dict[str, Any]]:
-        """A row for each placer."""
+        """Return the state of each placer, ordered by number."""
         rows = []
         for number, instance in sorted(self.instances.items()):
             process = instance.process
@@ -257,7 +275,7 @@
         return rows
 
     def kill(self) -> None:
-        """Whatever happened: none of ours is left."""
+        """Kill every placer that still runs."""
         for instance in self.instances.values():
             if instance.process is not None and instance.process.poll() is None:
                 instance.process.kill()
@@ -265,7 +283,7 @@
 
 
 class Control:
-    """Orders to a running runner, a JSON line each way on a unix socket in its folder."""
+    """Serves commands to a runner on a Unix socket in its folder: one line of JSON for each request and reply."""
 
     def __init__(self, runner: Runner, folder: Path) -> None:
         self._runner = runner
@@ -275,51 +293,51 @@
         self._socket.bind(str(self.path))
         self._socket.listen(4)
         self._socket.settimeout(0.5)
-        self.over = False
+        self.stopped = False
 
     def serve(self) -> None:
-        """Take orders, and restart what crashes, until ``down``."""
-        while not self.over:
-            for line in self._runner.look():
-                self._runner.say(line)
+        """Serve commands and restart crashed placers, until the command ``down``."""
+        while not self.stopped:
+            for line in self._runner.restart_crashed():
+                self._runner.report(line)
             try:
                 caller, _ = self._socket.accept()
             except TimeoutError:
                 continue
             with caller, caller.makefile("rw") as stream:
                 try:
-                    reply = self._do(json.loads(stream.readline()))
+                    reply = self._execute(json.loads(stream.readline()))
                 except (RuntimeError, OSError, ValueError, TypeError, KeyError) as error:
                     reply = {"error": f"{type(error).__name__}: {error}"}
                 stream.write(json.dumps(reply) + "\n")
                 stream.flush()
 
-    def _do(self, order: dict[str, Any]) -> dict[str, Any]:
-        runner, what = self._runner, order.get("what")
+    def _execute(self, command: dict[str, Any]) -> dict[str, Any]:
+        runner, what = self._runner, command.get("what")
         if what == "status":
             return {"size": runner.size, "generation": runner.generation, "placers": runner.summary()}
         if what == "roll":
-            return {"took_s": round(runner.roll(max(1, int(order["batch"]))), 2)}
+            return {"took_s": round(runner.roll(max(1, int(command["batch"]))), 2)}
         if what == "resize":
-            size = int(order["size"])
+            size = int(command["size"])
             if size < 1:
                 raise ValueError("size: must be at least 1")
-            return {"took_s": round(runner.resize(size, float(order["lead_s"]), float(order["overlap_s"])), 2)}
+            return {"took_s": round(runner.resize(size, float(command["lead_s"]), float(command["overlap_s"])), 2)}
         if what == "down":
-            self.over = True
+            self.stopped = True
             return {"exits": runner.down()}
-        raise ValueError(f"no order {what!r}")
+        raise ValueError(f"unknown command {what!r}")
 
     def close(self) -> None:
         self._socket.close()
         self.path.unlink(missing_ok=True)
 
 
-def tell(folder: Path, **order: Any) -> dict[str, Any]:
-    """Give an order to the runner of that folder; OSError where none is there."""
+def send_command(folder: Path, **command: Any) -> dict[str, Any]:
+    """Send a command to the runner of this folder and return its reply; raise OSError where none runs."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as caller:
         caller.connect(str(folder / "control"))
         with caller.makefile("rw") as stream:
-            stream.write(json.dumps(order) + "\n")
+            stream.write(json.dumps(command) + "\n")
             stream.flush()
             return dict(json.loads(stream.readline()))
--- a/sprucepost/settings/cluster.py
+++ b/sprucepost/settings/cluster.py
@@ -1,7 +1,7 @@
 """Settings of a deployment: zones, machine kinds, task classes, tenants and limits.
 
-Times are in milliseconds; cores and memory are in the units that the site uses. Docstrings and descriptions of the Structs
-are part of the published JSON schema.
+Times are in milliseconds; cores and memory are in the units that the site uses. Docstrings and descriptions of the
+Structs are part of the published JSON schema.
 """
 
 from __future__ import annotations
@@ -104,13 +104,16 @@
     def max_clock_skew_ms(self) -> float:
         """Largest difference between a placer's clock and the list's at which the placer still places tasks, in ms.
 
-        A machine counts as cold for this much longer, because a clock that is ahead finds it warm too early: after a step
-        of one host's clock, two machines got one offer too many in the last 15 ms of their cold period.
+        A machine counts as cold for this much longer, because a clock that is ahead finds it warm too early: after a
+        step of one host's clock, two machines got one offer too many in the last 15 ms of their cold period.
         """
         return self.fall_ms / 4.0
 
     def to_interface(self, number: int, instances: int, zone: str, tick_ms: float) -> i.Settings:
-        """Return the decision module's settings for placer ``number`` of ``instances``; ``tick_ms``: granularity of its timers."""
+        """Return the decision module's settings for placer ``number`` of ``instances``.
+
+        ``tick_ms`` is the granularity of its timers.
+        """
         kinds = [kind.name for kind in self.kinds]
         return i.Settings(
             number=number,
--- a/sprucepost/settings/running.py
+++ b/sprucepost/settings/running.py
@@ -1,7 +1,7 @@
 """Which deployment-wide keys may change while placers run, and the validation of a complete configuration of them.
 
-A key may be listed here only if every use reads it again at each decision. Tenants and classes are defined by the settings
-file: they are neither added nor removed while placers run.
+A key may be listed here only if every use reads it again at each decision. Tenants and classes are defined by the
+settings file: they are neither added nor removed while placers run.
 """
 
 from __future__ import annotations
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -58,7 +58,7 @@
         until = time.monotonic() + 5.0
         said: list[str] = []
         while not said and time.monotonic() < until:
-            said += runner.look()
+            said += runner.restart_crashed()
             time.sleep(0.05)
         assert said == ["placer 0 ended with status -9, started again"]
         assert runner.state(first) == "no list of machines yet" and first.address(first.grpc) == address
