--- a/sprucepost/cli/badday.py
+++ b/sprucepost/cli/badday.py
@@ -1,4 +1,4 @@
-"""``sprucepost badday``: plays a scripted bad day and judges it from the bytes on the sockets."""
+"""``sprucepost badday``: runs a fault scenario on loopback and checks the rules from the recorded traffic."""
 
 from __future__ import annotations
 
@@ -28,11 +28,12 @@
 
 
 def default_scenario() -> bytes:
+    """Return the scenario file that is played when none is given."""
     return resources.files("sprucepost.standin").joinpath("badday.json").read_bytes()
 
 
 class Player:
-    """One day, from start to verdict."""
+    """Runs one scenario, from the start of its processes to the verdicts."""
 
     def __init__(self, scenario: Scenario, folder: Path, quiet: bool) -> None:
         self.scenario, self.folder, self.quiet = scenario, folder, quiet
@@ -41,14 +42,15 @@
         self._began = 0.0
 
     def note(self, what: str, more: dict[str, Any]) -> None:
+        """Append an event to the record, and print it unless the run is quiet."""
         event = {"at": time.time() * 1000.0, "what": what, **more}
         self._events.write(json.dumps(event) + "\n")
         if not self.quiet and what != "placer_starved":
-            words = " ".join(f"{key}={value}" for key, value in more.items())
-            click.echo(f"{(self.loop.now() - self._began) / 1000.0:6.1f} s  {what} {words}", err=True)
+            details = " ".join(f"{key}={value}" for key, value in more.items())
+            click.echo(f"{(self.loop.now() - self._began) / 1000.0:6.1f} s  {what} {details}", err=True)
 
     def run(self) -> dict[str, Any]:
-        """Play it; the result as it is written down. FleetError where a process fails."""
+        """Run the scenario and return the result, which is also written; raises FleetError where a process fails."""
         (self.folder / record.SCENARIO).write_bytes(msgspec.json.format(msgspec.json.encode(self.scenario), indent=1))
         (self.folder / record.CLUSTER).write_text(json.dumps(msgspec.to_builtins(self.scenario.cluster), indent=1))
         fleet = Fleet(self.loop, self.scenario, self.folder, self.note)
@@ -83,7 +85,7 @@
         probes: dict[int, Task[None]] = {}
         end = self._began + self.scenario.length_s * 1000.0
         while self.loop.now() < end:
-            for n in fleet.numbers():  # a resize adds some in the midst of the day
+            for n in fleet.numbers():  # a resize may add placers during the run
                 if n not in probes:
                     watch = probe(self.loop, fleet.placer_address(n), f"placer-{n}", self.note)
                     probes[n] = scope.spawn(watch, f"probe {n}")
@@ -91,10 +93,10 @@
             fleet.check_alive()
             self._progress()
         yield from fleet.owners("asking", on=False)
-        yield from injector.wait_until_lifted()  # faults that reach past the end are lifted
+        yield from injector.wait_until_lifted()  # faults that outlast the scenario are lifted
         if self.scenario.peers:
             self.note("peers_quiet", {})
-            yield from self._settled(fleet)
+            yield from self._wait_until_views_agree(fleet)
         deadline = max(cls.deadline_ms for cls in self.scenario.cluster.classes)
         until = self.loop.now() + deadline + 1000.0
         result = yield from fleet.owners("result")
@@ -111,8 +113,8 @@
         fleet.stop("")
         return {"owners": result, "machines": machines}
 
-    def _settled(self, fleet: Fleet) -> Co[None]:
-        """Until all placers show one view, for as long as is promised at the most; then some beats more for the record."""
+    def _wait_until_views_agree(self, fleet: Fleet) -> Co[None]:
+        """Wait until all views agree, at most for the guaranteed time; then record a few more heartbeats."""
         since = self.loop.now()
         while len(set(fleet.views())) > 1 and self.loop.now() - since < SETTLED_MS:
             yield from sleep(250.0)
@@ -121,14 +123,17 @@
 
     def _progress(self) -> None:
         if not self.quiet and sys.stderr.isatty():
-            share = min(1.0, (self.loop.now() - self._began) / self.scenario.length_s / 1000.0)
-            bar = "#" * int(30 * share)
-            click.echo(f"\r[{bar:<30}] {share:4.0%}\r", err=True, nl=False)
+            progress = min(1.0, (self.loop.now() - self._began) / self.scenario.length_s / 1000.0)
+            bar = "#" * int(30 * progress)
+            click.echo(f"\r[{bar:<30}] {progress:4.0%}\r", err=True, nl=False)
 
 
 def play(scenario: Scenario, keep: Path | None, quiet: bool) -> int:
-    """Play a day and print its table; 0 good, 1 a rule or an outcome broke, 3 the run itself failed."""
-    # So that a search that is ended ends its days with all their processes: those have sessions of their own.
+    """Run a scenario and print its report.
+
+    Returns the exit status: 0 all checks passed, 1 a rule or another check failed, 3 the run itself failed.
+    """
+    # A search that is stopped sends SIGTERM. The children have sessions of their own, so this process must end them.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
     folder = keep or Path(tempfile.mkdtemp(prefix="sprucepost-badday-"))
     folder.mkdir(parents=True, exist_ok=True)
--- a/sprucepost/cli/fleet.py
+++ b/sprucepost/cli/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of processes on loopback: placers, machines, the list, owners and the tap between them all."""
+"""A fleet of processes on loopback: placers, machines, the list, owners and the recording proxy between them."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 from sprucepost.standin.scenario import Scenario
 from sprucepost.wire.client import ClientConnection, open_client
 
-START_S = 30.0
-SEEDS = 2  # placers that all others know from the start
-STRANGERS = 2
+START_TIMEOUT_S = 30.0
+SEED_PLACERS = 2  # placers in the seeds of all others
+FOREIGN_PLACERS = 2  # placers of another fleet with the seeds of this one
 
 
 class FleetError(Exception):
-    """A process did not start, or died when nobody killed it."""
+    """A process did not start, or ended unexpectedly."""
 
 
-def _digest(address: str) -> str:
+def _view_digest(address: str) -> str:
+    """Return the digest of the placer's view, or why it cannot be read."""
     try:
         with urllib.request.urlopen(f"http://{address}/members", timeout=2) as answer:
             return str(json.loads(answer.read())["digest"])
@@ -40,7 +41,7 @@
 
 
 class Process:
-    """One child; its first line of output is its announcement."""
+    """A child process that prints its ports as its first line of output, once it listens."""
 
     def __init__(self, folder: Path, name: str, command: str, settings: dict[str, Any]) -> None:
         self.name, self.http = name, ""
@@ -53,24 +54,25 @@
         )  # fmt: skip
 
     def announcement(self) -> dict[str, Any]:
-        """Its ports. FleetError with the end of its log where it does not come up."""
+        """Wait for the first line and return its ports; raise FleetError with the end of its log where none comes."""
         out = self.child.stdout
         assert out is not None
-        ready, _, _ = select.select([out], [], [], START_S)
+        ready, _, _ = select.select([out], [], [], START_TIMEOUT_S)
         line = out.readline() if ready else ""
         if not line:
             tail = Path(self._log.name).read_text(errors="replace")[-500:].strip()
-            raise FleetError(f"{self.name} did not start: {tail or 'no word'}")
+            raise FleetError(f"{self.name} did not start: {tail or 'no output'}")
         return dict(json.loads(line))
 
-    def stop(self, number: int = signal.SIGTERM) -> None:
+    def stop(self, signal_number: int = signal.SIGTERM) -> None:
+        """Send a signal to the process if it still runs."""
         if self.child.poll() is None:
-            self.child.send_signal(number)
+            self.child.send_signal(signal_number)
 
-    def wait(self, limit_s: float) -> int | None:
-        """The exit status; None, and killed, where it does not end in time."""
+    def wait(self, timeout_s: float) -> int | None:
+        """Return the exit status; kill the process and return None where it does not end in time."""
         try:
-            return self.child.wait(limit_s)
+            return self.child.wait(timeout_s)
         except subprocess.TimeoutExpired:
             self.child.kill()
             self.child.wait()
@@ -82,7 +84,7 @@
 
 
 class Fleet:
-    """All processes of a run; the :class:`~sprucepost.standin.faults.FleetControl` of the fault injector."""
+    """All processes of a run; implements :class:`~sprucepost.standin.faults.FleetControl` for the fault injector."""
 
     def __init__(
         self, loop: Loop, scenario: Scenario, folder: Path, note: Callable[[str, dict[str, Any]], None]
@@ -95,64 +97,65 @@
         self._list_port = 0
         self._size = scenario.placers
         self._generation: dict[str, Any] = {}
-        self._limits: dict[int, tuple[int, int]] = {}
+        self._descriptor_limits: dict[int, tuple[int, int]] = {}  # by placer: soft and hard limit before a fault
         self.exits: dict[str, int | None] = {}
-        self._peer_fronts: dict[int, str] = {}  # where others dial a placer that keeps a view
-        self._starting: set[str] = set()  # placers that cannot hear a signal yet
-        self._leaving: set[str] = set()  # processes that were told to stop while the day goes on
+        self._peer_addresses: dict[int, str] = {}  # proxy address of each placer that keeps a view
+        self._starting: set[str] = set()  # placers that do not handle signals yet
+        self._stopping: set[str] = set()  # processes that were asked to stop during the run
 
     # Start
 
     def start(self) -> Co[None]:
-        """Start everything; returns when each process has announced itself."""
+        """Start all processes but the owners; return when each has printed its ports."""
         scenario = self.scenario
         self._spawn("tap", "tap", {"capture": str(self.folder / "capture.bin")})
         self._spawn("list", "list", {"late_ms": scenario.list_late_ms, "lines_per_s": scenario.list_lines_per_s})
-        told = {name: process.announcement() for name, process in self.processes.items()}
-        yield from self._connect("tap", told["tap"]["control"])
-        yield from self._connect("list", told["list"]["control"])
-        self._list_port = (yield from self.tap("add", name="list", target=f"127.0.0.1:{told['list']['listen']}"))[
+        ports = {name: process.announcement() for name, process in self.processes.items()}
+        yield from self._connect("tap", ports["tap"]["control"])
+        yield from self._connect("list", ports["list"]["control"])
+        self._list_port = (yield from self.tap("add", name="list", target=f"127.0.0.1:{ports['list']['listen']}"))[
             "port"
         ]
         machines = {
-            "cluster": self._cluster, "report_to": f"127.0.0.1:{told['list']['listen']}",
+            "cluster": self._cluster, "report_to": f"127.0.0.1:{ports['list']['listen']}",
             "manners": scenario.class_manners, "seed": scenario.seed,
         }  # fmt: skip
         self._spawn("machines", "machine", machines)
         for number in range(scenario.placers):
-            yield from self._place(number)
+            yield from self._register_placer(number)
         for number in range(scenario.placers):
             self._spawn_placer(number)
         if scenario.peers:
-            for number in range(STRANGERS):
+            for number in range(FOREIGN_PLACERS):
                 yield from self.tap("name", ip=f"127.0.4.{number + 1}", name=f"stranger-{number}")
-                self._spawn_stranger(number)
+                self._spawn_foreign_placer(number)
         yield from self._connect("machines", self.processes["machines"].announcement()["control"])
-        fronts = []
+        addresses = []
         for number in range(scenario.placers):
-            yield from self._placer_up(number)
-            fronts.append((yield from self._front(number)))
+            yield from self._record_ports(number)
+            addresses.append((yield from self._add_proxy_port(number)))
         yield from self.tap("name", ip="127.0.2.1", name="owners")
-        self._fronts = fronts
+        self._proxy_addresses = addresses
 
-    def _place(self, number: int) -> Co[None]:
-        """Its name at the tap and, where it keeps a view, a port there: known to others before it listens."""
+    def _register_placer(self, number: int) -> Co[None]:
+        """Register a placer at the proxy and, where it keeps a view, add a port that others know before it listens."""
         ip, name = f"127.0.1.{number + 1}", f"placer-{number}"
         yield from self.tap("name", ip=ip, name=name, zone=self.zone_of(number))
         if self.scenario.peers:
-            front = yield from self.tap("add", name=name, target="127.0.0.1:1", zone=self.zone_of(number))
-            self._peer_fronts[number] = f"127.0.0.1:{front['port']}"
+            proxy = yield from self.tap("add", name=name, target="127.0.0.1:1", zone=self.zone_of(number))
+            self._peer_addresses[number] = f"127.0.0.1:{proxy['port']}"
 
-    def _front(self, number: int) -> Co[str]:
-        """The tap's port before that placer."""
+    def _add_proxy_port(self, number: int) -> Co[str]:
+        """Point the proxy at the placer's current port; return the proxy's address."""
         target = f"127.0.0.1:{self._placer_ports[number]}"
-        front = yield from self.tap("add", name=f"placer-{number}", target=target, zone=self.zone_of(number))
-        return f"127.0.0.1:{front['port']}"
+        proxy = yield from self.tap("add", name=f"placer-{number}", target=target, zone=self.zone_of(number))
+        return f"127.0.0.1:{proxy['port']}"
 
     def start_owners(self) -> Co[None]:
+        """Start the process of all owners; they connect to the placers through the proxy."""
         scenario = self.scenario
         settings = {
-            "cluster": self._cluster, "placers": self._fronts, "services": scenario.services(),
+            "cluster": self._cluster, "placers": self._proxy_addresses, "services": scenario.services(),
             "rate_per_s": scenario.traffic.rate_per_s, "again_ms": scenario.traffic.again_ms,
             "source": "127.0.2.1", "seed": scenario.seed,
         }  # fmt: skip
@@ -160,14 +163,15 @@
         yield from self._connect("owners", self.processes["owners"].announcement()["control"])
 
     def placer_address(self, number: int) -> Address:
-        """Where the placer itself listens, beside the tap."""
+        """Return the placer's own address, which bypasses the proxy."""
         return "127.0.0.1", self._placer_ports[number]
 
     def numbers(self) -> list[int]:
-        """The placers that have been started, whether they run or not."""
+        """Return the numbers of all placers that have been started, running or not."""
         return sorted(self._placer_ports)
 
     def zone_of(self, number: int) -> str:
+        """Return the zone of a placer; placers are spread over the zones in turn."""
         zones = self.scenario.cluster.zones
         return zones[number % len(zones)]
 
@@ -181,36 +185,37 @@
             "source": source or f"127.0.1.{number + 1}", "seed": self.scenario.seed * 1000 + number,
         }  # fmt: skip
         if self.scenario.peers:
-            placer["peers"] = self._view(name or f"placer-{number}", number)
-        # Through `host`, whose wall clock can be stepped: the placer's own code is what `sprucepost placer` runs.
+            placer["peers"] = self._peer_settings(name or f"placer-{number}", number)
+        # The `host` command allows for steps of the wall clock; otherwise it runs the same code as `sprucepost placer`.
         self._spawn(name or f"placer-{number}", "host", {"cluster": self._cluster, "placer": placer})
 
-    def _view(self, name: str, number: int, cluster: str = "fleet") -> dict[str, Any]:
-        seeds = [self._peer_fronts[n] for n in sorted(self._peer_fronts)[:SEEDS]]
-        view = {"cluster": cluster, "seeds": seeds, "name": name, "host": f"host-{number // 2}"}
-        return {**view, "advertise": self._peer_fronts[number]} if name == f"placer-{number}" else view
+    def _peer_settings(self, name: str, number: int, cluster: str = "fleet") -> dict[str, Any]:
+        seeds = [self._peer_addresses[n] for n in sorted(self._peer_addresses)[:SEED_PLACERS]]
+        peers = {"cluster": cluster, "seeds": seeds, "name": name, "host": f"host-{number // 2}"}
+        return {**peers, "advertise": self._peer_addresses[number]} if name == f"placer-{number}" else peers
 
-    def _spawn_stranger(self, number: int) -> None:
-        """A placer of another fleet in whose settings somebody has put this one's seeds."""
+    def _spawn_foreign_placer(self, number: int) -> None:
+        """Start a placer of another fleet that is misconfigured with the seeds of this one."""
         placer = {
-            "number": number, "instances": STRANGERS, "zone": self.zone_of(number), "list": "127.0.0.1:1",
+            "number": number, "instances": FOREIGN_PLACERS, "zone": self.zone_of(number), "list": "127.0.0.1:1",
             "listen": "127.0.0.1:0", "source": f"127.0.4.{number + 1}",
-            "peers": self._view(f"stranger-{number}", number, "another"),
+            "peers": self._peer_settings(f"stranger-{number}", number, "another"),
         }  # fmt: skip
         self._spawn(f"stranger-{number}", "host", {"cluster": self._cluster, "placer": placer})
 
-    def _placer_up(self, number: int) -> Co[None]:
+    def _record_ports(self, number: int) -> Co[None]:
+        """Read the ports that a started placer printed."""
         process = self.processes[f"placer-{number}"]
-        told = process.announcement()
-        process.http = told["http"]
-        self._placer_ports[number] = int(told["listen"].rpartition(":")[2])
+        ports = process.announcement()
+        process.http = ports["http"]
+        self._placer_ports[number] = int(ports["listen"].rpartition(":")[2])
         return
         yield
 
     def _connect(self, name: str, port: int) -> Co[None]:
         self._control[name] = yield from open_client(self.loop, ("127.0.0.1", port))
 
-    # The stage
+    # Control of the simulated peers, the proxy and the placers
 
     def field(self, what: str, /, **arguments: Any) -> Co[Any]:
         return (yield from order(self._control["machines"], what, **arguments))
@@ -225,45 +230,49 @@
         return (yield from order(self._control["owners"], what, **arguments))
 
     def add_machine(self, model: dict[str, Any], cold: bool) -> Co[None]:
+        """Add a machine behind the proxy and have it announced to the list."""
         name = model["name"]
         port = (yield from self.field("add", model=model, cold=cold))["port"]
-        front = yield from self.tap("add", name=name, target=f"127.0.0.1:{port}", zone=model["zone"])
-        yield from self.field("announce", machine=name, address=f"127.0.0.1:{front['port']}")
+        proxy = yield from self.tap("add", name=name, target=f"127.0.0.1:{port}", zone=model["zone"])
+        yield from self.field("announce", machine=name, address=f"127.0.0.1:{proxy['port']}")
 
     def kill_placer(self, number: int) -> None:
+        """End a placer by SIGKILL."""
         name = f"placer-{number}"
         self.note("placer_killed", placer=name)
-        process = self.processes.pop(name, None)  # none where it has stopped by itself by now
+        process = self.processes.pop(name, None)  # None where it has already ended
         if process is not None:
             process.stop(signal.SIGKILL)
             process.wait(5.0)
-        self._leaving.discard(name)
-        self._limits.pop(number, None)
+        self._stopping.discard(name)
+        self._descriptor_limits.pop(number, None)
 
     def start_placer(self, number: int) -> Co[None]:
+        """Start a placer again, and wait until it listens."""
         self._spawn_placer(number)
         process = self.processes[f"placer-{number}"]
         self._starting.add(process.name)
-        yield from self._announced(process)
-        yield from self._placer_up(number)
-        yield from self._front(number)  # it has another port than before
+        yield from self._wait_for_announcement(process)
+        yield from self._record_ports(number)
+        yield from self._add_proxy_port(number)  # its port differs from the one before
         self._starting.discard(process.name)
-        self._tell(process, signal.SIGUSR2)  # what was told while it could not hear
-        self._tell(process, signal.SIGHUP)
+        self._signal(process, signal.SIGUSR2)  # signals that were held back while it had no handlers
+        self._signal(process, signal.SIGHUP)
         self.note("placer_started", placer=f"placer-{number}")
 
-    def _tell(self, process: Process | None, number: int) -> None:
-        """A signal to a placer, unless it has no handler for it yet."""
+    def _signal(self, process: Process | None, signal_number: int) -> None:
+        """Send a signal to a placer, unless it has no handler for it yet."""
         if process is not None and process.name not in self._starting:
-            process.stop(number)
+            process.stop(signal_number)
 
-    def _announced(self, process: Process) -> Co[None]:
-        """Until the process has a word to say; the day goes on meanwhile."""
+    def _wait_for_announcement(self, process: Process) -> Co[None]:
+        """Wait until the process has printed something, without blocking the event loop."""
         out = process.child.stdout
         while out is not None and not select.select([out], [], [], 0)[0]:
             yield from sleep(20.0)
 
     def stall_placer(self, number: int, stalled: bool) -> None:
+        """Stop a placer by SIGSTOP, or continue it."""
         name = f"placer-{number}"
         process = self.processes.get(name)
         if process is not None:
@@ -271,43 +280,49 @@
             process.stop(signal.SIGSTOP if stalled else signal.SIGCONT)
 
     def term_placer(self, number: int) -> None:
+        """Send SIGTERM to a placer without waiting for its end."""
         name = f"placer-{number}"
         self.note("placer_asked_to_stop", placer=name)
         self.processes[name].stop(signal.SIGTERM)
-        self._leaving.add(name)
+        self._stopping.add(name)
 
     def limit_descriptors(self, number: int, limited: bool) -> None:
+        """Limit a placer's file descriptors to those in use, or restore its limit."""
         process = self.processes.get(f"placer-{number}")
         if process is None or process.child.poll() is not None:
             return
         soft, hard = resource.prlimit(process.child.pid, resource.RLIMIT_NOFILE)
         if limited:
-            self._limits.setdefault(number, (soft, hard))
+            self._descriptor_limits.setdefault(number, (soft, hard))
             in_use = len(os.listdir(f"/proc/{process.child.pid}/fd"))
             resource.prlimit(process.child.pid, resource.RLIMIT_NOFILE, (in_use, hard))
-        elif number in self._limits:
-            resource.prlimit(process.child.pid, resource.RLIMIT_NOFILE, self._limits.pop(number))
+        elif number in self._descriptor_limits:
+            resource.prlimit(process.child.pid, resource.RLIMIT_NOFILE, self._descriptor_limits.pop(number))
 
     def step_clock(self, number: int, by_ms: float) -> None:
+        """Set the offset of a placer's wall clock, in ms."""
         name = f"placer-{number}"
         (self.folder / f"{name}.clock").write_text(f"{by_ms}\n")
-        self._tell(self.processes.get(name), signal.SIGUSR2)
+        self._signal(self.processes.get(name), signal.SIGUSR2)
 
     def start_twin(self, number: int) -> Co[None]:
+        """Start a second process with the number of a placer."""
         name, ip = f"twin-{number}", f"127.0.3.{number + 1}"
         if name in self.processes:
             return
         yield from self.tap("name", ip=ip, name=name, zone=self.zone_of(number))
         self._spawn_placer(number, name, ip)
-        yield from self._announced(self.processes[name])
+        yield from self._wait_for_announcement(self.processes[name])
 
     def stop_twin(self, number: int) -> None:
+        """Send SIGTERM to the second process with the number of a placer."""
         process = self.processes.get(f"twin-{number}")
         if process is not None:
             process.stop(signal.SIGTERM)
-            self._leaving.add(process.name)
+            self._stopping.add(process.name)
 
     def resize(self, size: int, lead_ms: float, overlap_ms: float, told: int = 0) -> Co[None]:
+        """Change the number of placers by an announced generation; ``told``: how many are notified of it, 0 for all."""
         before, self._size = self._size, size
         self._generation = {
             "number": 1, "previous_instances": before, "begins_ms": time.time() * 1000.0 + lead_ms,
@@ -321,52 +336,53 @@
             path.with_suffix(".new").replace(path)
         running = [number for number in range(before) if f"placer-{number}" in self.processes]
         for number in running[: told or None]:
-            self._tell(self.processes.get(f"placer-{number}"), signal.SIGHUP)
+            self._signal(self.processes.get(f"placer-{number}"), signal.SIGHUP)
         yield from sleep(lead_ms)
         for number in range(before, size):
-            yield from self._place(number)
+            yield from self._register_placer(number)
             self._spawn_placer(number)
-            yield from self._announced(self.processes[f"placer-{number}"])
-            yield from self._placer_up(number)
+            yield from self._wait_for_announcement(self.processes[f"placer-{number}"])
+            yield from self._record_ports(number)
             self.note("placer_started", placer=f"placer-{number}")
-            yield from self.owners("placer", address=(yield from self._front(number)))
+            yield from self.owners("placer", address=(yield from self._add_proxy_port(number)))
 
     def views(self) -> list[str]:
-        """The digest that each placer which runs shows of its fleet; what keeps it from showing one."""
+        """Return the digest of each running placer's view, or why it cannot be read."""
         found = []
         for number in self.numbers():
             process = self.processes.get(f"placer-{number}")
             if process is not None and process.child.poll() is None:
-                found.append(_digest(self.processes[f"placer-{number}"].http))
+                found.append(_view_digest(self.processes[f"placer-{number}"].http))
         return found
 
     def note(self, what: str, **more: Any) -> None:
+        """Record an event of the run."""
         self._note(what, more)
 
-    # The end
+    # Shutdown
 
     def check_alive(self) -> None:
-        """FleetError where a process ended by itself."""
+        """Raise FleetError if a process ended without being asked to."""
         for name, process in list(self.processes.items()):
-            if process.child.poll() is not None and name in self._leaving:
-                self._leaving.discard(name)
+            if process.child.poll() is not None and name in self._stopping:
+                self._stopping.discard(name)
                 self.exits[name] = self.processes.pop(name).wait(1.0)
             elif process.child.poll() is not None:
                 raise FleetError(f"{name} ended with status {process.child.returncode}; see {self.folder / name}.log")
 
-    def stop(self, first: str, limit_s: float = 20.0) -> None:
-        """Ask the processes whose names begin so to stop; their exit statuses are in ``exits``."""
-        chosen = {name: process for name, process in self.processes.items() if name.startswith(first)}
+    def stop(self, prefix: str, timeout_s: float = 20.0) -> None:
+        """Stop the processes whose names begin with ``prefix``; their exit statuses are added to ``exits``."""
+        chosen = {name: process for name, process in self.processes.items() if name.startswith(prefix)}
         for process in chosen.values():
             process.stop(signal.SIGCONT)
             process.stop(signal.SIGTERM)
-        until = time.monotonic() + limit_s
+        deadline = time.monotonic() + timeout_s
         for name, process in chosen.items():
-            self.exits[name] = process.wait(max(0.1, until - time.monotonic()))
+            self.exits[name] = process.wait(max(0.1, deadline - time.monotonic()))
             del self.processes[name]
 
     def kill_all(self) -> None:
-        """Whatever happened: no child is left."""
+        """Kill every process that still runs."""
         for process in self.processes.values():
             process.stop(signal.SIGKILL)
         for process in self.processes.values():
--- a/sprucepost/cli/load.py
+++ b/sprucepost/cli/load.py
@@ -1,4 +1,4 @@
-"""``sprucepost load``: play plans against placers, print, keep, compare."""
+"""``sprucepost load``: generate load on placers from a plan; print, save and compare the figures."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class LoadError(Exception):
-    """One plain line; ``status`` is the exit status."""
+    """A load run failed; the message is one line and ``status`` the exit status."""
 
     def __init__(self, text: str, status: int) -> None:
         super().__init__(text)
         self.status = status
 
 
-def _asks(plan: Plan) -> list[Ask]:
+def _asks_of(plan: Plan) -> list[Ask]:
     if not isinstance(plan.arrivals, Replay):
         return list(asks(plan))
     try:
@@ -41,11 +41,14 @@
 
 
 def play(sides: list[tuple[str, list[Address], Plan]]) -> dict[str, dict[str, Any]]:
-    """The figures of each side, by name. Sides with placers of their own run at the same time, so that both meet the same
-    host; those that share a placer one after the other."""
-    played = [(name, addresses, plan, _asks(plan)) for name, addresses, plan in sides]
-    apart = len({address for _, addresses, _ in sides for address in addresses}) == sum(len(a) for _, a, _ in sides)
-    groups = [played] if apart else [[side] for side in played]
+    """Run each side's plan and return the figures by side name.
+
+    Sides without a common placer run at the same time, so that both see the same host load; sides that share a placer
+    run one after the other.
+    """
+    prepared = [(name, addresses, plan, _asks_of(plan)) for name, addresses, plan in sides]
+    disjoint = len({address for _, addresses, _ in sides for address in addresses}) == sum(len(a) for _, a, _ in sides)
+    groups = [prepared] if disjoint else [[side] for side in prepared]
     figures: dict[str, dict[str, Any]] = {}
     for group in groups:
         loop = EpollLoop(group[0][2].seed)
@@ -73,12 +76,12 @@
 def command(
     sides: list[tuple[str, list[str], Plan]], save: Path | None, against: Path | None, chart: Path | None
 ) -> int:
-    """0 done, 2 a file that cannot be read or written, 3 no placer answers."""
+    """Run the command; returns 0 done, 2 a file cannot be read or written, 3 no placer answers."""
     try:
-        other: dict[str, Any] | None = None
+        earlier: dict[str, Any] | None = None
         if against is not None:
             try:
-                other = json.loads(against.read_bytes())
+                earlier = json.loads(against.read_bytes())
             except (OSError, ValueError) as error:
                 raise LoadError(f"{against}: {error}", 2) from None
         figures = play([(name, [address_of(a) for a in addresses], plan) for name, addresses, plan in sides])
@@ -87,8 +90,8 @@
             _write(save, json.dumps(figures[first] if not rest else figures, indent=1) + "\n")
         if rest:
             print(table(["figure", first, rest[0], "ratio"], compared(figures[first], figures[rest[0]])))
-        elif other is not None:
-            print(table(["figure", "before", "now", "ratio"], compared(other, figures[first])))
+        elif earlier is not None:
+            print(table(["figure", "before", "now", "ratio"], compared(earlier, figures[first])))
         else:
             print(table(["figure", "value"], [[name, f"{value:g}"] for name, value in rows(figures[first]).items()]))
         if chart is not None:
--- a/sprucepost/cli/scale.py
+++ b/sprucepost/cli/scale.py
@@ -1,4 +1,4 @@
-"""``sprucepost scale``: runs at many sizes, the tables that follow from them, and whether the capacity page still holds."""
+"""``sprucepost scale``: measures fleets of many sizes, prints the fits and checks the capacity page against them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 AT_PLAN = FOLDER / "scale-at-plan.json"
 STATE = FOLDER / "scale-state.json"
 HOLDS, BROKEN, UNUSABLE, INTERRUPTED = 0, 1, 2, 130
-"""Exit statuses: what was checked holds; it doesn't; it could not be looked at; by a signal."""
+"""Exit statuses: the check passed, the check failed, it could not be carried out, it was interrupted by a signal."""
 
 _PLAN_OPTION = click.option(
     "--plan",
@@ -30,16 +30,20 @@
     type=click.Path(path_type=Path),
     default=PLAN,
     show_default=True,
-    help="The size that is planned.",
+    help="Settings file of the planned size.",
 )
 _FOLDER_OPTION = click.option(
-    "--folder", type=click.Path(path_type=Path), default=FOLDER, show_default=True, help="Kept results, scale*.json."
+    "--folder",
+    type=click.Path(path_type=Path),
+    default=FOLDER,
+    show_default=True,
+    help="Stored results, scale*.json.",
 )
 _PAGE_OPTION = click.option("--page", type=click.Path(path_type=Path), default=PAGE, show_default=True)
 
 
-def _one_line(command: Callable[P, int]) -> Callable[P, None]:
-    """Exit with the status that a command returns; what could not be read, fitted, drawn or run is one line and status 2."""
+def _with_exit_status(command: Callable[P, int]) -> Callable[P, None]:
+    """Exit with the status that a command returns; an expected error is printed as plain lines, with status 2."""
 
     @wraps(command)
     def run(*arguments: P.args, **options: P.kwargs) -> None:
@@ -71,14 +75,14 @@
 
 
 @click.group("scale", invoke_without_command=True)
-@click.option("--quick", is_flag=True, help="A small sweep against the page's predictions, within two minutes.")
-@click.option("--keep", type=click.Path(path_type=Path), help="With --quick: write what was measured into this file.")
+@click.option("--quick", is_flag=True, help="Check the page's predictions by a small sweep, within two minutes.")
+@click.option("--keep", type=click.Path(path_type=Path), help="With --quick: write the measurements to this file.")
 @_PLAN_OPTION
 @_FOLDER_OPTION
 @_PAGE_OPTION
 @click.pass_context
 def scale(context: click.Context, quick: bool, keep: Path | None, plan_file: Path, folder: Path, page: Path) -> None:
-    """How costs grow with the size of a fleet. Exit status 1 where the page's predictions do not hold."""
+    """Measure how costs grow with the size of a fleet. Exit status 1 if the page's predictions do not hold."""
     if context.invoked_subcommand is not None:
         return
     if not quick:
@@ -87,9 +91,9 @@
     _quick(keep, plan_file, folder, page)
 
 
-@_one_line
+@_with_exit_status
 def _quick(keep: Path | None, plan_file: Path, folder: Path, page: Path) -> int:
-    """Measure a few sizes; judge them by the kept results, and the page by the same."""
+    """Measure a few sizes and check both them and the page against the stored results."""
     from sprucepost.cli.tables import table
     from sprucepost.scale.kept import compared, read_kept
     from sprucepost.scale.predictions import with_sums
@@ -106,8 +110,8 @@
     click.echo(table(head, [_comparison_row(each) for each in found]))
     wrong += [each.text for each in found if not each.holds]
     if not found:
-        wrong.append("nothing that was measured is predicted by the kept results")
-    return _told(wrong, f"{len(found)} predictions hold")
+        wrong.append("the stored results predict none of the measured figures")
+    return _report(wrong, f"{len(found)} predictions hold")
 
 
 def _comparison_row(each: Any) -> list[str]:
@@ -123,13 +127,15 @@
 
 @scale.command()
 @click.option("--out", type=click.Path(path_type=Path), default=RESULTS, show_default=True)
-@click.option("--variable", "variables", multiple=True, help="Move only this one; may be repeated.")
+@click.option("--variable", "variables", multiple=True, help="Vary only this variable; may be repeated.")
 @click.option("--repeats", type=click.IntRange(1), default=3, show_default=True)
-@click.option("--add", "add", is_flag=True, help="Add the points to those that the file has, of the same version.")
+@click.option(
+    "--add", "add", is_flag=True, help="Add the points to those in the file, which must be of the same version."
+)
 @_PLAN_OPTION
-@_one_line
+@_with_exit_status
 def run(out: Path, variables: tuple[str, ...], repeats: int, add: bool, plan_file: Path) -> int:
-    """The full sweep: every variable alone over its sizes, three runs of each. Keeps the results."""
+    """Run the full sweep: each variable alone over its sizes, several runs of each. Stores the results."""
     from sprucepost.scale.kept import kept_run
     from sprucepost.scale.results import load, save
     from sprucepost.scale.sweeps import added, full
@@ -146,9 +152,9 @@
 @click.option("--out", type=click.Path(path_type=Path), default=AT_PLAN, show_default=True)
 @click.option("--repeats", type=click.IntRange(1), default=3, show_default=True)
 @_PLAN_OPTION
-@_one_line
+@_with_exit_status
 def run_at_plan(out: Path, repeats: int, plan_file: Path) -> int:
-    """Measure real placers in a fleet of the planned size: what the predictions are held against. Keeps the results."""
+    """Measure real placers in a fleet of the planned size, to check the predictions. Stores the results."""
     from sprucepost.scale.results import save
     from sprucepost.scale.sweeps import at_plan
 
@@ -160,11 +166,11 @@
 @scale.command()
 @click.argument("results", type=click.Path(path_type=Path), default=RESULTS)
 @_PLAN_OPTION
-@click.option("--json", "as_json", is_flag=True, help="Slopes and predictions as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print slopes and predictions as JSON.")
 @click.option("--html", "chart", type=click.Path(path_type=Path), help="Write a page with tables and charts.")
-@_one_line
+@_with_exit_status
 def tables(results: Path, plan_file: Path, as_json: bool, chart: Path | None) -> int:
-    """Slopes, predictions and headroom from the kept RESULTS."""
+    """Print slopes, predictions and headroom from the stored RESULTS."""
     from sprucepost.scale.charts import report
     from sprucepost.scale.kept import Kept, kept_run
     from sprucepost.scale.tables import all_tables, slopes_table
@@ -186,9 +192,9 @@
 @_FOLDER_OPTION
 @_PAGE_OPTION
 @_PLAN_OPTION
-@_one_line
+@_with_exit_status
 def write_page(folder: Path, page: Path, plan_file: Path) -> int:
-    """Write the tables of the kept results into the capacity page."""
+    """Write the tables of the stored results into the capacity page."""
     from sprucepost.scale.kept import read_kept
     from sprucepost.scale.page import filled
     from sprucepost.scale.planned import page_tables
@@ -202,9 +208,9 @@
 @_FOLDER_OPTION
 @_PAGE_OPTION
 @_PLAN_OPTION
-@_one_line
+@_with_exit_status
 def check(folder: Path, page: Path, plan_file: Path) -> int:
-    """Whether the page says what the kept results say, and nothing in them grows faster than n log n. Runs nothing."""
+    """Check that the page agrees with the stored results and no figure grows faster than n log n. Measures nothing."""
     from sprucepost.scale.kept import read_kept
     from sprucepost.scale.predictions import too_fast
 
@@ -212,14 +218,14 @@
     wrong = _page_problems(kept, _size(plan_file), page)
     for each in kept.runs:
         wrong += [f"{each.file}: {line}" for line in too_fast(each.slopes.fitted)]
-    return _told(wrong, f"{page} says what {folder} says")
+    return _report(wrong, f"{page} agrees with {folder}")
 
 
 @scale.command()
 @click.option("--out", type=click.Path(path_type=Path), default=STATE, show_default=True)
-@_one_line
+@_with_exit_status
 def state(out: Path) -> int:
-    """Measure what an entry of each kind of state takes. Keeps the results."""
+    """Measure the size of an entry of each kind of state. Stores the results."""
     from sprucepost.cli.tables import table
     from sprucepost.scale.state import StateFile, measure_state
 
@@ -249,7 +255,8 @@
         click.echo(f"{skipped.role} {skipped.figure} over {skipped.variable}: not fitted, {skipped.why}")
 
 
-def _told(wrong: list[str], good: str) -> int:
+def _report(wrong: list[str], good: str) -> int:
+    """Print what is wrong, or else the line ``good``; return the exit status."""
     for line in wrong:
         click.echo(f"sprucepost: {line}", err=True)
     if not wrong:
@@ -258,11 +265,11 @@
 
 
 def _version() -> str:
-    done = subprocess.run(
+    completed = subprocess.run(
         ["git", "describe", "--always", "--dirty"],
         capture_output=True,
         text=True,
         cwd=Path(__file__).parent,
         check=False,
     )
-    return done.stdout.strip() or "unknown"
+    return completed.stdout.strip() or "unknown"
--- a/sprucepost/cli/search.py
+++ b/sprucepost/cli/search.py
@@ -1,4 +1,7 @@
-"""Many days, several at a time: which seeds break a rule. And a bad day cut to the fewest faults that still break it."""
+"""Search of many scenarios for seeds that break a rule, and reduction of a failing scenario to the fewest faults.
+
+A day is one run of a scenario; it is good, bad (a check failed) or failed (it could not be run).
+"""
 
 from __future__ import annotations
 
@@ -23,13 +26,13 @@
 from sprucepost.standin.scenario import Fault, Scenario
 
 DAYS = "days.jsonl"
-PATIENCE_S = 120.0  # beyond its own length, after which a day counts as failed
-POLL_S = 0.1
+OVERRUN_S = 120.0  # a day that takes longer than its length by more than this counts as failed
+POLL_INTERVAL_S = 0.1
 
 
 @dataclass
 class Day:
-    """One day that is being played by a process of its own."""
+    """A scenario that a child process is running; ``until`` is the monotonic time at which it counts as failed."""
 
     seed: int
     scenario: Scenario
@@ -39,7 +42,7 @@
 
 
 def start(seed: int, scenario: Scenario, folder: Path, source: Path | None = None) -> Day:
-    """Play it, quietly; its record goes to ``folder``. ``source``: run the package that lies there, not this one."""
+    """Start a quiet run that is recorded in ``folder``. ``source``: directory of another copy of the package to run."""
     folder = folder.absolute()
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / SCENARIO
@@ -51,16 +54,16 @@
             stderr=subprocess.STDOUT,
             cwd=source,
         )
-    return Day(seed, scenario, folder, child, time.monotonic() + scenario.length_s + PATIENCE_S)
+    return Day(seed, scenario, folder, child, time.monotonic() + scenario.length_s + OVERRUN_S)
 
 
 def outcome(day: Day) -> dict[str, Any]:
-    """What became of a day whose process has ended: ``good``, ``bad`` with what was wrong, or ``failed``."""
+    """Return the result of a day whose process has ended: ``good``, ``bad`` with the failed checks, or ``failed``."""
     found: dict[str, Any] = {"seed": day.seed, "faults": kinds_of(day.scenario.faults)}
     result = day.folder / RESULT
     if day.child.returncode not in (0, 1) or not result.exists():
-        said = (day.folder / "printed.txt").read_text(errors="replace").strip().splitlines()
-        return {**found, "verdict": "failed", "wrong": said[-1:] or ["no word"]}
+        output = (day.folder / "printed.txt").read_text(errors="replace").strip().splitlines()
+        return {**found, "verdict": "failed", "wrong": output[-1:] or ["no output"]}
     raw = json.loads(result.read_bytes())
     classes = raw["owners"]["classes"].values()
     wrong = problems(raw)
@@ -78,10 +81,10 @@
     done: Callable[[Day, dict[str, Any]], None],
     source: Path | None = None,
 ) -> None:
-    """Play days, ``jobs`` at a time; ``done`` hears of each as it ends. No child outlives this."""
+    """Run days, ``jobs`` at a time, and call ``done`` with each as it ends. No child process outlives this call."""
     running: list[Day] = []
     more = True
-    # Without a handler SIGTERM ends this process on the spot, and its days play on with nobody to hear of them.
+    # Without a handler SIGTERM would end this process at once, and its children would run on as orphans.
     before = signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
     try:
         while more or running:
@@ -98,7 +101,7 @@
                 if day.child.poll() is not None:
                     running.remove(day)
                     done(day, outcome(day))
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
     finally:
         for day in running:
             day.child.terminate()
@@ -108,7 +111,7 @@
 
 
 def played_days(folder: Path) -> dict[int, dict[str, Any]]:
-    """The days that an earlier, interrupted search has played; a line that broke off is played again."""
+    """Return the results of an earlier, interrupted search by seed; truncated lines are ignored and run again."""
     played = {}
     if (folder / DAYS).exists():
         for line in (folder / DAYS).read_text().splitlines():
@@ -121,11 +124,14 @@
     return played
 
 
-def search(seeds: list[int], jobs: int, folder: Path, day_of: Callable[[int], Scenario], quiet: bool) -> int:
-    """Play every seed that ``folder`` has not got yet and print what was found; 0 all good, 1 a bad day, 3 one failed."""
+def search(seeds: list[int], jobs: int, folder: Path, scenario_of: Callable[[int], Scenario], quiet: bool) -> int:
+    """Run every seed without a result in ``folder`` and print a summary.
+
+    Returns the exit status: 0 all days are good, 1 one is bad, 3 one failed.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     played = played_days(folder)
-    left = [seed for seed in seeds if seed not in played]
+    remaining = [seed for seed in seeds if seed not in played]
     found = [played[seed] for seed in seeds if seed in played]
     with (
         (folder / DAYS).open("a", buffering=1) as log,
@@ -139,79 +145,79 @@
             if result["verdict"] == "good":
                 shutil.rmtree(day.folder, ignore_errors=True)
             else:
-                click.echo(line(result))
+                click.echo(result_line(result))
             bar.update(1)
 
         for result in found:
             if result["verdict"] != "good":
-                click.echo(line(result))
-        play_all(((seed, day_of(seed), folder / str(seed)) for seed in left), jobs, done)
+                click.echo(result_line(result))
+        play_all(((seed, scenario_of(seed), folder / str(seed)) for seed in remaining), jobs, done)
     click.echo(summary(found))
     verdicts = Counter(result["verdict"] for result in found)
     return 3 if verdicts["failed"] else 1 if verdicts["bad"] else 0
 
 
-def line(result: dict[str, Any]) -> str:
-    """One line for a bad seed."""
+def result_line(result: dict[str, Any]) -> str:
+    """Return one line about a seed whose day was not good."""
     return f"seed {result['seed']}: {result['verdict']}: {'; '.join([*result['wrong'], *result.get('first', [])])}"
 
 
 def summary(found: list[dict[str, Any]]) -> str:
-    """The faults that were met, in good days and bad ones, and the totals."""
-    met: dict[str, Counter[str]] = {}
+    """Return a table of the injected faults, in all days and in bad ones, and the totals."""
+    by_kind: dict[str, Counter[str]] = {}
     for result in found:
         for kind, count in result["faults"].items():
-            row = met.setdefault(kind, Counter())
+            row = by_kind.setdefault(kind, Counter())
             row["times"] += count
             row["days"] += 1
             row["bad"] += result["verdict"] != "good"
     head = ["fault", "days", "times", "in bad days"]
-    rows = [[kind, row["days"], row["times"], row["bad"]] for kind, row in sorted(met.items())]
+    rows = [[kind, row["days"], row["times"], row["bad"]] for kind, row in sorted(by_kind.items())]
     total = {key: sum(result.get(key, 0) for result in found) for key in ("asked", "checked", "undecided")}
     verdicts = Counter(result["verdict"] for result in found)
-    words = ", ".join(f"{verdicts[name]} {name}" for name in ("good", "bad", "failed"))
+    counts = ", ".join(f"{verdicts[name]} {name}" for name in ("good", "bad", "failed"))
     share = total["undecided"] / max(1, total["checked"])
     return (
-        f"{table(head, rows)}\n\n{len(found)} days: {words}; {total['asked']} asks, {total['checked']} verdicts, "
+        f"{table(head, rows)}\n\n{len(found)} days: {counts}; {total['asked']} asks, {total['checked']} verdicts, "
         f"{total['undecided']} undecided ({share:.3%})"
     )
 
 
-def shrink(scenario: Scenario, folder: Path, jobs: int, tries: int, say: Callable[[str], None]) -> Scenario | None:
-    """The fewest faults of a bad day that still break a rule that it broke; None where it does not break again.
+def shrink(scenario: Scenario, folder: Path, jobs: int, tries: int, report: Callable[[str], None]) -> Scenario | None:
+    """Return the scenario with the fewest faults that still break a rule; None where it does not fail again.
 
-    Delta debugging over the list of faults: halves first, then smaller pieces. A day on real sockets is not the same each
-    time, so each candidate is played ``tries`` times at once, and one break is enough.
+    Delta debugging over the list of faults: halves first, then smaller pieces. Runs on real sockets are not
+    deterministic, so each candidate is run ``tries`` times in parallel, and one failure is enough.
     """
-    played = 0
+    candidates = 0
 
-    def breaks(faults: list[Fault]) -> set[str]:
-        nonlocal played
-        played += 1
+    def broken_rules(faults: list[Fault]) -> set[str]:
+        nonlocal candidates
+        candidates += 1
         broken: set[str] = set()
 
         def done(day: Day, result: dict[str, Any]) -> None:
             broken.update(result.get("broken", {}))
             if result["verdict"] == "bad" and not result["broken"]:
-                broken.update(word.split()[0] for word in result["wrong"])
+                broken.update(problem.split()[0] for problem in result["wrong"])
             shutil.rmtree(day.folder, ignore_errors=True)
 
         day = msgspec.structs.replace(scenario, faults=faults)
-        folders = [folder / f"shrink-{played}-{n}" for n in range(tries)]
+        folders = [folder / f"shrink-{candidates}-{n}" for n in range(tries)]
         play_all(((scenario.seed, day, path) for path in folders), jobs, done)
         return broken
 
-    wanted = breaks(scenario.faults)
-    if not wanted:
+    targets = broken_rules(scenario.faults)
+    if not targets:
         return None
-    say(f"{len(scenario.faults)} faults break {', '.join(sorted(wanted))}")
+    report(f"{len(scenario.faults)} faults break {', '.join(sorted(targets))}")
     faults, pieces = scenario.faults, 2
     while len(faults) > 1:
         size = max(1, len(faults) // pieces)
         for begin in range(0, len(faults), size):
             rest = faults[:begin] + faults[begin + size :]
-            if rest and breaks(rest) & wanted:
-                say(f"{len(rest)} are enough: {', '.join(fault.kind for fault in rest)}")
+            if rest and broken_rules(rest) & targets:
+                report(f"{len(rest)} are enough: {', '.join(fault.kind for fault in rest)}")
                 faults, pieces = rest, max(2, pieces - 1)
                 break
         else:
@@ -222,7 +228,7 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """``A..B``, both included, or single seeds with commas. ValueError with the reason."""
+    """Parse ``A..B``, both included, or single seeds separated by commas; raise ValueError with the reason."""
     seeds: list[int] = []
     for part in text.split(","):
         first, dots, last = part.partition("..")
@@ -231,10 +237,11 @@
         except ValueError:
             raise ValueError(f"{part!r} is neither a seed nor A..B") from None
         if end < begin:
-            raise ValueError(f"{part!r} runs backwards")
+            raise ValueError(f"{part!r} is a descending range")
         seeds += range(begin, end + 1)
     return list(dict.fromkeys(seeds))
 
 
 def random_scenarios(length_s: float, peers: bool = False) -> Callable[[int], Scenario]:
+    """Return a function that generates the scenario of a seed."""
     return lambda seed: draw(seed, length_s, peers)
--- a/sprucepost/cli/submit.py
+++ b/sprucepost/cli/submit.py
@@ -1,4 +1,4 @@
-"""``sprucepost owner submit``: one task, followed on standard output."""
+"""``sprucepost owner submit``: submits one task and prints the placer's frames on standard output."""
 
 from __future__ import annotations
 
@@ -13,25 +13,28 @@
 from sprucepost.v1 import common_pb2
 from sprucepost.v1 import placer_pb2 as pb
 
-CONNECT_MS = 5000.0
+CONNECT_TIMEOUT_MS = 5000.0
 
 
 def run(address: str, name: str, task: common_pb2.Task, left_ms: float, follow: bool) -> int:
-    """0 placed (and, with ``follow``, done), 1 refused, failed or lost, 3 no placer or no answer."""
+    """Submit the task and print each frame as a JSON line.
+
+    Returns the exit status: 0 placed (and, with ``follow``, done), 1 refused, failed or lost, 3 no placer or no answer.
+    """
     loop = EpollLoop()
     frames: list[pb.PlacerFrame] = []
 
     def main(scope: Scope) -> Co[int]:
         link = OwnerLink(loop, scope, address_of(address), "cli", frames.append, lambda resumed: None)
-        until = loop.now() + CONNECT_MS
+        deadline = loop.now() + CONNECT_TIMEOUT_MS
         while not link.up:
-            if loop.now() > until:
+            if loop.now() > deadline:
                 print(f"sprucepost: no placer answers at {address}", file=sys.stderr)
                 scope.cancel()
                 return 3
             yield from sleep(5.0)
         link.submit(name, task, left_ms)
-        until = loop.now() + left_ms + 500.0
+        deadline = loop.now() + left_ms + 500.0
         shown, status = 0, 3
         while True:
             for frame in frames[shown:]:
@@ -47,10 +50,10 @@
                     return 0 if frame.ended.how == pb.Ended.DONE else 1
             shown = len(frames)
             if status == 0 and not follow:
-                yield from sleep(100.0)  # the acknowledgement goes out
+                yield from sleep(100.0)  # lets the acknowledgement go out
                 scope.cancel()
                 return 0
-            if status == 3 and loop.now() > until:
+            if status == 3 and loop.now() > deadline:
                 print("sprucepost: no answer in time", file=sys.stderr)
                 scope.cancel()
                 return 3
--- a/sprucepost/cli/tables.py
+++ b/sprucepost/cli/tables.py
@@ -1,11 +1,11 @@
-"""What ``badday`` and ``rules check`` print."""
+"""Text tables, and the reports of ``badday`` and ``rules check``."""
 
 from __future__ import annotations
 
 from collections import Counter
 from typing import Any
 
-UNDECIDED_MOST = 0.01  # share of the verdicts of a day that may be undecided
+MAX_UNDECIDED_SHARE = 0.01  # of the verdicts of a run
 OUTCOMES = (
     "asked",
     "placed",
@@ -21,7 +21,7 @@
 
 
 def table(head: list[str], rows: list[list[Any]]) -> str:
-    """Columns as wide as their widest entry; numbers to the right."""
+    """Return a table whose columns are as wide as their widest cell; numbers are aligned to the right."""
     text = [[str(cell) for cell in row] for row in rows]
     widths = [max(len(line[n]) for line in [head, *text]) for n in range(len(head))]
 
@@ -35,6 +35,7 @@
 
 
 def rules_table(rules: list[dict[str, Any]]) -> str:
+    """Return the counts of each rule's verdicts, with the first broken and undecided ones."""
     rows = [[rule["rule"], rule["checked"], len(rule["broken"]), len(rule["undecided"])] for rule in rules]
     lines = [table(["rule", "checked", "broken", "undecided"], rows)]
     for rule in rules:
@@ -44,13 +45,13 @@
 
 
 def problems(result: dict[str, Any]) -> list[str]:
-    """What was wrong with a day, a few words for each; none where it was good."""
+    """Return a short text for each failed check of a run; empty where all passed."""
     owners, rules, found = result["owners"], result["rules"], []
     found += [f"rule {rule['rule']} is broken" for rule in rules if rule["broken"]]
     checked, undecided = (
         sum(of(rule) for rule in rules) for of in (lambda r: r["checked"], lambda r: len(r["undecided"]))
     )
-    if undecided > UNDECIDED_MOST * checked:
+    if undecided > MAX_UNDECIDED_SHARE * checked:
         found.append(f"{undecided} of {checked} verdicts undecided")
     if owners["second_answers"]:
         found.append(f"{owners['second_answers']} second answers")
@@ -66,7 +67,10 @@
 
 
 def report(result: dict[str, Any]) -> tuple[str, bool]:
-    """The printed report, and whether the day was good: no rule broken, one outcome for each ask, clean exits."""
+    """Return the printed report and whether the run passed.
+
+    It passes where no rule is broken, each request has exactly one outcome and all processes exited with status 0.
+    """
     owners = result["owners"]
     classes = owners["classes"]
     shown = [name for name in OUTCOMES if any(cls["outcomes"].get(name) for cls in classes.values())]
