--- a/sprucepost/cli/runner.py
+++ b/sprucepost/cli/runner.py
@@ -2,8 +2,8 @@
 
 It opens each placer's listening sockets once and passes them to each successor, so that no connection is refused during
 a restart. It limits the number of concurrent starts, restarts crashed placers with exponential backoff, and does
-rolling restarts and resizes with announced generations. It is not a cluster's service manager: it supervises this machine only,
-and if it dies its placers keep running until they receive a signal.
+rolling restarts and resizes with announced generations. It is not a cluster's service manager: it supervises this
+machine only, and if it dies its placers keep running until they receive a signal.
 """
 
 from __future__ import annotations
--- a/tests/placer/test_lease.py
+++ b/tests/placer/test_lease.py
@@ -19,11 +19,11 @@
 
 from sprucepost.placer.lease import resolve, take_slot
 from sprucepost.settings import PlacerFile, SettingsError
-from tests.test_settings import good
+from tests.test_settings import valid_document
 
 
 def file(**changes: Any) -> PlacerFile:
-    raw = good()
+    raw = valid_document()
     raw["placer"] = {**raw["placer"], "number": -1, **changes}
     return msgspec.convert(raw, PlacerFile)
 
@@ -154,7 +154,7 @@
 def test_a_running_placer_takes_its_name_again(tmp_path: Path) -> None:
     folder, settings = tmp_path / "slots", tmp_path / "placer.json"
     folder.mkdir()
-    raw = good()
+    raw = valid_document()
     raw["placer"] = {**raw["placer"], "number": -1, "slots": str(folder), "list": "127.0.0.1:9"}
     settings.write_text(json.dumps(raw))
     command = [sys.executable, "-m", "sprucepost", "placer", str(settings)]
--- a/tests/placer/test_lifecycle.py
+++ b/tests/placer/test_lifecycle.py
@@ -25,7 +25,7 @@
 from sprucepost.settings.reload import changed_keys, restart_required
 from sprucepost.standin.tap import Condition
 from tests.placer.support import World, cluster, play, task
-from tests.test_settings import good
+from tests.test_settings import valid_document
 from tests.wire.support import wait_for
 
 FACTS = st.builds(
@@ -109,7 +109,7 @@
 def test_a_signal_right_after_the_announcement_finds_its_handler(tmp_path: Path) -> None:
     """On a busy machine the process was ended by a signal that came between its announcement and its handlers."""
     file = tmp_path / "placer.json"
-    file.write_text(json.dumps(good()))
+    file.write_text(json.dumps(valid_document()))
     for number in (signal.SIGHUP, signal.SIGTERM):
         process = start(file)
         assert process.stdout is not None
@@ -124,7 +124,7 @@
 
 def test_a_successor_takes_the_listening_socket_and_no_connection_is_refused(tmp_path: Path) -> None:
     file = tmp_path / "placer.json"
-    file.write_text(json.dumps(good()))
+    file.write_text(json.dumps(valid_document()))
     with socket.create_server(("127.0.0.1", 0), backlog=1024) as server:  # what waits while none accepts
         address = server.getsockname()
 
@@ -160,7 +160,7 @@
 
 def test_sighup_applies_a_good_file_whole_and_refuses_a_bad_one_whole(tmp_path: Path) -> None:
     file = tmp_path / "placer.json"
-    raw = good()
+    raw = valid_document()
     file.write_text(json.dumps(raw))
     process = start(file)
     assert process.stdout is not None
@@ -192,7 +192,7 @@
 
 
 def test_what_a_reload_may_change_is_listed() -> None:
-    old = msgspec.convert(good(), PlacerFile)
+    old = msgspec.convert(valid_document(), PlacerFile)
     new = msgspec.structs.replace(old, placer=msgspec.structs.replace(old.placer, stop_ms=3.0, zone="room-b"))
     assert changed_keys(old, new) == [("placer.stop_ms", None, 3.0), ("placer.zone", "room-a", "room-b")]
     assert [line.split(":")[0] for line in restart_required(changed_keys(old, new))] == ["placer.zone"]
--- a/tests/test_cli_configuration.py
+++ b/tests/test_cli_configuration.py
@@ -1,4 +1,4 @@
-"""``fleet config`` without a fleet: what can't be asked is one line and exit status 2."""
+"""``fleet config`` without a fleet: each error is one line on standard error and exit status 2."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 
 from sprucepost.cli.main import main
 
-NOBODY = "127.0.0.1:1"
+CLOSED_PORT = "127.0.0.1:1"
 
 
-def refused(*words: str) -> str:
-    """The one line that the command ends with."""
-    done = CliRunner().invoke(main, ["fleet", "config", *words])
-    assert done.exit_code == 2, done.output
-    assert done.stderr.startswith("sprucepost: ") and done.stderr.count("\n") == 1
-    return done.stderr
+def error_line(*arguments: str) -> str:
+    """Run a command that must fail; return its one line of error output."""
+    completed = CliRunner().invoke(main, ["fleet", "config", *arguments])
+    assert completed.exit_code == 2, completed.output
+    assert completed.stderr.startswith("sprucepost: ") and completed.stderr.count("\n") == 1
+    return completed.stderr
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("arguments", "expected"),
     [
-        (("apply", NOBODY, "cluster.max_attempts"), "not KEY=VALUE"),
-        (("apply", NOBODY, "=3"), "not KEY=VALUE"),
-        (("apply", NOBODY, "a=1", "a=2"), "a: appears twice"),
-        (("apply", NOBODY, "a=1", "--author", "\udcff"), "UTF-8"),
-        (("apply", NOBODY, "a=1", "--file", "/nowhere/at/all"), "No such file"),
-        (("apply", NOBODY, "a=1"), NOBODY),
-        (("status", NOBODY), NOBODY),
-        (("history", NOBODY), NOBODY),
-        (("rollback", NOBODY, "1@p0/x"), NOBODY),
+        (("apply", CLOSED_PORT, "cluster.max_attempts"), "not KEY=VALUE"),
+        (("apply", CLOSED_PORT, "=3"), "not KEY=VALUE"),
+        (("apply", CLOSED_PORT, "a=1", "a=2"), "a: appears twice"),
+        (("apply", CLOSED_PORT, "a=1", "--author", "\udcff"), "UTF-8"),
+        (("apply", CLOSED_PORT, "a=1", "--file", "/nowhere/at/all"), "No such file"),
+        (("apply", CLOSED_PORT, "a=1"), CLOSED_PORT),
+        (("status", CLOSED_PORT), CLOSED_PORT),
+        (("history", CLOSED_PORT), CLOSED_PORT),
+        (("rollback", CLOSED_PORT, "1@p0/x"), CLOSED_PORT),
     ],
 )
-def test_what_cannot_be_asked_is_one_line(words: tuple[str, ...], said: str) -> None:
-    assert said in refused(*words)
+def test_invalid_argument_or_unreachable_placer_is_one_line(arguments: tuple[str, ...], expected: str) -> None:
+    assert expected in error_line(*arguments)
 
 
 @pytest.mark.parametrize("text", ["", "[1]", "{", "[" * 100_000, '{"a":' * 900 + "1" + "}" * 900])
-def test_a_file_that_is_no_object_is_one_line(tmp_path: Path, text: str) -> None:
+def test_file_without_a_json_object_is_one_line(tmp_path: Path, text: str) -> None:
     path = tmp_path / "keys.json"
     path.write_text(text)
-    refused("apply", NOBODY, "--file", str(path))
+    error_line("apply", CLOSED_PORT, "--file", str(path))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet runner, and a day of a small fleet: started, resized both ways and rolled under load, judged from the bytes."""
+"""The fleet runner; and a small fleet that is resized both ways and restarted under load, checked from its traffic."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any
 
 from benchmarks.fleet_day import Day
-from tests.test_settings import good
+from tests.test_settings import valid_document
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -23,7 +23,7 @@
     )
 
 
-def test_a_fleet_of_24_is_resized_and_rolled_under_load_without_losing_a_task(tmp_path: Path) -> None:
+def test_fleet_of_24_is_resized_and_restarted_under_load_without_losing_a_task(tmp_path: Path) -> None:
     day = Day(24, 8, 6, 6.0, 30.0, tmp_path, short=True)
     assert day.play(), day.result
     result: dict[str, Any] = day.result
@@ -33,15 +33,15 @@
     )
 
 
-def test_a_crashed_placer_is_started_again_on_its_socket(tmp_path: Path) -> None:
+def test_crashed_placer_is_restarted_on_its_socket(tmp_path: Path) -> None:
     file = tmp_path / "placer.json"
-    raw = good()
+    raw = valid_document()
     raw["placer"]["list"] = "127.0.0.1:9"
     file.write_text(json.dumps(raw))
     folder = tmp_path / "fleet"
-    # Without a list none becomes ready: the runner says so and leaves none behind.
-    late = run("status", "--dir", str(folder))
-    assert late.returncode == 2 and "no fleet runs here" in late.stderr
+    # Without a list no placer becomes ready: the runner reports it and leaves no process behind.
+    completed = run("status", "--dir", str(folder))
+    assert completed.returncode == 2 and "no fleet runs here" in completed.stderr
     from sprucepost.cli.runner import Runner
 
     folder.mkdir()
@@ -55,12 +55,12 @@
         first.process.kill()
         first.process.wait()
         assert runner.state(first) == "down"
-        until = time.monotonic() + 5.0
-        said: list[str] = []
-        while not said and time.monotonic() < until:
-            said += runner.restart_crashed()
+        deadline = time.monotonic() + 5.0
+        reports: list[str] = []
+        while not reports and time.monotonic() < deadline:
+            reports += runner.restart_crashed()
             time.sleep(0.05)
-        assert said == ["placer 0 ended with status -9, started again"]
+        assert reports == ["placer 0 ended with status -9, started again"]
         assert runner.state(first) == "no list of machines yet" and first.address(first.grpc) == address
         assert first.restarts == 1 and first.pause_s > 0.5
         assert runner.stop(0) == 0
--- a/tests/test_generated.py
+++ b/tests/test_generated.py
@@ -1,4 +1,4 @@
-"""The committed protobuf modules are what ``proto/`` says."""
+"""The committed protobuf modules match the definitions in ``proto/``."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_generated_code_is_fresh() -> None:
-    run = subprocess.run([sys.executable, "tools/proto.py", "--check"], cwd=ROOT, capture_output=True, text=True)
-    assert run.returncode == 0, run.stdout + run.stderr
+def test_generated_code_is_up_to_date() -> None:
+    completed = subprocess.run([sys.executable, "tools/proto.py", "--check"], cwd=ROOT, capture_output=True, text=True)
+    assert completed.returncode == 0, completed.stdout + completed.stderr
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""The limits of the decision module, and the README's example."""
+"""Limits on the decision module, the README's example, and the build and run commands of the deployment."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 LONGEST_FUNCTION_LINES = 34
 
 
-def test_functions_of_the_decision_module_stay_short() -> None:
+def test_functions_of_the_decision_module_are_short() -> None:
     source = MODULE.read_text(encoding="utf-8")
     functions = [
         node for node in ast.walk(ast.parse(source)) if isinstance(node, (ast.FunctionDef, ast.AsyncFunctionDef))
@@ -25,7 +25,7 @@
     assert "sprucepost/interface.py" in (ast.get_docstring(ast.parse(MODULE.read_text(encoding="utf-8"))) or "")
 
 
-def test_only_the_standard_library_is_used_and_no_wall_clock() -> None:
+def test_library_imports_only_the_standard_library_and_no_wall_clock() -> None:
     for path in (ROOT / "sprucepost").glob("*.py"):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
             names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
@@ -36,15 +36,15 @@
                 assert top not in ("time", "datetime")
 
 
-def test_the_example_in_the_readme_runs() -> None:
+def test_readme_example_runs() -> None:
     blocks = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(encoding="utf-8"), re.DOTALL)
     scope: dict[str, object] = {}
     exec(blocks[0], scope)
     assert "Offer" in [type(action).__name__ for action in scope["actions"]]  # type: ignore[attr-defined]
 
 
-def test_every_benchmark_and_tool_still_finds_what_it_imports() -> None:
-    """They are run by hand: a module that moved would be missed only then."""
+def test_benchmarks_and_tools_can_be_imported() -> None:
+    """Benchmarks and tools are run by hand, so that nothing else would report an import of a moved module."""
     import importlib
 
     names = [
@@ -55,11 +55,11 @@
         importlib.import_module(name)
 
 
-def deployed(name: str) -> str:
+def deploy_value(name: str) -> str:
     return str(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))[name])
 
 
-def test_the_build_repairs_an_environment_that_is_half_there(tmp_path: Path) -> None:
+def test_build_repairs_an_incomplete_environment(tmp_path: Path) -> None:
     for name in ("sprucepost", "requirements.txt"):
         source = ROOT / name
         if source.is_dir():
@@ -72,16 +72,16 @@
     site = tmp_path / ".venv" / "lib" / f"python{sys.version_info[0]}.{sys.version_info[1]}" / "site-packages" / "h11"
     site.mkdir(parents=True)
     (site / "__init__.py").write_text("raise ImportError('cut off')\n")
-    shutil.copy(ROOT / "requirements.txt", tmp_path / ".venv" / "built")  # whole by its stamp
-    subprocess.run(["/bin/sh", "-c", deployed("build")], cwd=tmp_path, check=True, capture_output=True)
+    shutil.copy(ROOT / "requirements.txt", tmp_path / ".venv" / "built")  # the stamp marks the environment as complete
+    subprocess.run(["/bin/sh", "-c", deploy_value("build")], cwd=tmp_path, check=True, capture_output=True)
     done = subprocess.run(
-        ["/bin/sh", "-c", deployed("run")], cwd=tmp_path, env={"PATH": "/usr/bin:/bin"}, capture_output=True, text=True,
+        ["/bin/sh", "-c", deploy_value("run")], cwd=tmp_path, env={"PATH": "/usr/bin:/bin"}, capture_output=True, text=True,
         check=False,
     )  # fmt: skip
     assert (done.returncode, done.stderr.count("\n")) == (2, 1) and done.stderr.startswith("sprucepost: "), done.stderr
 
 
-def test_what_is_run_is_one_process_by_exec() -> None:
-    ignore, run = deployed("run").split("; ")  # the shell itself ignores SIGHUP, and is then replaced
+def test_run_command_replaces_the_shell_by_exec() -> None:
+    ignore, run = deploy_value("run").split("; ")  # the shell ignores SIGHUP before exec replaces it
     assert ignore == "trap '' HUP"
     assert run.split()[0] == "exec" and not set(run) & set("|&;()`$<>")
--- a/tests/test_running_settings.py
+++ b/tests/test_running_settings.py
@@ -1,4 +1,4 @@
-"""Which keys a running placer takes, and what is said of those that it doesn't."""
+"""Which keys may change while placers run, and the errors for those that may not."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from sprucepost.settings.running import ClusterValidator, changeable_keys, flat_cluster, key_refusal
 from tests.placer.support import cluster
 
-SHARED = [Tenant("red", 1.0, 40.0), Tenant("blue", 2.0)]
+TENANTS = [Tenant("red", 1.0, 40.0), Tenant("blue", 2.0)]
 
 
 def deployment(**changes: Any) -> Cluster:
-    return cluster(tenants=SHARED, **changes)
+    return cluster(tenants=TENANTS, **changes)
 
 
 def values(file: Cluster) -> dict[str, Any]:
@@ -23,12 +23,12 @@
     return {key: value for key, value in flat_cluster(file).items() if key in keys}
 
 
-def test_the_files_own_values_make_the_file() -> None:
+def test_values_of_the_file_reproduce_the_file() -> None:
     file = deployment()
     assert ClusterValidator(file).cluster(values(file)) == file
 
 
-def test_values_replace_those_of_the_file() -> None:
+def test_changed_values_replace_those_of_the_file() -> None:
     changed = {"cluster.max_attempts": 7, "cluster.tenants[blue].quota_cores": 12, "cluster.classes[web].worth": 4.5}
     found = ClusterValidator(deployment()).cluster({**values(deployment()), **changed})
     assert found.max_attempts == 7
@@ -49,19 +49,19 @@
         ("cluster.classes[bill].late_worth", [1]),
     ],
 )
-def test_a_fault_is_one_line_that_names_the_key(key: str, value: Any) -> None:
+def test_invalid_value_is_one_line_that_names_the_key(key: str, value: Any) -> None:
     (problem,) = ClusterValidator(deployment())({**values(deployment()), key: value})
     assert problem.key == key
     assert problem.reason.startswith(f"{key}: ") and "\n" not in problem.reason
 
 
-def test_a_tenant_cannot_be_removed_by_its_keys() -> None:
-    kept = {key: value for key, value in values(deployment()).items() if "[red]" not in key}
-    (problem,) = ClusterValidator(deployment())(kept)
+def test_tenant_cannot_be_removed_by_removing_its_keys() -> None:
+    remaining = {key: value for key, value in values(deployment()).items() if "[red]" not in key}
+    (problem,) = ClusterValidator(deployment())(remaining)
     assert problem.reason == "cluster.tenants[red]: can't be removed while placers run"
 
 
-def test_a_required_key_cannot_be_removed_and_one_with_a_default_can() -> None:
+def test_only_keys_with_a_default_can_be_removed() -> None:
     validator, present = ClusterValidator(deployment()), values(deployment())
     del present["cluster.tenants[red].quota_cores"]
     assert not validator(present)
@@ -70,15 +70,15 @@
     assert validator(present)
 
 
-def test_the_fixed_fingerprint_is_of_what_only_a_restart_changes() -> None:
+def test_fixed_fingerprint_covers_the_keys_that_need_a_restart() -> None:
     fingerprint = ClusterValidator(deployment()).fixed_fingerprint
     assert ClusterValidator(deployment(max_attempts=9)).fixed_fingerprint == fingerprint
     assert ClusterValidator(deployment(fall_ms=2500.0)).fixed_fingerprint != fingerprint
-    assert ClusterValidator(cluster(tenants=SHARED[:1])).fixed_fingerprint != fingerprint
+    assert ClusterValidator(cluster(tenants=TENANTS[:1])).fixed_fingerprint != fingerprint
 
 
 @pytest.mark.parametrize(
-    ("key", "words"),
+    ("key", "expected"),
     [
         ("cluster.max_attempts", ""),
         ("cluster.tenants[red].share", ""),
@@ -89,6 +89,6 @@
         ("placer.instances", "placer's own file"),
     ],
 )
-def test_keys_that_no_change_may_name(key: str, words: str) -> None:
+def test_refusal_of_a_key_says_why(key: str, expected: str) -> None:
     line = key_refusal(key, deployment())
-    assert (line == "") == (words == "") and words in line and (line == "" or line.startswith(f"{key}: "))
+    assert (line == "") == (expected == "") and expected in line and (line == "" or line.startswith(f"{key}: "))
