--- a/sprucepost/interface.py
+++ b/sprucepost/interface.py
@@ -332,8 +332,8 @@
 
     def __post_init__(self) -> None:
         _check("n_instances", self.n_instances >= 1, "must be at least 1")
-        _check("seats", self.slots >= 0, "must not be negative")
-        _check("seat", 0 <= self.slot < max(1, self.slots), "must be below seats")
+        _check("slots", self.slots >= 0, "must not be negative")
+        _check("slot", 0 <= self.slot < max(1, self.slots), "must be below slots")
 
 
 Event = (
