--- a/sprucepost/membership/__init__.py
+++ b/sprucepost/membership/__init__.py
@@ -1,8 +1,9 @@
-"""Who the placers are: their number and size as a generation, and what a change of size means for shared budgets.
+"""The number and size of the placers as a generation, and how a change of size affects shared limits.
 
-Free of I/O, clock and the decision module: facts and the time go in, a :class:`SlotAssignment` comes out. Each placer
-works out the same from what it was told and its aligned clock; where placers keep a view (docs/view.md), ``resize`` says
-which of several generations counts and when a change is over.
+The package has no I/O, no clock and no scheduling decisions: it turns a generation and the time into a
+:class:`SlotAssignment`. Each placer computes its own from what it has been told and its aligned clock, and all reach
+the same result. Where placers keep a view of the fleet (docs/view.md), ``resize`` decides which of several generations
+counts and when a change of size is over.
 """
 
 from sprucepost.membership.generation import Generation, Phase, Side, SlotAssignment, assign_slot
--- a/sprucepost/membership/resize.py
+++ b/sprucepost/membership/resize.py
@@ -1,22 +1,23 @@
-"""A resize of a fleet whose placers see each other: which generation counts, who knows of it, when it is over.
-
-Each placer's record says under which generation it runs, so an operator need tell one of them only. What follows from the
-records is this, and nothing else of another placer is used:
-
-===============  ==============================================  ===================================================
-what             from                                            what for
-===============  ==============================================  ===================================================
-newer_generation           the highest number; of two with one number and  all run under one generation in the end
-                 unlike content the larger size (which spends
-                 less), then a fixed order
-is_disputed      a known placer holds another generation of the  nobody takes a seat until all have the same
-                 same number
-is_known_to_all  no known placer has an older generation         the new side takes its seats (else it is held)
-is_complete      every number of the new size is held by one     an end is proposed, ``END_NOTICE_MS`` ahead; of several
-                 who is here, and nobody else is known           proposals the earliest counts
-===============  ==============================================  ===================================================
-
-The end is a moment told ahead, not an order: all change seats at one time, which two layouts side by side would not bear.
+"""A change of size in a fleet whose placers see each other: which generation counts, who knows of it, when it is over.
+
+Each placer's record states the generation under which it runs, so an operator needs to tell only one placer. The
+following is derived from the records, and nothing else of another placer is used:
+
+================  =============================================  ===================================================
+result            derived from                                   purpose
+================  =============================================  ===================================================
+newer_generation  the highest number; for equal numbers with     all placers end up under one generation
+                  different contents the larger size (which
+                  offers less), then a fixed order
+is_disputed       a known placer has another generation of the   no placer has a slot until all have the same
+                  same number
+is_known_to_all   no known placer has an older generation        the new side takes its slots (otherwise it is held)
+is_complete       each number of the new size belongs to one     an end is proposed ``END_NOTICE_MS`` ahead; of
+                  reachable placer, and no other is known        several proposals the earliest counts
+================  =============================================  ===================================================
+
+The end is a time that is announced in advance, not a command: all placers change slots at the same moment, since the
+two layouts in use together would exceed the limit on offers to cold machines.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 
 from sprucepost.membership.generation import Generation
 
-END_NOTICE_MS = 15_000.0  # as long as docs/view.md promises for news to reach all who can be reached
+END_NOTICE_MS = 15_000.0  # docs/view.md promises that news reaches all reachable placers within this time
 
 
 @dataclass(frozen=True)
 class KnownPlacer:
-    """Another placer that has not left, as its record tells it: here, or away."""
+    """Another placer that has not left, from its record."""
 
     number: int
     generation: Generation
@@ -39,7 +40,7 @@
 
 
 def newer_generation(one: Generation, other: Generation) -> Generation:
-    """The generation that counts: commutative, associative, idempotent."""
+    """Return the generation that counts of two. Commutative, associative and idempotent."""
     if one.order != other.order:
         return one if one.order > other.order else other
     ends = [generation.over_ms for generation in (one, other) if generation.over_ms is not None]
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Resize:
-    """What a placer of that number knows of a resize: its own generation, and those of the others."""
+    """A change of size as one placer knows it: its own number and generation, and the other known placers."""
 
     number: int
     generation: Generation
@@ -57,9 +58,9 @@
     @property
     def is_disputed(self) -> bool:
         """Whether another placer has another generation of the same number."""
-        mine = self.generation
+        own = self.generation
         return any(
-            other.generation.number == mine.number and other.generation.order != mine.order for other in self.others
+            other.generation.number == own.number and other.generation.order != own.order for other in self.others
         )
 
     @property
@@ -69,7 +70,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the fleet is what this generation wants it to be, and everybody runs under it."""
+        """Whether the fleet has exactly this generation's numbers, all reachable and running under it."""
         numbers = [self.number, *(other.number for other in self.others)]
         return (
             all(other.is_reachable and other.generation.order == self.generation.order for other in self.others)
@@ -78,9 +79,9 @@
         )
 
     def propose_end(self, now_ms: float) -> Generation | None:
-        """The generation with an end proposed, where the resize can end before its overlap does; else None."""
-        mine = self.generation
-        if mine.previous is None or mine.over_ms is not None or now_ms < mine.begins_ms or not self.is_complete:
+        """Return the generation with a proposed end, or None where the change cannot end before its overlap does."""
+        own = self.generation
+        if own.previous is None or own.over_ms is not None or now_ms < own.begins_ms or not self.is_complete:
             return None
         ends = now_ms + END_NOTICE_MS
-        return replace(mine, over_ms=ends) if ends < mine.ends_ms else None
+        return replace(own, over_ms=ends) if ends < own.ends_ms else None
--- a/sprucepost/membership/skew.py
+++ b/sprucepost/membership/skew.py
@@ -1,37 +1,41 @@
-"""A clock that is far off must not take part in what is shared out by time."""
+"""Detection of a host clock that is too far off to share limits which are divided by time."""
 
 from __future__ import annotations
 
 
 class ClockSkewMonitor:
-    """Judges this host's clock by the times that the list puts on its updates.
+    """Measures the skew of this host's clock by the timestamps of the list's updates.
 
-    Windows of cold machines are cut by the wall clock, and placers must agree on it. All hear the same list, so its time is
-    what they agree on. An update is never from the future: ``wall - told`` is this host's lead plus the update's way, and
-    the smallest of the latest few is the best guess at the lead alone. The placer's clock follows ``wall - lead`` at its
-    own pace; while it is off from that by more than ``most_ms`` it takes no seat, and it returns within half of that.
+    The windows in which offers to cold machines are counted follow the wall clock, so placers must agree on it. All
+    receive the same list, whose time serves as the reference. An update never comes from the future: ``wall - list`` is
+    this host's lead plus the update's delay, and the minimum over the latest samples is the best estimate of the lead
+    alone. The placer's clock is slewed towards ``wall - lead``. While the clock is off by more than ``max_error_ms``
+    the placer takes no slot; it returns once the error is within half of that.
     """
 
-    KEPT = 8
+    SAMPLE_COUNT = 8
 
-    def __init__(self, most_ms: float) -> None:
-        if most_ms <= 0:
-            raise ValueError("most_ms: must be above 0")
-        self._most = most_ms
-        self._leads: list[float] = []
+    def __init__(self, max_error_ms: float) -> None:
+        if max_error_ms <= 0:
+            raise ValueError("max_error_ms: must be above 0")
+        self._max_error_ms = max_error_ms
+        self._lead_samples_ms: list[float] = []
         self.is_skewed = False
 
     @property
     def lead_ms(self) -> float:
-        """The best guess at how far this clock is ahead; 0 before any update."""
-        return min(self._leads, default=0.0)
-
-    def record_update(self, now_ms: float, wall_ms: float, told_ms: float) -> bool:
-        """An update with the list's own time, by the placer's clock and the host's; whether the verdict has changed."""
-        if told_ms <= 0:
-            return False  # a list that does not tell its time
-        self._leads = [*self._leads, wall_ms - told_ms][-self.KEPT :]
-        error = abs(now_ms - (wall_ms - self.lead_ms))
-        before = self.is_skewed
-        self.is_skewed = error > (self._most / 2 if self.is_skewed else self._most)
-        return self.is_skewed is not before
+        """The estimate of how far this host's clock is ahead, in ms; 0 before any update."""
+        return min(self._lead_samples_ms, default=0.0)
+
+    def record_update(self, now_ms: float, wall_ms: float, list_ms: float) -> bool:
+        """Record an update of the list and return whether ``is_skewed`` has changed.
+
+        ``now_ms`` is the placer's clock, ``wall_ms`` the host's, ``list_ms`` the list's own time.
+        """
+        if list_ms <= 0:
+            return False  # the list does not report its time
+        self._lead_samples_ms = [*self._lead_samples_ms, wall_ms - list_ms][-self.SAMPLE_COUNT :]
+        error_ms = abs(now_ms - (wall_ms - self.lead_ms))
+        was_skewed = self.is_skewed
+        self.is_skewed = error_ms > (self._max_error_ms / 2 if self.is_skewed else self._max_error_ms)
+        return self.is_skewed is not was_skewed
