--- a/sprucepost/placer/__init__.py
+++ b/sprucepost/placer/__init__.py
@@ -1,15 +1,21 @@
-"""The placer daemon: owners on one side, machines and the list on the other, the decision module in between.
+"""The placer daemon: owners on one side, machines and the list on the other, the scheduler in between.
 
-============ ===================================================================================
-``ledger``   every task taken and its one outcome; what a late word means. Free of I/O and clock
-``engine``   wire to the module's events, its actions to the wire
-``owners``   the Submit service: sessions, resumption
-``links``    streams to machines: attaching, resumption, what is held back or void
-``fleet``    the list of machines, asked for when the module says so
-``pages``    health, readiness and metrics over HTTP
-``log``      structured logs
-``daemon``   puts these together; start, signals, stop
-============ ===================================================================================
+========================== =================================================================================
+``engine``                 connects the parts on a task's path, and passes wire messages to the part concerned
+``owners``                 the Submit service: owners' sessions and their resumption
+``links``                  streams to machines: attaching, resumption, offers that must no longer be sent
+``discovery``              the watch on the list of machines, started when the scheduler asks for it
+``fleet_membership``       what the view of the fleet means for this placer's number and generation
+``configuration``          the deployment's configuration as agreed by the fleet
+``configuration_service``  the gRPC service for operators' requests about the configuration
+``lifecycle``              the daemon's states: starting, joining, ready, conflict, draining, stopped
+``lease``                  the placer's number, and the slot file that holds it
+``pages``                  health, readiness, metrics and status over HTTP
+``notify``                 the service manager's protocols
+``log``                    structured logs
+``daemon``                 assembles these parts: start, reload, stop
+``process``                a placer as a process: signals, settings file, announcement
+========================== =================================================================================
 
-Only the module decides where a task goes. What is decided here is settlement: which answer counts.
+Only the scheduler decides where a task goes. The placer decides which answer settles a task.
 """
--- a/sprucepost/placer/configuration.py
+++ b/sprucepost/placer/configuration.py
@@ -1,4 +1,4 @@
-"""The deployment's configuration in a running placer: its replica, what is put in force, and what is shown of it."""
+"""The deployment's configuration in a running placer: its replica, how it takes effect, and the page that shows it."""
 
 from __future__ import annotations
 
@@ -15,26 +15,34 @@
 from sprucepost.settings import Cluster, ConfigurationOptions
 from sprucepost.settings.running import ClusterValidator, changeable_keys, flat_cluster, key_refusal
 
-KEYS_SHOWN = 64  # of one change, in a log line and on the page
-HISTORY_SHOWN = 100  # latest changes on the page
+MAX_SHOWN_KEYS = 64  # per change, in a log line and on the page
+MAX_SHOWN_CHANGES = 100  # the latest changes on the page
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigurationHost:
-    """What the placer gives: ``take`` puts a deployment's settings in force, ``info`` and ``warn`` log an event."""
+class ConfigurationCallbacks:
+    """The placer's callbacks: ``apply`` puts settings into effect, ``info`` and ``warn`` log an event."""
 
-    take: Callable[[Cluster], None]
+    apply: Callable[[Cluster], None]
     info: Callable[..., None]
     warn: Callable[..., None]
 
 
 class PlacerConfiguration:
-    """``origin`` is unique to this life of this placer."""
+    """One placer's part in the configuration that the fleet agrees on.
+
+    ``origin`` is unique to this process; it identifies the changes proposed here.
+    """
 
     def __init__(
-        self, loop: Loop, file_cluster: Cluster, options: ConfigurationOptions, origin: str, host: ConfigurationHost
+        self,
+        loop: Loop,
+        file_cluster: Cluster,
+        options: ConfigurationOptions,
+        origin: str,
+        callbacks: ConfigurationCallbacks,
     ) -> None:
-        self._loop, self._file_cluster, self.options, self._host = loop, file_cluster, options, host
+        self._loop, self._file_cluster, self.options, self._callbacks = loop, file_cluster, options, callbacks
         self.validator = ClusterValidator(file_cluster)
         self.replica = ConfigurationReplica(
             origin,
@@ -44,16 +52,16 @@
             loop.now(),
             Limits(horizon_ms=options.horizon_ms),
         )
-        self.carrier = ConfigurationCarrier(self.replica, loop.now, self._told)
+        self.carrier = ConfigurationCarrier(self.replica, loop.now, self._on_event)
         self._in_force: Mapping[str, Value] = dict(self.replica.configuration)
 
     @property
     def agreed(self) -> bool:
-        """Whether the fleet has a configuration; until its first change each placer runs with its own file."""
+        """Whether the fleet has a configuration; until its first change each placer uses its own file."""
         return self.replica.agreed is not None
 
     def propose(self, proposal: Proposal) -> Receipt:
-        """An operator's change; the receipt's refusal is one line that names the key."""
+        """Propose an operator's change. The refusal in the receipt, if any, is one line that names the key."""
         for edit in proposal.edits:
             refusal = key_refusal(edit.key, self._file_cluster)
             if refusal:
@@ -61,51 +69,56 @@
         return self.carrier.propose(proposal)
 
     def rollback(self, position: Position, author: str, comment: str) -> Receipt:
-        """A new change that restores the values as they were right after that one."""
+        """Propose a change that restores the values as they were right after the change at ``position``."""
         return self.carrier.rollback(position, author, comment, self._loop.wall())
 
     def ineffective_keys(self, new: Cluster) -> list[str] | None:
-        """Keys by which that file's deployment differs from this placer's, where the fleet's configuration stands above all
-        of them; None where a key differs that it doesn't hold, or there is none."""
+        """Return the keys in which a file's deployment differs from this placer's, if the fleet's configuration sets
+        them all.
+
+        None if a differing key is not part of that configuration, or the fleet has none.
+        """
         before, after = flat_cluster(self._file_cluster), flat_cluster(new)
         differing = sorted(key for key in before.keys() | after.keys() if before.get(key) != after.get(key))
         changeable = changeable_keys(self._file_cluster)
         return differing if self.agreed and all(key in changeable for key in differing) else None
 
-    # Events of the replica
+    # Events of the replica.
 
-    def _told(self, event: Event) -> None:
+    def _on_event(self, event: Event) -> None:
         if isinstance(event, InForce):
-            self._take()
+            self._apply()
         elif isinstance(event, Held):
-            self._host.warn("configuration_held", key=event.key, line=event.line)
+            self._callbacks.warn("configuration_held", key=event.key, line=event.line)
         elif isinstance(event, Overwritten):
-            self._host.warn("configuration_overwritten", change=str(event.position), key=event.key, by=str(event.by))
+            self._callbacks.warn(
+                "configuration_overwritten", change=str(event.position), key=event.key, by=str(event.by)
+            )
         elif isinstance(event, Refused):
-            self._host.warn("configuration_refused", change=str(event.position), line=event.line)
+            self._callbacks.warn("configuration_refused", change=str(event.position), line=event.line)
         elif isinstance(event, SetAside):
-            self._host.warn("configuration_set_aside", change=str(event.position))
+            self._callbacks.warn("configuration_set_aside", change=str(event.position))
         elif isinstance(event, Diverged):
-            self._host.warn("configuration_diverged", version=str(event.version))
+            self._callbacks.warn("configuration_diverged", version=str(event.version))
 
-    def _take(self) -> None:
+    def _apply(self) -> None:
         before, self._in_force = self._in_force, dict(self.replica.configuration)
-        self._host.take(self.validator.cluster(self._in_force))
+        self._callbacks.apply(self.validator.cluster(self._in_force))
         keys = sorted(before.keys() | self._in_force.keys())
         changed = [key for key in keys if before.get(key) != self._in_force.get(key)]
         version = self.replica.version
-        self._host.info(
+        self._callbacks.info(
             "configuration",
             number=version.number,
             digest=f"{version.digest:016x}",
-            keys=changed[:KEYS_SHOWN],
+            keys=changed[:MAX_SHOWN_KEYS],
             at_ms=round(self._loop.wall(), 3),
         )
 
-    # What is shown
+    # Status page.
 
-    def shown(self) -> dict[str, Any]:
-        """The page."""
+    def status(self) -> dict[str, Any]:
+        """Return the contents of the configuration page."""
         replica, held = self.replica, self.replica.held
         return {
             "version": str(replica.version),
@@ -115,11 +128,11 @@
             "in_force": dict(replica.configuration),
             "held": None if held is None else {"key": held.key, "line": held.line},
             "peers": self.carrier.connected,
-            "history": [_shown_entry(entry) for entry in replica.history[-HISTORY_SHOWN:]],
+            "history": [_entry_status(entry) for entry in replica.history[-MAX_SHOWN_CHANGES:]],
         }
 
 
-def _shown_entry(entry: HistoryEntry) -> dict[str, Any]:
+def _entry_status(entry: HistoryEntry) -> dict[str, Any]:
     change = entry.change
     return {
         "position": str(change.position),
@@ -129,7 +142,7 @@
         "baseline": change.baseline,
         "state": entry.state.value,
         "line": entry.line,
-        "edits": {edit.key: None if edit.removed else edit.value for edit in change.edits[:KEYS_SHOWN]},
-        "removed": [edit.key for edit in change.edits[:KEYS_SHOWN] if edit.removed],
-        "superseded_by": {key: str(by) for key, by in sorted(entry.superseded_by.items())[:KEYS_SHOWN]},
+        "edits": {edit.key: None if edit.removed else edit.value for edit in change.edits[:MAX_SHOWN_KEYS]},
+        "removed": [edit.key for edit in change.edits[:MAX_SHOWN_KEYS] if edit.removed],
+        "superseded_by": {key: str(by) for key, by in sorted(entry.superseded_by.items())[:MAX_SHOWN_KEYS]},
     }
--- a/sprucepost/placer/configuration_service.py
+++ b/sprucepost/placer/configuration_service.py
@@ -1,4 +1,4 @@
-"""Operators' requests about the configuration, on the placer's gRPC port."""
+"""The gRPC service for operators' requests about the configuration, on the placer's port."""
 
 from __future__ import annotations
 
@@ -19,42 +19,42 @@
 
 
 class ConfigurationService:
-    """Answers them from one placer's configuration."""
+    """Answers requests from one placer's configuration."""
 
     def __init__(self, loop: Loop, configuration: PlacerConfiguration) -> None:
         self._loop, self._configuration = loop, configuration
 
     def methods(self) -> dict[str, Method]:
-        """What the gRPC port serves."""
+        """Return the service's methods by path."""
         return {
             SHOW_PATH: unary(pb.ConfigurationShowRequest.FromString, self._show),
             PROPOSE_PATH: unary(pb.ConfigurationProposal.FromString, self._propose),
         }
 
     def _show(self, request: pb.ConfigurationShowRequest, call: ServerCall) -> Co[pb.ConfigurationShown]:
-        return pb.ConfigurationShown(json=json.dumps(self._configuration.shown()))
+        return pb.ConfigurationShown(json=json.dumps(self._configuration.status()))
         yield
 
     def _propose(self, request: pb.ConfigurationProposal, call: ServerCall) -> Co[pb.ConfigurationReceipt]:
-        receipt = self._decided(request)
+        receipt = self._decide(request)
         position = "" if receipt.position is None else str(receipt.position)
         return pb.ConfigurationReceipt(version=str(receipt.version), position=position, refusal=receipt.refusal)
         yield
 
-    def _decided(self, request: pb.ConfigurationProposal) -> Receipt:
+    def _decide(self, request: pb.ConfigurationProposal) -> Receipt:
         configuration = self._configuration
         if not configuration.options.takes_changes:
-            return self._refused("this placer takes no changes: placer.peers.configuration.takes_changes is false")
+            return self._refusal("this placer takes no changes: placer.peers.configuration.takes_changes is false")
         try:
             if request.rollback_to:
-                position = read_position(request.rollback_to)
+                position = parse_position(request.rollback_to)
                 return configuration.rollback(position, request.author, request.comment)
             return configuration.propose(self._proposal(request))
         except (Malformed, ValueError) as error:
-            return self._refused(str(error))
+            return self._refusal(str(error))
 
-    def _refused(self, line: str) -> Receipt:
-        return Receipt(self._configuration.replica.version, refusal=line)
+    def _refusal(self, reason: str) -> Receipt:
+        return Receipt(self._configuration.replica.version, refusal=reason)
 
     def _proposal(self, request: pb.ConfigurationProposal) -> Proposal:
         return Proposal(
@@ -62,7 +62,7 @@
             request.author,
             request.comment,
             self._loop.wall(),
-            read_version(request.against) if request.against else None,
+            parse_version(request.against) if request.against else None,
         )
 
 
@@ -75,16 +75,16 @@
         raise Malformed(f"{edit.key}: {error}") from error
 
 
-def read_position(text: str) -> Position:
-    """A position as it is shown; ValueError, one line, where it is none."""
+def parse_position(text: str) -> Position:
+    """Parse a position as the history shows it. Raises ValueError with one line if the text is not a position."""
     clock, _, origin = text.partition("@")
     if not clock.isdecimal() or not origin:
         raise ValueError(f"{text!r} isn't a change: CLOCK@ORIGIN, as the history shows it")
     return Position(int(clock), origin)
 
 
-def read_version(text: str) -> Version:
-    """A version as it is shown; ValueError, one line, where it is none."""
+def parse_version(text: str) -> Version:
+    """Parse a version as the status shows it. Raises ValueError with one line if the text is not a version."""
     number, _, digest = text.partition("-")
     try:
         return Version(int(number), int(digest, 16))
--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -10,13 +10,13 @@
 from sprucepost.loop import Address, Co, Listener, Loop, Queue, Scope, Timer, sleep
 from sprucepost.membership import Generation, Side
 from sprucepost.peers import Peers
-from sprucepost.placer.configuration import ConfigurationHost, PlacerConfiguration
+from sprucepost.placer.configuration import ConfigurationCallbacks, PlacerConfiguration
 from sprucepost.placer.configuration_service import SERVICE as CONFIGURATION_SERVICE
 from sprucepost.placer.configuration_service import ConfigurationService
 from sprucepost.placer.discovery import DiscoveryWatch, WatchOptions
 from sprucepost.placer.engine import Engine
 from sprucepost.placer.fleet_membership import FleetMembership, MembershipCallbacks
-from sprucepost.placer.lifecycle import Facts, State, judge
+from sprucepost.placer.lifecycle import Conditions, State, next_state
 from sprucepost.placer.links import Links
 from sprucepost.placer.log import Logs
 from sprucepost.placer.notify import Notifier
@@ -177,12 +177,12 @@
         peers = self.file.placer.peers
         if peers is None or peers.configuration is None:
             return None
-        host = ConfigurationHost(
-            take=self.engine.set_cluster,
+        callbacks = ConfigurationCallbacks(
+            apply=self.engine.set_cluster,
             info=self._info,
             warn=lambda event, **more: self.log.warning(event, **more),
         )
-        return PlacerConfiguration(self.loop, self.file.cluster, peers.configuration, origin, host)
+        return PlacerConfiguration(self.loop, self.file.cluster, peers.configuration, origin, callbacks)
 
     def _membership(self) -> FleetMembership | None:
         if self.peers is None:
@@ -287,12 +287,12 @@
             self.log.warning("no_address", machine=machine, address=address)
 
     def list_age_ms(self) -> float:
-        heard = self.discovery.heard_at
+        heard = self.discovery.last_update_ms
         return float("inf") if heard is None else self.loop.now() - heard
 
     def not_ready(self) -> str:
         """Why no task should be sent here; empty when ready."""
-        return judge(self.state, self._facts())[1]
+        return next_state(self.state, self._conditions())[1]
 
     def start(self, listeners: dict[str, Listener] | None = None) -> None:
         """Bind the ports, or take those that were passed, and begin. OSError where a port cannot be bound."""
@@ -338,14 +338,14 @@
 
     # Life
 
-    def _facts(self) -> Facts:
-        return Facts(
+    def _conditions(self) -> Conditions:
+        return Conditions(
             listening=self.http is not None,
-            listed=self.engine.roster.listed,
+            has_list=self.engine.roster.listed,
             conflict=self.conflict or self.shared,
-            told_to_stop=self.stopping,
+            stop_requested=self.stopping,
             open_tasks=self.engine.ledger.open,
-            time_over=self._hurry or (self._stop_at is not None and self.loop.now() >= self._stop_at),
+            deadline_passed=self._hurry or (self._stop_at is not None and self.loop.now() >= self._stop_at),
         )
 
     def nudge(self) -> None:
@@ -357,7 +357,7 @@
     def _move(self) -> None:
         self._nudged = False
         before = self.state
-        self.state, why = judge(before, self._facts())
+        self.state, why = next_state(before, self._conditions())
         if self.peers is not None and (told := f"{self.state.value} {why}".strip()[:120]) != self.peers.view.me.status:
             self.peers.view.update(status=told)
         if self.state is before:
@@ -366,11 +366,11 @@
         for service in ("", SERVICE):
             self.health.set(service, SERVING if self.state is State.READY else NOT_SERVING)
         self.engine.intake.leaving = self.state not in (State.READY, State.JOINING, State.STARTING)
-        self.notifier.tell(STATUS=f"{self.state.value} {why}".strip())
+        self.notifier.notify(STATUS=f"{self.state.value} {why}".strip())
         if self.state is State.READY:
-            self.notifier.tell(READY="1")
+            self.notifier.notify(READY="1")
         elif self.state is State.DRAINING or (self.state is State.STOPPED and before is not State.DRAINING):
-            self.notifier.tell(STOPPING="1")
+            self.notifier.notify(STOPPING="1")
 
     def reload(self, new: PlacerFile) -> list[str]:
         """Apply other settings, whole or not at all; the lines that say why not."""
--- a/sprucepost/placer/discovery.py
+++ b/sprucepost/placer/discovery.py
@@ -1,4 +1,4 @@
-"""Service discovery: a watch on the list of machines, begun when the scheduler says so, turned into its entries."""
+"""Service discovery: a watch on the list of machines, started when the scheduler asks for it."""
 
 from __future__ import annotations
 
@@ -15,16 +15,19 @@
 WATCH_PATH = "/sprucepost.v1.Fleet/Watch"
 CONNECT_TIMEOUT_MS = 2000.0
 FIRST_UPDATE_TIMEOUT_MS = 5000.0  # for the first update of a watch
-SLOW_LIST_TIMEOUT_FACTOR = 8  # times that, once a call was not answered by then
-CONNECTION_OPTIONS = Options(
-    keepalive_ms=10_000.0, keepalive_wait_ms=5000.0
-)  # more pings than that are taken for a flood
-MISSED_HEARTBEATS = 3  # of silence after which a watch counts as broken: one may be late, two tell nothing of the cause
+SLOW_LIST_TIMEOUT_FACTOR = 8  # applied to that after a watch got no first update in time
+# A server treats more frequent pings than these as a flood.
+CONNECTION_OPTIONS = Options(keepalive_ms=10_000.0, keepalive_wait_ms=5000.0)
+MISSED_HEARTBEATS = 3  # a silent watch is broken after these; one may be late, and two don't show the cause
 
 
 @dataclass(frozen=True, slots=True)
 class WatchOptions:
-    """``address``: of the list. ``source``: the address to connect from. ``number``: this placer's."""
+    """What a watch needs to know.
+
+    ``address``: of the list. ``source``: the local address to connect from. ``number``: this placer's. ``zones`` and
+    ``kinds``: their names in the order of the settings.
+    """
 
     address: Address
     source: str | None
@@ -34,14 +37,15 @@
 
 
 class DiscoveryWatch:
-    """One watch at a time. ``on_list`` gets what the scheduler is told, ``on_address`` where each machine listens.
+    """Keeps at most one watch on the list.
 
-    A watch that breaks, or is silent for too long, is reported as a failed call; when to ask again is the scheduler's
-    decision.
+    ``on_list`` gets each update as the scheduler's event, ``on_address`` each machine's address, ``on_time`` the list's
+    own time in ms. A watch that breaks, or is silent for too long, is reported as a failed call; when to ask again is
+    the scheduler's decision.
 
-    A placer that was not answered in time waits much longer the next time: with the same time-out each time, 350 placers
-    that started together on a list that answers 15 a second threw away their places in its queue again and again, and all
-    but the first 75 never got it. Pings tell a list that is slow from one that is gone.
+    A watch that got no first update in time waits much longer the next time. With the same timeout each time, 350
+    placers that started together on a list that answers 15 calls a second kept giving up their places in its queue, and
+    all but the first 75 never got the list. Pings tell a slow list from one that is gone.
     """
 
     def __init__(
@@ -54,17 +58,17 @@
         on_time: Callable[[float], None],
     ) -> None:
         self._loop, self._scope, self._options = loop, scope, options
-        self._zones = {name: n for n, name in enumerate(options.zones)}
-        self._kinds = {name: n for n, name in enumerate(options.kinds)}
-        self._cells: dict[str, int] = {}
+        self._zone_indices = {name: index for index, name in enumerate(options.zones)}
+        self._kind_indices = {name: index for index, name in enumerate(options.kinds)}
+        self._cell_indices: dict[str, int] = {}
         self._on_list, self._on_address, self._on_time = on_list, on_address, on_time
         self._task: Task[None] | None = None
-        self._answer_timeout_ms = FIRST_UPDATE_TIMEOUT_MS
-        self.heard_at: float | None = None  # when the latest update came, on the loop's clock
+        self._first_update_timeout_ms = FIRST_UPDATE_TIMEOUT_MS
+        self.last_update_ms: float | None = None  # the time of the latest update, on the loop's clock
         self.failures = 0
 
     def start_watch(self) -> None:
-        """Begin a watch, unless one is open."""
+        """Start a watch, unless one is open."""
         if self._task is None or self._task.done:
             self._task = self._scope.spawn(self._watch(), "list")
 
@@ -78,20 +82,20 @@
             call = connection.call(WATCH_PATH)
             call.send(pb.WatchRequest(number=self._options.number).SerializeToString())
             call.end()
-            timeout_ms, heard = self._answer_timeout_ms, False
+            timeout_ms, got_update = self._first_update_timeout_ms, False
             while True:
                 try:
                     data = yield from within(task, timeout_ms, call.receive())
                 except TimedOut:
-                    if not heard:
-                        self._answer_timeout_ms = SLOW_LIST_TIMEOUT_FACTOR * FIRST_UPDATE_TIMEOUT_MS
+                    if not got_update:
+                        self._first_update_timeout_ms = SLOW_LIST_TIMEOUT_FACTOR * FIRST_UPDATE_TIMEOUT_MS
                     raise
                 if data is None:
                     break
-                heard, self._answer_timeout_ms = True, FIRST_UPDATE_TIMEOUT_MS
+                got_update, self._first_update_timeout_ms = True, FIRST_UPDATE_TIMEOUT_MS
                 update = pb.FleetUpdate.FromString(data)
                 timeout_ms = MISSED_HEARTBEATS * update.beat_ms if update.beat_ms > 0 else FIRST_UPDATE_TIMEOUT_MS
-                self.heard_at = self._loop.now()
+                self.last_update_ms = self._loop.now()
                 self._on_time(update.now_ms)
                 if update.whole or update.entries:
                     self._handle_entries(update)
@@ -100,7 +104,7 @@
         except (OSError, RpcError, TimedOut, ValueError):
             pass
         except Exception as error:
-            if type(error).__name__ != "DecodeError":  # protobuf's, which has no public base of its own
+            if type(error).__name__ != "DecodeError":  # protobuf's, which has no public base class
                 raise
         finally:
             if connection is not None:
@@ -112,17 +116,17 @@
     def _handle_entries(self, update: pb.FleetUpdate) -> None:
         entries = []
         for entry in update.entries:
-            if entry.kind not in self._kinds or not entry.name:
-                continue  # a kind that the settings do not know cannot be used
+            if entry.kind not in self._kind_indices or not entry.name:
+                continue  # a machine of a kind that the settings do not name cannot be used
             if entry.state != pb.MACHINE_STATE_GONE:
                 self._on_address(entry.name, entry.address)
             entries.append(
                 i.MachineEntry(
                     machine=entry.name,
                     state=i.MachineState(entry.state),
-                    zone=self._zones.get(entry.zone, -1),
-                    cell=self._cells.setdefault(entry.cell, len(self._cells)) if entry.cell else -1,
-                    kind=self._kinds[entry.kind],
+                    zone=self._zone_indices.get(entry.zone, -1),
+                    cell=self._cell_indices.setdefault(entry.cell, len(self._cell_indices)) if entry.cell else -1,
+                    kind=self._kind_indices[entry.kind],
                     started=entry.started_ms,
                     free_cores=entry.free_cores,
                     free_memory=entry.free_memory,
--- a/sprucepost/placer/lifecycle.py
+++ b/sprucepost/placer/lifecycle.py
@@ -1,17 +1,19 @@
-"""A daemon's life, free of I/O and clock: facts in, state and reason out.
+"""The daemon's lifecycle as a state machine without I/O or clock: conditions in, state and reason out.
 
 ========== ================================================== =============================================
 state      entered when                                       left when
 ========== ================================================== =============================================
-starting   the process begins                                 its ports are bound
-joining    ports bound, or no longer ready                    a list has arrived and its number is its own
-ready      both are so                                        one of them is not, or it is told to stop
-conflict   a machine has a live stream of the same number     no machine has reported one for a while
-draining   told to stop                                       nothing is open, or the time is over
+starting   the process starts                                 its ports are bound
+joining    ports bound, or no longer ready                    a list has arrived and no other placer has its
+                                                              number
+ready      both hold                                          one of them no longer holds, or a stop is
+                                                              requested
+conflict   another placer has the same number                 no conflict has been reported for a while
+draining   a stop is requested                                no task is open, or the time limit is over
 stopped    drained                                            never
 ========== ================================================== =============================================
 
-Only ``ready`` takes new tasks. Draining and stopped are never left backwards.
+New tasks are accepted only in ``ready``. From draining and stopped there is no way back to an earlier state.
 """
 
 from __future__ import annotations
@@ -21,6 +23,8 @@
 
 
 class State(Enum):
+    """The daemon's states; the table of this module describes them."""
+
     STARTING = "starting"
     JOINING = "joining"
     READY = "ready"
@@ -30,29 +34,29 @@
 
 
 @dataclass(frozen=True)
-class Facts:
-    """What the daemon knows of itself. ``conflict``: who else has its number, empty where nobody does."""
+class Conditions:
+    """What the state depends on. ``conflict``: who else has the placer's number; empty for no one."""
 
     listening: bool = False
-    listed: bool = False
+    has_list: bool = False
     conflict: str = ""
-    told_to_stop: bool = False
+    stop_requested: bool = False
     open_tasks: int = 0
-    time_over: bool = False
+    deadline_passed: bool = False
 
 
-def judge(state: State, facts: Facts) -> tuple[State, str]:
-    """The next state and, where no task is taken, why."""
+def next_state(state: State, conditions: Conditions) -> tuple[State, str]:
+    """Return the next state and, unless it is ``READY``, the reason why no tasks are accepted."""
     if state is State.STOPPED:
         return State.STOPPED, "stopped"
-    if facts.told_to_stop or state is State.DRAINING:
-        if facts.open_tasks and not facts.time_over:
-            return State.DRAINING, f"stopping, {facts.open_tasks} tasks open"
+    if conditions.stop_requested or state is State.DRAINING:
+        if conditions.open_tasks and not conditions.deadline_passed:
+            return State.DRAINING, f"stopping, {conditions.open_tasks} tasks open"
         return State.STOPPED, "stopped"
-    if not facts.listening:
+    if not conditions.listening:
         return State.STARTING, "starting"
-    if facts.conflict:
-        return State.CONFLICT, facts.conflict
-    if not facts.listed:
+    if conditions.conflict:
+        return State.CONFLICT, conditions.conflict
+    if not conditions.has_list:
         return State.JOINING, "no list of machines yet"
     return State.READY, ""
--- a/sprucepost/placer/pages.py
+++ b/sprucepost/placer/pages.py
@@ -54,7 +54,7 @@
     def configuration() -> tuple[int, str, bytes]:
         if placer.configuration is None:
             return 404, "text/plain", b"off: no placer.peers.configuration in the settings\n"
-        return 200, "application/json", json.dumps(placer.configuration.shown()).encode()
+        return 200, "application/json", json.dumps(placer.configuration.status()).encode()
 
     return {
         "/healthz": healthy,
--- a/sprucepost/placer/process.py
+++ b/sprucepost/placer/process.py
@@ -15,7 +15,7 @@
 from sprucepost.placer.daemon import Placer, format_address
 from sprucepost.placer.lease import Lease, resolve
 from sprucepost.placer.log import Logs
-from sprucepost.placer.notify import Notifier, activated
+from sprucepost.placer.notify import Notifier, adopt_listeners
 from sprucepost.settings import PlacerFile, SettingsError, read
 
 SLOT_MS = 2000.0  # between two looks at the file that holds the number
@@ -32,7 +32,7 @@
         logs.log.warning("slot", text=lease.warning)
     placer = Placer(loop, scope, file, logs, Notifier(loop, os.environ, os.getpid()))
     placer.slot_trouble = lease.warning
-    placer.start(activated(loop, os.environ, os.getpid()))
+    placer.start(adopt_listeners(loop, os.environ, os.getpid()))
     process = PlacerProcess(loop, placer, lease, path)
     process.watch_slot()
     process.handle_signals()  # before the announcement: whoever has read it may signal at once
@@ -64,20 +64,20 @@
         self._loop.on_signal(signal.SIGTERM, placer.stop)
         self._loop.on_signal(signal.SIGINT, placer.stop)
         self._loop.on_signal(signal.SIGHUP, self.reload)
-        self._loop.on_signal(signal.SIGUSR1, lambda: placer.log.warning("log_level", now=placer.logs.toggle()))
+        self._loop.on_signal(signal.SIGUSR1, lambda: placer.log.warning("log_level", now=placer.logs.toggle_debug()))
 
     def reload(self) -> None:
         """Read the settings again, and apply them whole or not at all."""
         if self._path is None:
             return
         placer = self._placer
-        placer.notifier.tell(RELOADING="1")
+        placer.notifier.notify(RELOADING="1")
         lines = self._apply(self._path)
         for line in lines:
             placer.log.error("reload_refused", line=line)
         if not lines:
             placer.log.info("reloaded", generation=placer.generation.number)
-        placer.notifier.tell(READY="1")
+        placer.notifier.notify(READY="1")
 
     def _apply(self, path: Path) -> list[str]:
         """The lines that say why the file can't be applied."""
--- a/tests/placer/test_configuration.py
+++ b/tests/placer/test_configuration.py
@@ -10,7 +10,7 @@
 from sprucepost.configuration import KeyEdit, Proposal
 from sprucepost.loop.epoll import EpollLoop
 from sprucepost.membership import Generation
-from sprucepost.placer.configuration import ConfigurationHost, PlacerConfiguration
+from sprucepost.placer.configuration import ConfigurationCallbacks, PlacerConfiguration
 from sprucepost.placer.engine import Engine
 from sprucepost.settings import Cluster, ConfigurationOptions, PlacerOptions
 from sprucepost.settings.cluster import Tenant
@@ -28,7 +28,7 @@
         generation = Generation(0, 3, None, 0.0, 0.0, False, False)
         self.engine = Engine(self.loop, FILE, OPTIONS, lambda: None, lambda *_, **__: None, generation)
         self.logged: list[tuple[str, dict[str, Any]]] = []
-        host = ConfigurationHost(self.engine.set_cluster, self._log, self._log)
+        host = ConfigurationCallbacks(self.engine.set_cluster, self._log, self._log)
         self.configuration = PlacerConfiguration(self.loop, FILE, ConfigurationOptions(), "p1/life", host)
 
     def _log(self, event: str, **more: Any) -> None:
--- a/tests/placer/test_lifecycle.py
+++ b/tests/placer/test_lifecycle.py
@@ -19,8 +19,8 @@
 
 from sprucepost.loop import Co, sleep
 from sprucepost.loop.epoll import EpollLoop
-from sprucepost.placer.lifecycle import Facts, State, judge
-from sprucepost.placer.notify import Notifier, activated
+from sprucepost.placer.lifecycle import Conditions, State, next_state
+from sprucepost.placer.notify import Notifier, adopt_listeners
 from sprucepost.settings import PlacerFile
 from sprucepost.settings.reload import changes, refused
 from sprucepost.standin.tap import Condition
@@ -28,33 +28,33 @@
 from tests.test_settings import good
 from tests.wire.support import wait_for
 
-FACTS = st.builds(
-    Facts,
+CONDITIONS = st.builds(
+    Conditions,
     listening=st.booleans(),
-    listed=st.booleans(),
+    has_list=st.booleans(),
     conflict=st.sampled_from(["", "number 3 is taken"]),
-    told_to_stop=st.booleans(),
+    stop_requested=st.booleans(),
     open_tasks=st.integers(0, 3),
-    time_over=st.booleans(),
+    deadline_passed=st.booleans(),
 )
 
 
-@given(st.lists(FACTS, max_size=20))
-def test_draining_and_stopped_are_never_left_backwards(steps: list[Facts]) -> None:
+@given(st.lists(CONDITIONS, max_size=20))
+def test_draining_and_stopped_are_never_left_backwards(steps: list[Conditions]) -> None:
     state, leaving = State.STARTING, False
-    for facts in steps:
+    for conditions in steps:
         before = state
-        state, why = judge(state, facts)
+        state, why = next_state(state, conditions)
         assert bool(why) == (state is not State.READY)
         if before in (State.DRAINING, State.STOPPED):
             assert state in (State.DRAINING, State.STOPPED)
         if before is State.STOPPED:
             assert state is State.STOPPED
-        leaving = leaving or facts.told_to_stop
+        leaving = leaving or conditions.stop_requested
         if state is State.READY:
-            assert facts.listening and facts.listed and not facts.conflict and not leaving
+            assert conditions.listening and conditions.has_list and not conditions.conflict and not leaving
         if state is State.STOPPED and before is not State.STOPPED:
-            assert facts.open_tasks == 0 or facts.time_over
+            assert conditions.open_tasks == 0 or conditions.deadline_passed
 
 
 def test_the_notify_protocol_and_its_watchdog(tmp_path: Path) -> None:
@@ -67,7 +67,7 @@
         def main() -> Co[None]:
             environ = {"NOTIFY_SOCKET": path, "WATCHDOG_USEC": "40000", "WATCHDOG_PID": str(os.getpid())}
             notifier = Notifier(loop, environ, os.getpid())
-            notifier.tell(READY="1", STATUS="two\nlines")
+            notifier.notify(READY="1", STATUS="two\nlines")
             yield from sleep(90)
             notifier.close()
 
@@ -79,9 +79,9 @@
 
 def test_without_a_manager_nothing_is_sent_or_taken() -> None:
     loop = EpollLoop(1)
-    Notifier(loop, {}, 1).tell(READY="1")
-    Notifier(loop, {"NOTIFY_SOCKET": "/none/there"}, 1).tell(READY="1")
-    assert activated(loop, {}, 1) == {} == activated(loop, {"LISTEN_FDS": "1", "LISTEN_PID": "2"}, 1)
+    Notifier(loop, {}, 1).notify(READY="1")
+    Notifier(loop, {"NOTIFY_SOCKET": "/none/there"}, 1).notify(READY="1")
+    assert adopt_listeners(loop, {}, 1) == {} == adopt_listeners(loop, {"LISTEN_FDS": "1", "LISTEN_PID": "2"}, 1)
     loop.close()
 
 
