--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -133,7 +133,7 @@
         self.stopping = False
         self._stops: Queue[None] = Queue(1)
         self.report: dict[str, Any] = {}
-        self.slot_trouble = ""  # what is wrong with the slot that holds our number
+        self.slot_warning = ""  # what is wrong with the slot that holds our number
         self._stop_at: float | None = None
         self._hurry = self._nudged = False
         self.grpc_address: Address = ""
@@ -188,11 +188,11 @@
         if self.peers is None:
             return None
         callbacks = MembershipCallbacks(
-            adopt=self._adopt,
-            resize_known=self.engine.driver.set_fleet_view,
+            generation_adopted=self._adopt,
+            resize_updated=self.engine.driver.set_fleet_view,
             number_shared=self._number_shared,
-            predecessor=self._predecessor,
-            others_heard=self._begin_links,
+            incarnation_raised=self._predecessor,
+            others_seen=self._begin_links,
         )
         return FleetMembership(self.loop, self.peers.view, self.engine.driver.now, callbacks)
 
@@ -290,7 +290,7 @@
         heard = self.discovery.last_update_ms
         return float("inf") if heard is None else self.loop.now() - heard
 
-    def not_ready(self) -> str:
+    def not_ready_reason(self) -> str:
         """Why no task should be sent here; empty when ready."""
         return next_state(self.state, self._conditions())[1]
 
@@ -305,7 +305,7 @@
         self.http = Http1(self.loop, http, pages(self))
         for service in ("", SERVICE):
             self.health.set(service, NOT_SERVING)
-        self.engine.on_change = self.nudge
+        self.engine.on_conditions_changed = self.nudge
         self.engine.start()
         if self.peers is not None:
             if not self.peers.view.me.address:
--- a/sprucepost/placer/pages.py
+++ b/sprucepost/placer/pages.py
@@ -1,4 +1,4 @@
-"""Health, readiness and metrics over HTTP."""
+"""Health, readiness, metrics and status pages over HTTP."""
 
 from __future__ import annotations
 
@@ -18,38 +18,38 @@
 from sprucepost.wire.server import Server
 
 
-class Shown(Protocol):
-    """What is shown of a placer."""
+class PlacerState(Protocol):
+    """What the pages read of a placer."""
 
     loop: Loop
     engine: Engine
     owners: Owners
     links: Links
     server: Server
-    slot_trouble: str
+    slot_warning: str
     peers: Peers | None
     fleet_membership: FleetMembership | None
     configuration: PlacerConfiguration | None
 
-    def not_ready(self) -> str: ...
+    def not_ready_reason(self) -> str: ...
     def list_age_ms(self) -> float: ...
 
 
-def pages(placer: Shown) -> dict[str, Page]:
-    """The paths that the HTTP port serves."""
+def pages(placer: PlacerState) -> dict[str, Page]:
+    """Return the pages of the HTTP port by path."""
 
     def ready() -> tuple[int, str, bytes]:
-        why = placer.not_ready()
+        why = placer.not_ready_reason()
         text = f"{why or 'ready'}\n{_view_line(placer)}"
         return 503 if why else 200, "text/plain", text.encode()
 
-    def healthy() -> tuple[int, str, bytes]:
+    def alive() -> tuple[int, str, bytes]:
         return 200, "text/plain", b"alive\n"
 
     def members() -> tuple[int, str, bytes]:
         if placer.peers is None:
             return 404, "text/plain", b"off: no peers in the settings\n"
-        return 200, "application/json", json.dumps(shown(placer.peers.view, placer.loop.now())).encode()
+        return 200, "application/json", json.dumps(view_status(placer.peers.view, placer.loop.now())).encode()
 
     def configuration() -> tuple[int, str, bytes]:
         if placer.configuration is None:
@@ -57,7 +57,7 @@
         return 200, "application/json", json.dumps(placer.configuration.status()).encode()
 
     return {
-        "/healthz": healthy,
+        "/healthz": alive,
         "/readyz": ready,
         "/metrics": _metrics(placer),
         "/members": members,
@@ -65,20 +65,23 @@
     }
 
 
-def _view_line(placer: Shown) -> str:
-    """The fleet as it is seen from here, in one line; nothing where no view is kept."""
+def _view_line(placer: PlacerState) -> str:
+    """Return one line about the fleet as this placer sees it; empty without a view."""
     if placer.peers is None or placer.fleet_membership is None:
         return ""
     view = placer.peers.view
     settled = (placer.loop.now() - view.moved) / 1000.0
-    words = [f"view: {len(view.here)} here, {len(view.away)} away, size {view.me.generation.size}"]
-    words += [f"digest {view.digest:016x}", f"settled for {settled:.1f} s"]
-    words += ["generation disputed"] * placer.fleet_membership.disputed
-    return ", ".join(words) + "\n"
+    parts = [f"view: {len(view.here)} here, {len(view.away)} away, size {view.me.generation.size}"]
+    parts += [f"digest {view.digest:016x}", f"settled for {settled:.1f} s"]
+    parts += ["generation disputed"] * placer.fleet_membership.disputed
+    return ", ".join(parts) + "\n"
 
 
-def shown(view: View, now: float) -> dict[str, Any]:
-    """A view as JSON: what this placer sees, and since when nothing has changed."""
+def view_status(view: View, now: float) -> dict[str, Any]:
+    """Return a view for the members page, as of ``now`` on the loop's clock.
+
+    ``settled_ms``: for how long nothing has changed.
+    """
     return {
         "name": view.me.name,
         "digest": f"{view.digest:016x}",
@@ -104,22 +107,22 @@
     }
 
 
-def _metrics(placer: Shown) -> Callable[[], tuple[int, str, bytes]]:
-    # Imported here: only who scrapes pays for it, not each of hundreds of daemons at its start.
+def _metrics(placer: PlacerState) -> Callable[[], tuple[int, str, bytes]]:
+    # Imported at the first scrape: it would slow down the start of each of hundreds of daemons on a host.
     def page() -> tuple[int, str, bytes]:
         from prometheus_client import CollectorRegistry, exposition
 
         registry = CollectorRegistry()
-        registry.register(_Collector(placer))
+        registry.register(_MetricsCollector(placer))
         return 200, exposition.CONTENT_TYPE_LATEST, exposition.generate_latest(registry)
 
     return page
 
 
-class _Collector:
-    """Reads the placer's own counters at the moment of the scrape."""
+class _MetricsCollector:
+    """Reads the placer's counters at the time of a scrape."""
 
-    def __init__(self, placer: Shown) -> None:
+    def __init__(self, placer: PlacerState) -> None:
         self._placer = placer
 
     def collect(self) -> Iterator[Any]:
@@ -153,7 +156,7 @@
         if placer.configuration is not None:
             yield from _configuration_gauges(placer.configuration)
         links = placer.links.all()
-        for name, text, value in (
+        for name, help_text, value in (
             ("open_tasks", "Tasks taken and not answered", engine.ledger.open),
             ("line", "Asks let in and not taken up yet", len(engine.admission.queue)),
             (
@@ -170,24 +173,32 @@
             ("owner_sessions", "Sessions of owners", len(placer.owners.sessions)),
             ("machines", "Machines linked to", len(links)),
             ("machines_attached", "Machines with a stream", sum(link.attached for link in links)),
-            ("slot_trouble", "1 while the slot of the number is not as it should be", bool(placer.slot_trouble)),
+            (
+                "slot_trouble",
+                "1 while the slot of the number is not as it should be",
+                bool(placer.slot_warning),
+            ),
             ("loop_late_ms", "How late the loop's latest timer was", placer.loop.late_ms),
             ("list_age_ms", "Since the latest word of the list", placer.list_age_ms()),
         ):
-            gauge = GaugeMetricFamily(f"sprucepost_{name}", text)
+            gauge = GaugeMetricFamily(f"sprucepost_{name}", help_text)
             gauge.add_metric([], value)
             yield gauge
 
 
-def _view_gauges(peers: Peers, company: FleetMembership | None, now: float) -> Iterator[Any]:
+def _view_gauges(peers: Peers, fleet_membership: FleetMembership | None, now: float) -> Iterator[Any]:
     from prometheus_client.core import GaugeMetricFamily
 
     view = peers.view
-    for name, text, value in (
+    for name, help_text, value in (
         ("view_here", "Placers that can be reached", len(view.here)),
         ("view_size", "The size under which this placer runs", view.me.generation.size),
         ("view_generation", "Its generation", view.me.generation.number),
-        ("view_disputed", "1 while placers hold unlike generations of one number", bool(company and company.disputed)),
+        (
+            "view_disputed",
+            "1 while placers hold unlike generations of one number",
+            bool(fleet_membership and fleet_membership.disputed),
+        ),
         ("view_bytes_sent", "Bytes said to other placers", peers.counters["bytes_out"]),
         ("view_bytes_received", "Bytes heard of other placers", peers.counters["bytes_in"]),
         ("view_messages_sent", "Messages said to other placers", peers.counters["messages_out"]),
@@ -197,7 +208,7 @@
         ("view_settled_ms", "Since the view last changed, here or at a peer", now - view.moved),
         ("view_streams", "Streams to other placers", len(view.streams)),
     ):
-        gauge = GaugeMetricFamily(f"sprucepost_{name}", text)
+        gauge = GaugeMetricFamily(f"sprucepost_{name}", help_text)
         gauge.add_metric([], value)
         yield gauge
     digest = GaugeMetricFamily("sprucepost_view_digest", "1; equal labels are equal views", labels=["digest"])
@@ -209,7 +220,7 @@
     from prometheus_client.core import GaugeMetricFamily
 
     replica, carrier = configuration.replica, configuration.carrier
-    for name, text, value in (
+    for name, help_text, value in (
         ("number", "The highest number of a change known here", replica.version.number),
         ("held", "1 while the agreed configuration isn't in force here", replica.held is not None),
         ("refused_changes", "Known changes that aren't applied", len(replica.refused)),
@@ -217,11 +228,13 @@
         ("messages_sent", "Messages about it to other placers", carrier.counters["messages_out"]),
         ("bytes_sent", "Their bytes, without the digests in heartbeats", carrier.counters["bytes_out"]),
     ):
-        gauge = GaugeMetricFamily(f"sprucepost_configuration_{name}", text)
+        gauge = GaugeMetricFamily(f"sprucepost_configuration_{name}", help_text)
         gauge.add_metric([], value)
         yield gauge
     digest = GaugeMetricFamily(
-        "sprucepost_configuration_version", "1; equal labels are equal sets of changes", labels=["version"]
+        "sprucepost_configuration_version",
+        "1; equal labels are equal sets of changes",
+        labels=["version"],
     )
     digest.add_metric([str(replica.version)], 1)
     yield digest
--- a/tests/placer/test_lease.py
+++ b/tests/placer/test_lease.py
@@ -17,7 +17,7 @@
 import msgspec
 import pytest
 
-from sprucepost.placer.lease import resolve, take_slot
+from sprucepost.placer.lease import acquire_slot, resolve_number
 from sprucepost.settings import PlacerFile, SettingsError
 from tests.test_settings import good
 
@@ -29,30 +29,30 @@
 
 
 def test_slots_are_given_once_and_come_back_when_their_holder_ends(tmp_path: Path) -> None:
-    first, second = take_slot(tmp_path, 2, 1), take_slot(tmp_path, 2, 2)
+    first, second = acquire_slot(tmp_path, 2, 1), acquire_slot(tmp_path, 2, 2)
     assert (first.number, second.number) == (0, 1)
     with pytest.raises(SettingsError, match=r"all 2 numbers in .* are taken"):
-        take_slot(tmp_path, 2, 3)
+        acquire_slot(tmp_path, 2, 3)
     first.close()
-    again = take_slot(tmp_path, 2, 3)
+    again = acquire_slot(tmp_path, 2, 3)
     assert again.number == 0
     again.close()
     second.close()
 
 
 def test_a_slot_that_a_crash_left_is_free(tmp_path: Path) -> None:
-    code = "from sprucepost.placer.lease import take_slot; from pathlib import Path;"
-    code += f"lease = take_slot(Path({str(tmp_path)!r}), 1, 1);"
+    code = "from sprucepost.placer.lease import acquire_slot; from pathlib import Path;"
+    code += f"lease = acquire_slot(Path({str(tmp_path)!r}), 1, 1);"
     child = subprocess.Popen(
         [sys.executable, "-c", code + "print('held', flush=True); import time; time.sleep(60)"],
         stdout=subprocess.PIPE, text=True,
     )  # fmt: skip
     assert child.stdout is not None and child.stdout.readline() == "held\n"
     with pytest.raises(SettingsError):
-        take_slot(tmp_path, 1, 2)
+        acquire_slot(tmp_path, 1, 2)
     child.send_signal(signal.SIGKILL)
     child.communicate()
-    lease = take_slot(tmp_path, 1, 2)
+    lease = acquire_slot(tmp_path, 1, 2)
     assert lease.number == 0 and (tmp_path / "slot-0000").exists()
     lease.close()
 
@@ -62,48 +62,48 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "pwrite", full)
-    lease = take_slot(tmp_path, 1, 1)
+    lease = acquire_slot(tmp_path, 1, 1)
     assert lease.number == 0 and "No space left" in lease.warning
     with pytest.raises(SettingsError, match="are taken"):
-        take_slot(tmp_path, 1, 2)
+        acquire_slot(tmp_path, 1, 2)
     lease.close()
 
 
 def test_a_name_that_went_is_taken_again_before_another_placer_has_it(tmp_path: Path) -> None:
     """A cleaner of old files took it: the next placer to start made another file of that name and had the number too."""
-    lease = take_slot(tmp_path, 1, 1)
+    lease = acquire_slot(tmp_path, 1, 1)
     (tmp_path / "slot-0000").unlink()
-    assert not lease.look(1) and lease.warning == ""  # nothing to tell: it is ours again
+    assert not lease.check_path(1) and lease.warning == ""  # nothing to tell: it is ours again
     with pytest.raises(SettingsError, match="are taken"):
-        take_slot(tmp_path, 1, 2)
+        acquire_slot(tmp_path, 1, 2)
     lease.close()
-    take_slot(tmp_path, 1, 2).close()
+    acquire_slot(tmp_path, 1, 2).close()
 
 
 def test_a_number_that_another_took_meanwhile_is_told_and_comes_back_when_it_ends(tmp_path: Path) -> None:
-    first = take_slot(tmp_path, 1, 1)
+    first = acquire_slot(tmp_path, 1, 1)
     shutil.rmtree(tmp_path)
     tmp_path.mkdir()
-    second = take_slot(tmp_path, 1, 2)
-    assert first.look(1) and "another process holds number 0 too" in first.warning
-    assert not first.look(1)  # told once
+    second = acquire_slot(tmp_path, 1, 2)
+    assert first.check_path(1) and "another process holds number 0 too" in first.warning
+    assert not first.check_path(1)  # told once
     second.close()
-    assert first.look(1) and not first.warning
+    assert first.check_path(1) and not first.warning
     with pytest.raises(SettingsError, match="are taken"):
-        take_slot(tmp_path, 1, 3)
+        acquire_slot(tmp_path, 1, 3)
     first.close()
 
 
 def test_a_directory_that_fails_while_a_number_is_held_takes_nothing_away(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    lease = take_slot(tmp_path, 1, 1)
+    lease = acquire_slot(tmp_path, 1, 1)
     (tmp_path / "slot-0000").unlink()
     with monkeypatch.context() as broken:
         broken.setattr(os, "open", failing(errno.EROFS))
-        assert lease.look(1) and "Read-only file system; the number is held" in lease.warning
-        assert lease.descriptor is not None and not lease.look(1)
-    assert lease.look(1) and not lease.warning
+        assert lease.check_path(1) and "Read-only file system; the number is held" in lease.warning
+        assert lease.descriptor is not None and not lease.check_path(1)
+    assert lease.check_path(1) and not lease.warning
     lease.close()
 
 
@@ -113,10 +113,10 @@
     """The first file that could not be made ended the start, though a number further on was free."""
     (tmp_path / "slot-0002").touch()
     monkeypatch.setattr(os, "open", failing(errno.ENOSPC, os.O_CREAT))
-    lease = take_slot(tmp_path, 3, 1)
+    lease = acquire_slot(tmp_path, 3, 1)
     assert lease.number == 2
     with pytest.raises(SettingsError, match=r"slot-0000: No space left"):
-        take_slot(tmp_path, 3, 2)
+        acquire_slot(tmp_path, 3, 2)
     lease.close()
 
 
@@ -145,9 +145,9 @@
         real(descriptor, how)
 
     monkeypatch.setattr(fcntl, "flock", flock)
-    lease = take_slot(tmp_path, 1, 1)
+    lease = acquire_slot(tmp_path, 1, 1)
     with pytest.raises(SettingsError, match="are taken"):
-        take_slot(tmp_path, 1, 2)
+        acquire_slot(tmp_path, 1, 2)
     lease.close()
 
 
@@ -175,18 +175,18 @@
 
 def test_a_directory_that_is_not_there_is_named(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match=r"placer\.slots: .*none.*No such file"):
-        take_slot(tmp_path / "none", 1, 1)
+        acquire_slot(tmp_path / "none", 1, 1)
 
 
 @pytest.mark.parametrize("text, number", [("1", 1), ("placer-1", 1)])
 def test_the_environment_may_hold_or_end_in_the_number(text: str, number: int) -> None:
-    assert resolve(file(number_env="POD"), {"POD": text}, 1)[0].placer.number == number
+    assert resolve_number(file(number_env="POD"), {"POD": text}, 1)[0].placer.number == number
 
 
 @pytest.mark.parametrize("text, why", [("", "not a number"), ("placer-x", "not a number"), ("9", "not below")])
 def test_an_environment_without_sense_is_named(text: str, why: str) -> None:
     with pytest.raises(SettingsError, match=f"placer.number_env: .*{why}"):
-        resolve(file(number_env="POD"), {"POD": text}, 1)
+        resolve_number(file(number_env="POD"), {"POD": text}, 1)
 
 
 def test_exactly_one_source_must_be_given() -> None:
--- a/tests/placer/test_path.py
+++ b/tests/placer/test_path.py
@@ -25,7 +25,7 @@
         owner.submit("t1", task(life_ms=200), 3000)
         yield from wait_for(lambda: "ended" in followed.kinds("t1"))
         assert placer.engine.ledger.open == 0 and len(placer.engine.ledger) == 0
-        return followed.kinds("t1"), followed.frames["t1"][1].bound.machine, placer.not_ready()
+        return followed.kinds("t1"), followed.frames["t1"][1].bound.machine, placer.not_ready_reason()
 
     assert play(body) == (["offered", "bound", "running", "ended"], "m1", "")
 
@@ -246,14 +246,14 @@
         new = world.placer()
         yield from wait_for(lambda: new.conflict)
         yield from sleep(20)
-        why = new.not_ready()
+        why = new.not_ready_reason()
         owner, followed = world.owner(new.grpc_address)
         yield from wait_for(lambda: owner.up)
         owner.submit("t", task(), 500)
         yield from wait_for(lambda: followed.outcomes("t"))
-        assert old.not_ready() == "" and host.counts["offers"] == 0
+        assert old.not_ready_reason() == "" and host.counts["offers"] == 0
         _kill(old)
-        yield from wait_for(lambda: not new.not_ready(), 8000)
+        yield from wait_for(lambda: not new.not_ready_reason(), 8000)
         yield from world.ready(new, 1)
         owner.submit("u", task(), 1500)
         yield from wait_for(lambda: followed.outcomes("u"))
@@ -274,7 +274,7 @@
         yield from world.ready(new, 1)
         old.links.suspended = False
         yield from wait_for(lambda: old.links.counters["link_newer_incarnation"])
-        return new.not_ready(), sum(link.attached for link in old.links.all())
+        return new.not_ready_reason(), sum(link.attached for link in old.links.all())
 
     assert play(body) == ("", 0)
 
