--- a/sprucepost/placer/links.py
+++ b/sprucepost/placer/links.py
@@ -1,8 +1,8 @@
 """Streams to machines: one for each, attached at once and again after every break.
 
-A link numbers what it sends in a session that outlives its stream. It holds no offers, only the attempts whose offers
-are to be written: the frame is made by ``Receiver.build_offer`` at the moment at which it goes out, also when it goes
-out again after a break, and is left out where it must not.
+A link numbers its frames in a session that outlives the stream. It queues no offers, only the attempts whose offers are
+to be sent: ``MachineHandler.build_offer`` makes the frame at the moment when it is sent, also when it is sent again
+after a break, and the frame is left out if the offer must no longer be sent.
 """
 
 from __future__ import annotations
@@ -19,53 +19,55 @@
 from sprucepost.wire.session import Session, SessionBroken
 from sprucepost.wire.status import Code, RpcError
 
-PATH = "/sprucepost.v1.Machine/Offers"
-CONNECT_MS = 1000.0
-ATTACH_MS = 2000.0
-AGAIN_FIRST_MS = 50.0
-AGAIN_MOST_MS = 1000.0
-ACK_MS = 50.0
+OFFERS_PATH = "/sprucepost.v1.Machine/Offers"
+CONNECT_TIMEOUT_MS = 1000.0
+ATTACH_TIMEOUT_MS = 2000.0
+MIN_RECONNECT_MS = 50.0
+MAX_RECONNECT_MS = 1000.0
+ACK_DELAY_MS = 50.0  # an acknowledgement that no frame carries is sent by itself after this
 
 
-class Receiver(Protocol):
-    """What the engine hears of a machine."""
+class MachineHandler(Protocol):
+    """Handles the events of machines' streams."""
 
-    def on_machine_attached(self, machine: str, hello: pb.Attached, new_life: bool) -> None: ...
+    def on_machine_attached(self, machine: str, hello: pb.Attached, is_new_incarnation: bool) -> None: ...
     def on_machine_resumed(self, machine: str, hello: pb.Attached) -> None: ...
     def on_machine_detached(self, machine: str) -> None: ...
     def on_machine_frame(self, machine: str, frame: pb.FromMachine) -> None: ...
-    def build_offer(self, key: Key, life: int) -> pb.Offer | None:
-        """The offer as it may go out now to that life of its machine."""
+    def build_offer(self, key: Key, incarnation: int) -> pb.Offer | None:
+        """Return the offer as it may be sent now to that incarnation of its machine, or None if it must not be sent."""
         ...
 
 
-class Gate:
-    """Bounds the connection attempts of the whole placer: hundreds of machines may come back at once."""
+class ConnectLimiter:
+    """Limits the placer's concurrent connection attempts: hundreds of machines may come back at once."""
 
-    def __init__(self, most: int) -> None:
-        self._left = most
+    def __init__(self, limit: int) -> None:
+        self._free = limit
         self._waiting: deque[Task[object]] = deque()
 
-    def enter(self) -> Co[None]:
-        if self._left > 0:
-            self._left -= 1
+    def acquire(self) -> Co[None]:
+        """Wait until a connection may be opened."""
+        if self._free > 0:
+            self._free -= 1
             return
 
-        def trap(task: Task[object]) -> Callable[[], None]:
+        def wait_for_turn(task: Task[object]) -> Callable[[], None]:
             self._waiting.append(task)
             return lambda: self._waiting.remove(task)
 
-        yield trap
+        yield wait_for_turn
 
-    def leave(self) -> None:
+    def release(self) -> None:
+        """Let the next waiting task open a connection."""
         if self._waiting:
             self._waiting.popleft().wake(())
         else:
-            self._left += 1
+            self._free += 1
 
 
 class Link:
-    """The stream to one machine, kept up by its own coroutine."""
+    """The stream to one machine, which its own coroutine keeps attached."""
 
     def __init__(self, links: Links, machine: str, address: Address) -> None:
         self._links, self.machine, self.address = links, machine, address
@@ -74,43 +76,46 @@
         self._token = b""
         self.machine_incarnation = 0
         self.call: ClientCall | None = None
-        self._queue: dict[Key, None] = {}  # attempts whose offers are not written yet, oldest first
-        self.closed_to_offers = False  # it takes nothing new
+        self._queue: dict[Key, None] = {}  # attempts whose offers are not sent yet, oldest first
+        self.closed_to_offers = False  # the machine takes no new work
         self._ack_timer: Timer | None = None
-        self.task: Task[None] = links.scope.spawn(self._keep(), f"link {machine}")
+        self.task: Task[None] = links.scope.spawn(self._maintain(), f"link {machine}")
 
     @property
     def attached(self) -> bool:
+        """Whether there is a stream."""
         return self.call is not None
 
-    # Out
+    # Outgoing frames.
 
     def offer(self, key: Key) -> None:
-        """Write that attempt's offer as soon as the stream takes it."""
+        """Send that attempt's offer as soon as the stream accepts it."""
         self._queue[key] = None
         self._write_offers()
 
     def drop(self, key: Key) -> None:
-        """The attempt waits no more."""
+        """Remove the attempt from the queue of offers."""
         self._queue.pop(key, None)
 
     def close_to_offers(self, closed: bool) -> None:
-        """Whether the machine takes no new work; what waited to be written is dropped."""
+        """Set whether the machine takes no new work; if so, queued offers are dropped."""
         self.closed_to_offers = closed
         if closed:
             self._queue.clear()
-            # Offers may sit in our own buffers, to go out when the machine reads again: long after the grace (rule 3).
+            # Buffered offers would be sent when the machine reads again, long after the drain grace (rule 3).
             self.give_up_buffered()
 
     def give_up_buffered(self) -> None:
-        """What lies in our own buffers must not go out any more. Without the connection it is void; whatever else is owed
-        goes out after the next attach."""
+        """Make sure that buffered bytes are not sent any more, by closing the connection.
+
+        Frames other than void offers are sent again after the next attach.
+        """
         if self.call is not None and self.call.behind:
             self._links.counters["link_behind"] += 1
             self.call.connection.abort("the machine has not read its offers in time")
 
     def send(self, frame: pb.ToMachine) -> None:
-        """A numbered frame; it goes out now or after the next attach."""
+        """Send a numbered frame, now or after the next attach."""
         try:
             frame.seq = self._session.number(frame)
         except SessionBroken as error:
@@ -122,24 +127,24 @@
             self.call.send(frame.SerializeToString())
 
     def _write_offers(self) -> None:
-        # Not into a stream that is behind: an offer there waits with a time that runs out unseen.
+        # Not if the stream is backlogged: an offer would wait there with an unchanged time limit.
         while self._queue and self.call is not None and not self.call.behind:
             key = next(iter(self._queue))
             del self._queue[key]
-            offer = self._links.receiver.build_offer(key, self.machine_incarnation)
+            offer = self._links.handler.build_offer(key, self.machine_incarnation)
             if offer is not None:
                 self.send(pb.ToMachine(offer=offer))
 
     def _restart(self, why: str) -> None:
-        """Begin a new session: the machine names what it holds."""
+        """Begin a new session, in which the machine names the tasks that it has."""
         self._token, self._session = b"", Session()
         call, self.call = self.call, None
         if call is not None:
             call.cancel(Code.ABORTED, why)
 
-    # In
+    # Incoming frames.
 
-    def _frame(self, call: ClientCall, data: bytes) -> None:
+    def _on_frame(self, call: ClientCall, data: bytes) -> None:
         if call is not self.call:
             return
         try:
@@ -150,15 +155,15 @@
             return
         try:
             self._session.take_ack(frame.ack)
-            fresh = bool(frame.seq) and self._session.take(frame.seq)
+            is_new = bool(frame.seq) and self._session.take(frame.seq)
         except SessionBroken as error:
             self._links.counters["link_numbering"] += 1
             self._restart(str(error))
             return
-        if fresh:
+        if is_new:
             if self._ack_timer is None:
-                self._ack_timer = self._loop.call_later(ACK_MS, self._ack)
-            self._links.receiver.on_machine_frame(self.machine, frame)
+                self._ack_timer = self._loop.call_later(ACK_DELAY_MS, self._ack)
+            self._links.handler.on_machine_frame(self.machine, frame)
         if self._queue:
             self._write_offers()
 
@@ -167,24 +172,24 @@
         if self.call is not None and self._session.owes_ack:
             self.call.send(pb.ToMachine(ack=self._session.ack()).SerializeToString())
 
-    # The stream's life
+    # Connecting and attaching.
 
-    def _keep(self) -> Co[None]:
-        wait = AGAIN_FIRST_MS
+    def _maintain(self) -> Co[None]:
+        retry_ms = MIN_RECONNECT_MS
         while True:
             connection: ClientConnection | None = None
             while self._links.suspended:
                 yield from sleep(100.0)
             try:
-                yield from self._links.gate.enter()
+                yield from self._links.connect_limiter.acquire()
                 try:
                     connection = yield from open_client(
-                        self._loop, self.address, CONNECT_MS, self._links.options, self._links.source
+                        self._loop, self.address, CONNECT_TIMEOUT_MS, self._links.options, self._links.source
                     )
                     call = yield from self._attach(connection)
                 finally:
-                    self._links.gate.leave()
-                wait = AGAIN_FIRST_MS
+                    self._links.connect_limiter.release()
+                retry_ms = MIN_RECONNECT_MS
                 yield from call.wait_over()
             except Cancelled:
                 if connection is not None:
@@ -193,23 +198,23 @@
             except RpcError as error:
                 if error.code is Code.ALREADY_EXISTS:
                     self._links.counters["link_number_taken"] += 1
-                    self._links.on_taken(self.machine, error.message)
+                    self._links.on_number_taken(self.machine, error.message)
                 elif error.code is Code.FAILED_PRECONDITION:
                     self._links.counters["link_newer_incarnation"] += 1
-                    self._links.on_newer(self.machine, error.message)
+                    self._links.on_newer_incarnation(self.machine, error.message)
             except (OSError, TimedOut):
                 self._links.counters["link_connect"] += 1
             finally:
                 if self.call is not None:
                     self.call = None
-                    self._links.receiver.on_machine_detached(self.machine)
+                    self._links.handler.on_machine_detached(self.machine)
             if connection is not None:
                 connection.close()
-            yield from sleep(wait * self._links.rng.uniform(0.5, 1.0))
-            wait = min(wait * 2, AGAIN_MOST_MS)
+            yield from sleep(retry_ms * self._links.rng.uniform(0.5, 1.0))
+            retry_ms = min(retry_ms * 2, MAX_RECONNECT_MS)
 
     def _attach(self, connection: ClientConnection) -> Co[ClientCall]:
-        call = connection.call(PATH)
+        call = connection.call(OFFERS_PATH)
         hello = pb.PlacerHello(
             number=self._links.number,
             incarnation=self._links.incarnation,
@@ -217,88 +222,95 @@
             last_seen=self._session.seen,
         )
         call.send(pb.ToMachine(hello=hello).SerializeToString())
-        data = yield from within((yield from current()), ATTACH_MS, call.receive())
+        data = yield from within((yield from current()), ATTACH_TIMEOUT_MS, call.receive())
         if data is None:
             raise RpcError(Code.UNAVAILABLE, "the stream ended before it was attached")
         first = _parse(data)
         if first.WhichOneof("body") != "attached":
             raise RpcError(Code.INTERNAL, "the first frame is not attached")
         attached = first.attached
-        new_life = self.machine_incarnation not in (0, attached.life)
+        is_new_incarnation = self.machine_incarnation not in (0, attached.life)
         self.machine_incarnation = attached.life
         if attached.resumed:
-            self._session.replace(self._still_wanted)
+            self._session.replace(self._rebuild_for_resend)
             try:
-                again = self._session.again(attached.last_seen)
+                frames_to_resend = self._session.again(attached.last_seen)
             except SessionBroken as error:
                 self._restart(str(error))
                 raise RpcError(Code.ABORTED, str(error)) from None
         else:
-            self._session, again = Session(), []
+            self._session, frames_to_resend = Session(), []
             self._token = attached.session
         self.call = call
-        for seq, frame in again:
+        for seq, frame in frames_to_resend:
             frame.seq, frame.ack = seq, self._session.ack()
             call.send(frame.SerializeToString())
         if attached.resumed:
-            self._links.receiver.on_machine_resumed(self.machine, attached)
+            self._links.handler.on_machine_resumed(self.machine, attached)
         else:
-            self._links.receiver.on_machine_attached(self.machine, attached, new_life)
-        call.deliver(lambda data: self._frame(call, data))  # some may have come in one read with the first
+            self._links.handler.on_machine_attached(self.machine, attached, is_new_incarnation)
+        call.deliver(lambda data: self._on_frame(call, data))  # frames may have arrived in the same read as the first
         self._links.counters["link_resumed" if attached.resumed else "link_attached"] += 1
         self._write_offers()
         return call
 
-    def _still_wanted(self, frame: pb.ToMachine) -> pb.ToMachine:
-        """What goes out again after a break: no offer that must not go out now, and none with its first time."""
+    def _rebuild_for_resend(self, frame: pb.ToMachine) -> pb.ToMachine:
+        """Return what to send again after a break: an offer with its current time limit, or nothing if it is void."""
         if frame.WhichOneof("body") != "offer":
             return frame
-        offer = self._links.receiver.build_offer((frame.offer.request, frame.offer.attempt), self.machine_incarnation)
+        offer = self._links.handler.build_offer((frame.offer.request, frame.offer.attempt), self.machine_incarnation)
         return pb.ToMachine(nothing=pb.Nothing()) if offer is None else pb.ToMachine(offer=offer)
 
 
 def _parse(data: bytes) -> pb.FromMachine:
     try:
         return pb.FromMachine.FromString(data)
-    except Exception:  # protobuf's DecodeError, which has no public base of its own
+    except Exception:  # protobuf's DecodeError, which has no public base class
         raise RpcError(Code.INTERNAL, "not a FromMachine message") from None
 
 
 class Links:
-    """All links of a placer."""
+    """All links of a placer.
+
+    ``source``: the local address to connect from. ``stale_ms``: after a pause of the process that is longer than this,
+    the bytes that were kept from being sent are void. ``on_newer_incarnation`` and ``on_number_taken`` get the machine
+    and its message.
+    """
 
     def __init__(
         self,
         loop: Loop,
         scope: Scope,
-        receiver: Receiver,
+        handler: MachineHandler,
         number: int,
         incarnation: int,
         source: str | None,
-        dials: int,
+        max_connects: int,
         stale_ms: float,
-        on_newer: Callable[[str, str], None],
-        on_taken: Callable[[str, str], None],
+        on_newer_incarnation: Callable[[str, str], None],
+        on_number_taken: Callable[[str, str], None],
     ) -> None:
-        self.loop, self.scope, self.receiver = loop, scope, receiver
+        self.loop, self.scope, self.handler = loop, scope, handler
         self.number, self.incarnation, self.source = number, incarnation, source
-        self.on_newer, self.on_taken = on_newer, on_taken
-        self.suspended = False  # no link attaches
-        # Offers in a stream tell the time that is left of them: what a pause kept from going out is void.
+        self.on_newer_incarnation, self.on_number_taken = on_newer_incarnation, on_number_taken
+        self.suspended = False  # whether links are kept from attaching
+        # An offer states the time that is left for it, so those that a pause of the process delayed are void.
         self.options = Options(keepalive_ms=10_000.0, keepalive_wait_ms=5000.0, stale_ms=stale_ms)
         self.counters: Counter[str] = Counter()
         self.rng: Rng = loop.rng()
-        self.gate = Gate(dials)
+        self.connect_limiter = ConnectLimiter(max_connects)
         self._links: dict[str, Link] = {}
 
     def all(self) -> list[Link]:
+        """Return all links."""
         return list(self._links.values())
 
     def get(self, machine: str) -> Link | None:
+        """Return the link to that machine, if there is one."""
         return self._links.get(machine)
 
-    def see(self, machine: str, address: Address) -> None:
-        """The list names the machine: keep a link to it."""
+    def add(self, machine: str, address: Address) -> None:
+        """Keep a link to a machine that the list names; a new address replaces the link."""
         link = self._links.get(machine)
         if link is not None and link.address != address:
             self.gone(machine)
@@ -307,7 +319,7 @@
             self._links[machine] = Link(self, machine, address)
 
     def suspend(self, renounce: bool) -> None:
-        """Let go of every machine; with ``renounce`` an older incarnation may have them back."""
+        """End all streams; with ``renounce`` an older incarnation may have the machines back."""
         self.suspended = True
         for link in self._links.values():
             if link.call is not None:
@@ -316,7 +328,7 @@
                 link.call.end()
 
     def gone(self, machine: str) -> None:
-        """The machine is no more: give its link up."""
+        """Remove the link to a machine that no longer exists."""
         link = self._links.pop(machine, None)
         if link is not None:
             link.task.cancel()
--- a/sprucepost/placer/owners.py
+++ b/sprucepost/placer/owners.py
@@ -1,4 +1,4 @@
-"""The Submit service: owners' sessions, which outlive their streams for a stated time."""
+"""The Submit service: owners' sessions, which outlive their streams for a limited time."""
 
 from __future__ import annotations
 
@@ -13,61 +13,67 @@
 from sprucepost.wire.session import Session, SessionBroken
 from sprucepost.wire.status import Code, RpcError
 
-PATH = "/sprucepost.v1.Placer/Submit"
-ACK_MS = 50.0
-CREDIT_MS = 100.0  # between two looks at how many asks owners may have open
-BEHIND = 1_048_576  # bytes that an owner has not let out yet, over which its stream is ended; the session goes on
+SUBMIT_PATH = "/sprucepost.v1.Placer/Submit"
+ACK_DELAY_MS = 50.0  # an acknowledgement that no frame carries is sent by itself after this
+CREDIT_INTERVAL_MS = 100.0  # between updates of how many asks owners may have open
+MAX_BUFFERED_BYTES = 1_048_576  # a stream whose owner reads too slowly is ended beyond this; the session goes on
 
 
-OUTCOMES = ("bound", "refused", "failed")
+OUTCOME_KINDS = ("bound", "refused", "failed")
 
 
 class OwnerSession:
     """One owner's session, with or without a stream.
 
-    ``owed``: asks taken whose outcome has not been told, by task. A stream that its owner has half-closed (every
-    command-line client does, after its last ask) goes on until there are none, and then ends OK.
+    ``pending_outcomes``: by task, the accepted asks whose outcome has not been sent. A stream that its owner has
+    half-closed (every command-line client does, after its last ask) goes on until there are none, and then ends with
+    OK.
     """
 
     def __init__(self, owners: Owners, token: bytes, owner: str) -> None:
         self._owners, self.token, self.owner = owners, token, owner
         self.session: Session[pb.PlacerFrame] = Session(owners.unacknowledged)
         self.call: ServerCall | None = None
-        self.owed: Counter[str] = Counter()
-        self.half_closed = False  # the owner asks nothing more on this stream
-        self.batches = False  # it takes refused_all
-        self.credit = False  # it takes credit
-        self.told = 0  # the bound on its open asks that it was told last; 0: none
-        self._unread: Timer | None = None  # until its stream is read again
-        # Until when what arrives may have waited at the owner because we did not read, and for how long.
-        self._stale = (0.0, 0.0)
-        self._refused: pb.RefusedAll | None = None  # what is to go out at this turn's end
-        self.forget: Timer | None = None
+        self.pending_outcomes: Counter[str] = Counter()
+        self.half_closed = False  # the owner sends no more asks on this stream
+        self.takes_batches = False  # whether the owner accepts refused_all
+        self.takes_credit = False  # whether the owner accepts credit
+        self.last_credit = 0  # the limit on open asks that the owner got last; 0: none
+        self._reading_timer: Timer | None = None  # until the stream is read again
+        # Until when arriving frames may have waited unread at the owner, and for how long they may have, in ms.
+        self._unread_pause = (0.0, 0.0)
+        self._refusal_batch: pb.RefusedAll | None = None  # to be sent at the end of this turn of the loop
+        self.forget_timer: Timer | None = None
         self._ack_timer: Timer | None = None
 
     def refuse(self, task: str, why: str, retry_after_ms: float) -> None:
-        """One frame for all that a turn refuses: numbered, kept, encoded and acknowledged once. Apart, refusing an ask
-        cost a quarter of placing one, and a placer that had too much to do spent its time on saying so."""
+        """Refuse an ask, in one frame for all refusals of a turn of the loop.
+
+        That frame is numbered, kept, encoded and acknowledged once. With a frame for each ask a refusal cost a quarter
+        of a placement, and an overloaded placer spent its time on refusals.
+        """
         if retry_after_ms:
-            self._leave_unread()
-        if not self.batches:
+            self._pause_reading()
+        if not self.takes_batches:
             self.send(pb.PlacerFrame(task=task, refused=pb.Refused(why=why, retry_after_ms=retry_after_ms)))
             return
-        batch = self._refused
+        batch = self._refusal_batch
         if batch is None or batch.why != why:
-            self._send_refused()
-            batch = self._refused = pb.RefusedAll(why=why, retry_from_ms=retry_after_ms, retry_to_ms=retry_after_ms)
-            self._owners.loop.at_turn_end(self._send_refused)
+            self._flush_refusals()
+            batch = self._refusal_batch = pb.RefusedAll(
+                why=why, retry_from_ms=retry_after_ms, retry_to_ms=retry_after_ms
+            )
+            self._owners.loop.at_turn_end(self._flush_refusals)
         batch.tasks.append(task)
         if retry_after_ms > batch.retry_to_ms:
             batch.retry_to_ms = retry_after_ms
         elif retry_after_ms < batch.retry_from_ms:
             batch.retry_from_ms = retry_after_ms
 
-    def _leave_unread(self) -> None:
-        """Where refusing this session costs too much, its asks stay with the owner for a while."""
+    def _pause_reading(self) -> None:
+        """Stop reading the stream for a while if refusing its asks costs too much; they wait at the owner."""
         loop, call = self._owners.loop, self.call
-        if call is None or self._unread is not None:
+        if call is None or self._reading_timer is not None:
             return
         pause_ms = self._owners.admission.read_pause_ms(self.token, loop.now())
         if pause_ms <= 0:
@@ -75,33 +81,40 @@
         self._owners.counters["owner_unread"] += 1
         call.hold_reading(True)
 
-        def on() -> None:
-            # What was asked meanwhile has waited at the owner, whose library may have written its time left before.
-            self._unread, self._stale = None, (loop.now() + pause_ms, pause_ms)
+        def resume_reading() -> None:
+            # Asks of that time have waited at the owner, whose library may have stated the time left before the wait.
+            self._reading_timer, self._unread_pause = None, (loop.now() + pause_ms, pause_ms)
             call.hold_reading(False)
 
-        self._unread = loop.call_later(pause_ms, on)
+        self._reading_timer = loop.call_later(pause_ms, resume_reading)
 
-    def tell_credit(self, bound: int) -> None:
-        """How many asks it may have open, where that has moved by an eighth or more."""
-        if self.call is None or not self.credit or abs(bound - self.told) * 8 < max(bound, self.told):
+    def send_credit(self, limit: int) -> None:
+        """Send the limit on open asks, if it has changed by an eighth or more."""
+        if (
+            self.call is None
+            or not self.takes_credit
+            or abs(limit - self.last_credit) * 8 < max(limit, self.last_credit)
+        ):
             return
-        if bound != self.told:
-            self.told = bound
-            self.call.send(pb.PlacerFrame(credit=pb.Credit(open=bound)).SerializeToString())
+        if limit != self.last_credit:
+            self.last_credit = limit
+            self.call.send(pb.PlacerFrame(credit=pb.Credit(open=limit)).SerializeToString())
 
-    def _send_refused(self) -> None:
-        batch, self._refused = self._refused, None
+    def _flush_refusals(self) -> None:
+        batch, self._refusal_batch = self._refusal_batch, None
         if batch is not None:
             self._send(pb.PlacerFrame(refused_all=batch))
             for task in batch.tasks:
                 self.released(task, 1)
 
     def send(self, frame: pb.PlacerFrame) -> None:
-        """A numbered frame; it goes out now or when the owner comes back. What was refused before it goes first: of two
-        asks for one task the first must hear of its refusal before the second hears anything."""
-        if self._refused is not None:
-            self._send_refused()
+        """Send a numbered frame, now or when the owner comes back.
+
+        Earlier refusals are sent first: of two asks for one task the first must get its refusal before the second gets
+        anything.
+        """
+        if self._refusal_batch is not None:
+            self._flush_refusals()
         self._send(frame)
 
     def _send(self, frame: pb.PlacerFrame) -> None:
@@ -109,51 +122,53 @@
             frame.seq = self.session.number(frame)
         except SessionBroken as error:
             self._owners.counters["owner_unacknowledged"] += 1
-            self._owners.end(self, RpcError(Code.RESOURCE_EXHAUSTED, str(error)))
+            self._owners.end_session(self, RpcError(Code.RESOURCE_EXHAUSTED, str(error)))
             return
-        told = frame.WhichOneof("body") in OUTCOMES
+        is_outcome = frame.WhichOneof("body") in OUTCOME_KINDS
         call = self.call
         if call is None:
-            if told:
+            if is_outcome:
                 self.released(frame.task, 1)
             return
         frame.ack = self.session.ack()
         call.send(frame.SerializeToString())
-        if told:
+        if is_outcome:
             self.released(frame.task, 1)
-        if call.out_bytes > BEHIND:
+        if call.out_bytes > MAX_BUFFERED_BYTES:
             self._owners.counters["owner_behind"] += 1
             call.finish(RpcError(Code.RESOURCE_EXHAUSTED, "reads too slowly; resume the session"))
 
     def released(self, task: str, asks: int) -> None:
-        """So many fewer outcomes are owed. A task that was handed over is told as bound too, without an ask."""
-        if self.owed[task] > asks:
-            self.owed[task] -= asks
+        """Count ``asks`` fewer pending outcomes of the task. A handed-over task is reported as bound without an ask."""
+        if self.pending_outcomes[task] > asks:
+            self.pending_outcomes[task] -= asks
         else:
-            del self.owed[task]
-        if not self.owed:
-            self._owners.book.outcomes_delivered(self.token)
+            del self.pending_outcomes[task]
+        if not self.pending_outcomes:
+            self._owners.session_table.outcomes_delivered(self.token)
             self._end_if_done()
 
     def on_half_close(self, call: ServerCall) -> None:
-        if call is self.call:  # else another stream has taken the session, and says for itself when it is done
+        """Handle the end of the owner's side of a stream."""
+        if call is self.call:  # else another stream has taken over the session, and half-closes by itself
             self.half_closed = True
             self._end_if_done()
 
     def _end_if_done(self) -> None:
-        if self.half_closed and not self.owed and self.call is not None:
+        if self.half_closed and not self.pending_outcomes and self.call is not None:
             self._ack()
             self.call.finish()
 
     def waited_ms(self) -> float:
-        """How long, at most, the frame that is being taken had waited: in this host, or because we did not read."""
-        until, pause_ms = self._stale
+        """Return how long, at most, the current frame waited in this host or because its stream was not read, in ms."""
+        until, pause_ms = self._unread_pause
         unread = pause_ms if self._owners.loop.now() < until else 0.0
         return unread + (self.call.connection.transport.waited_ms if self.call is not None else 0.0)
 
     def ack_soon(self) -> None:
+        """Send an acknowledgement within ``ACK_DELAY_MS``, unless a frame carries it before."""
         if self._ack_timer is None:
-            self._ack_timer = self._owners.loop.call_later(ACK_MS, self._ack)
+            self._ack_timer = self._owners.loop.call_later(ACK_DELAY_MS, self._ack)
 
     def _ack(self) -> None:
         self._ack_timer = None
@@ -162,7 +177,7 @@
 
 
 class Owners:
-    """All sessions. ``take(session, frame)`` gets each new frame once, in order."""
+    """All sessions. ``handle_frame(session, frame)`` gets each new frame once, in order."""
 
     def __init__(
         self,
@@ -171,41 +186,43 @@
         incarnation: int,
         resume_ms: float,
         unacknowledged: int,
-        book: SessionTable,
+        session_table: SessionTable,
         admission: Admission[Any],
-        take: Callable[[OwnerSession, pb.OwnerFrame], None],
+        handle_frame: Callable[[OwnerSession, pb.OwnerFrame], None],
     ) -> None:
         self.loop, self._number, self.incarnation = loop, number, incarnation
-        self._resume_ms, self.unacknowledged, self._take = resume_ms, unacknowledged, take
-        self.book, self.admission = book, admission
-        self._credit_due = False
-        self._each = 0  # the bound that owners were told last
+        self._resume_ms, self.unacknowledged, self._handle_frame = resume_ms, unacknowledged, handle_frame
+        self.session_table, self.admission = session_table, admission
+        self._credit_update_scheduled = False
+        self._credit_per_owner = 0  # the limit that owners got last; 0: none
         self.sessions: dict[bytes, OwnerSession] = {}
         self.counters: Counter[str] = Counter()
 
     def methods(self) -> dict[str, Method]:
-        return {PATH: Method(attach=self._attach)}
+        """Return the service's methods by path."""
+        return {SUBMIT_PATH: Method(attach=self._attach)}
 
     def tell(self, token: bytes, frame: pb.PlacerFrame) -> None:
+        """Send a frame to the owner of that session, if there still is one."""
         session = self.sessions.get(token)
         if session is not None:
             session.send(frame)
 
-    def end(self, session: OwnerSession, status: RpcError) -> None:
-        """Forget a session; its stream ends with that status."""
+    def end_session(self, session: OwnerSession, status: RpcError) -> None:
+        """Forget a session and end its stream with that status."""
         self.sessions.pop(session.token, None)
-        self.book.remove(session.token)
-        if session.forget is not None:
-            session.forget.cancel()
+        self.session_table.remove(session.token)
+        if session.forget_timer is not None:
+            session.forget_timer.cancel()
         call, session.call = session.call, None
         if call is not None:
             call.finish(status)
 
     def _attach(self, call: ServerCall) -> None:
-        call.on_message = lambda data: self._hello(call, data)
+        call.on_message = lambda data: self._on_hello(call, data)
         call.on_end = call.finish
 
-    def _hello(self, call: ServerCall, data: bytes) -> None:
+    def _on_hello(self, call: ServerCall, data: bytes) -> None:
         frame = self._parse(data)
         if frame.WhichOneof("body") != "hello":
             raise RpcError(Code.INVALID_ARGUMENT, "hello must come first")
@@ -213,25 +230,25 @@
         session = self.sessions.get(hello.session) if hello.session else None
         resumed, again = session is not None, []
         if session is None:
-            session = self._enter(call, hello.owner)
+            session = self._open_session(call, hello.owner)
         else:
             try:
                 again = session.session.again(hello.last_seen)
             except SessionBroken as error:
                 raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
             self.counters["owner_resumed"] += 1
-            self.book.attach(session.token)
-        if session.forget is not None:
-            session.forget.cancel()
-            session.forget = None
+            self.session_table.attach(session.token)
+        if session.forget_timer is not None:
+            session.forget_timer.cancel()
+            session.forget_timer = None
         old, session.call = session.call, call
         if old is not None:
             old.finish(RpcError(Code.ABORTED, "another stream has taken the session"))
-        taken, session.half_closed, session.batches = session, False, hello.batches
-        session.credit, session.told = hello.credit, 0
-        call.on_message = lambda data: self._frame(taken, call, data)
-        call.on_end = lambda: taken.on_half_close(call)
-        call.on_over = lambda status: self._left(taken, call)
+        attached, session.half_closed, session.takes_batches = session, False, hello.batches
+        session.takes_credit, session.last_credit = hello.credit, 0
+        call.on_message = lambda data: self._on_frame(attached, call, data)
+        call.on_end = lambda: attached.on_half_close(call)
+        call.on_over = lambda status: self._on_stream_closed(attached, call)
         welcome = pb.Welcome(
             session=session.token,
             resumed=resumed,
@@ -244,78 +261,80 @@
         for seq, kept in again:
             kept.seq, kept.ack = seq, session.session.ack()
             call.send(kept.SerializeToString())
-        if self._each:  # else owners that come back together ask for all that they have held
-            session.tell_credit(self._each)
+        if self._credit_per_owner:  # else owners that come back together send all held asks
+            session.send_credit(self._credit_per_owner)
 
-    def _enter(self, call: ServerCall, owner: str) -> OwnerSession:
-        """A new session. Hellos alone cost memory for as long as a session may be resumed, so they are bounded."""
+    def _open_session(self, call: ServerCall, owner: str) -> OwnerSession:
+        """Open a session. Their number is limited, since a mere hello takes memory for as long as it may be resumed."""
         session = OwnerSession(self, self.loop.token(16), owner)
-        room, goes = self.book.add(session.token, str(call.connection.transport.peer).rsplit(":", 1)[0])
-        if goes is not None:
+        added, evicted = self.session_table.add(session.token, str(call.connection.transport.peer).rsplit(":", 1)[0])
+        if evicted is not None:
             self.counters["owner_evicted"] += 1
-            self.end(self.sessions[goes], RpcError(Code.ABORTED, "forgotten for a newer session"))
-        if not room:
+            self.end_session(self.sessions[evicted], RpcError(Code.ABORTED, "forgotten for a newer session"))
+        if not added:
             self.counters["owner_sessions"] += 1
             raise RpcError(Code.RESOURCE_EXHAUSTED, "too many sessions")
         self.sessions[session.token] = session
         return session
 
-    def _left(self, session: OwnerSession, call: ServerCall) -> None:
+    def _on_stream_closed(self, session: OwnerSession, call: ServerCall) -> None:
         if session.call is call:
             session.call = None
-            self.book.detach(session.token, bool(session.owed))
-            session.forget = self.loop.call_later(self._resume_ms, lambda: self._forget(session))
+            self.session_table.detach(session.token, bool(session.pending_outcomes))
+            session.forget_timer = self.loop.call_later(self._resume_ms, lambda: self._forget(session))
 
     def _forget(self, session: OwnerSession) -> None:
         if self.sessions.get(session.token) is session and session.call is None:
             del self.sessions[session.token]
-            self.book.remove(session.token)
+            self.session_table.remove(session.token)
             self.counters["owner_forgotten"] += 1
 
-    def _frame(self, session: OwnerSession, call: ServerCall, data: bytes) -> None:
+    def _on_frame(self, session: OwnerSession, call: ServerCall, data: bytes) -> None:
         if session.call is not call:
             return
         frame = self._parse(data)
         try:
             session.session.take_ack(frame.ack)
-            fresh = bool(frame.seq) and session.session.take(frame.seq)
+            is_new = bool(frame.seq) and session.session.take(frame.seq)
         except SessionBroken as error:
             self.counters["owner_numbering"] += 1
             raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
-        if fresh:
+        if is_new:
             session.ack_soon()
             if frame.WhichOneof("body") == "submit":
-                session.owed[frame.task] += 1
-                self._watch_credit()
-            self._take(session, frame)
+                session.pending_outcomes[frame.task] += 1
+                self._schedule_credit_update()
+            self._handle_frame(session, frame)
 
-    # Credit
+    # Credit.
 
-    def _watch_credit(self) -> None:
-        if not self._credit_due:
-            self._credit_due = True
-            self.loop.call_later(CREDIT_MS, self._look_at_credit)
+    def _schedule_credit_update(self) -> None:
+        if not self._credit_update_scheduled:
+            self._credit_update_scheduled = True
+            self.loop.call_later(CREDIT_INTERVAL_MS, self._update_credit)
 
-    def _look_at_credit(self) -> None:
-        """Tell owners their bounds; again after an interval for as long as there are any."""
-        self._credit_due = False
+    def _update_credit(self) -> None:
+        """Send owners their limits, and repeat this after an interval while there are any."""
+        self._credit_update_scheduled = False
         self.admission.update_credit(self.loop.now())
-        was = self._each
-        if not (was or self.admission.credit.total):
+        previous = self._credit_per_owner
+        if not (previous or self.admission.credit.total):
             return
-        asking: Counter[str] = Counter()  # sessions by owner: one with many has no more than one with one
-        owed: Counter[str] = Counter()
+        sessions_by_owner: Counter[str] = Counter()  # several sessions of one owner share its limit
+        pending_by_owner: Counter[str] = Counter()
         for session in self.sessions.values():
             if session.call is not None:
-                asking[session.owner] += 1
-                owed[session.owner] += session.owed.total()
-        self._each = self.admission.credit.per_owner_bound([count for count in owed.values() if count], was)
+                sessions_by_owner[session.owner] += 1
+                pending_by_owner[session.owner] += session.pending_outcomes.total()
+        self._credit_per_owner = self.admission.credit.per_owner_bound(
+            [count for count in pending_by_owner.values() if count], previous
+        )
         for session in self.sessions.values():
             if session.call is not None:
-                bound = self._each and max(1, self._each // asking[session.owner])
-                session.tell_credit(bound)
-        if self._each:
-            self._watch_credit()
+                limit = self._credit_per_owner and max(1, self._credit_per_owner // sessions_by_owner[session.owner])
+                session.send_credit(limit)
+        if self._credit_per_owner:
+            self._schedule_credit_update()
 
     def _parse(self, data: bytes) -> pb.OwnerFrame:
         try:
--- a/tests/placer/test_credit.py
+++ b/tests/placer/test_credit.py
@@ -19,9 +19,9 @@
     credit.total = each
     owners.admission._queue_was_empty = False
     owners.admission.update_credit = lambda now: None  # type: ignore[method-assign]
-    owners._each = each
+    owners._credit_per_owner = each
     for session in owners.sessions.values():
-        session.tell_credit(each)
+        session.send_credit(each)
 
 
 def test_an_owner_keeps_to_its_credit_and_all_is_answered() -> None:
@@ -38,7 +38,7 @@
             owner.submit(f"t{n}", task(life_ms=50), 3000)
         held, room = owner.held, owner.room
         while len(followed.frames) < 10:
-            most = max(most, sum(s.owed.total() for s in placer.owners.sessions.values()))
+            most = max(most, sum(s.pending_outcomes.total() for s in placer.owners.sessions.values()))
             yield from sleep(2.0)
         yield from wait_for(lambda: all(followed.outcomes(name) for name in followed.frames))
         return full, held, room, most, {name: followed.outcomes(name) for name in followed.frames}
@@ -110,7 +110,7 @@
         yield from world.ready(placer, 1)
         yield from wait_for(lambda: new.up and old.up)
         for session in placer.owners.sessions.values():
-            session.credit = session.owner == "new"
+            session.takes_credit = session.owner == "new"
         decide = placer.engine.driver.scheduler.handle
 
         def slowly(now: float, events: list[i.Event]) -> Any:
--- a/tests/placer/test_path.py
+++ b/tests/placer/test_path.py
@@ -244,7 +244,7 @@
         yield from world.ready(old, 1)
         yield from sleep(5)
         new = world.placer()
-        yield from wait_for(lambda: new.conflict)
+        yield from wait_for(lambda: new.number_taken)
         yield from sleep(20)
         why = new.not_ready_reason()
         owner, followed = world.owner(new.grpc_address)
@@ -554,7 +554,7 @@
         for _ in range(60):
             yield from hello(False)
         yield from wait_for(lambda: sum(s.call is None for s in placer.owners.sessions.values()) == 20)
-        owing = [session for session in placer.owners.sessions.values() if session.owed]
+        owing = [session for session in placer.owners.sessions.values() if session.pending_outcomes]
         client.close()
         return len(placer.owners.sessions), len(owing), placer.owners.counters["owner_evicted"]
 
