--- a/sprucepost/peers/codec.py
+++ b/sprucepost/peers/codec.py
@@ -9,19 +9,19 @@
 
 from sprucepost.membership import Generation
 from sprucepost.v1 import peer_pb2 as pb
+from sprucepost.view.messages import Heartbeat, Hello, RecordUpdates, Summary, ViewMessage
 from sprucepost.view.record import Record
-from sprucepost.view.view import MEMBERS_MOST
-from sprucepost.view.words import Beat, Hello, News, Summary, Word
+from sprucepost.view.view import MAX_MEMBERS
 
-TEXT_MOST = 256  # characters of a name, a life, an address
-SEES_MOST = 256  # streams that one member may claim
+MAX_TEXT_CHARS = 256  # characters of a name, a life, an address
+MAX_SEEN_MEMBERS = 256  # streams that one member may claim
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """What a peer sent is no word."""
 
 
-def encode(word: Word, configuration: pb.ConfigurationDigest | None = None) -> bytes:
+def encode(word: ViewMessage, configuration: pb.ConfigurationDigest | None = None) -> bytes:
     """The frame of a word; a heartbeat's with the digest of the configuration, where the sender carries one."""
     if isinstance(word, Hello):
         frame = pb.PeerFrame(
@@ -32,9 +32,9 @@
                 fixed_settings=word.fixed_settings,
             )
         )
-    elif isinstance(word, Beat):
+    elif isinstance(word, Heartbeat):
         frame = pb.PeerFrame(beat=pb.PeerBeat(digest=word.digest, configuration=configuration))
-    elif isinstance(word, News):
+    elif isinstance(word, RecordUpdates):
         frame = pb.PeerFrame(news=pb.PeerNews(records=[_record(record) for record in word.records]))
     else:
         ages = [pb.PeerAge(name=name, incarnation=life, version=version) for name, life, version in word.ages]
@@ -47,27 +47,27 @@
     try:
         return pb.PeerFrame.FromString(data)
     except DecodeError as error:
-        raise Malformed("no frame") from error
+        raise MalformedMessageError("no frame") from error
 
 
-def decode(data: bytes) -> Word | None:
+def decode(data: bytes) -> ViewMessage | None:
     """The word of a frame, as ``word_of`` reads it."""
-    return word_of(parse(data))
+    return view_message_of(parse(data))
 
 
-def word_of(frame: pb.PeerFrame) -> Word | None:
+def view_message_of(frame: pb.PeerFrame) -> ViewMessage | None:
     """The word of a frame; None for one of a kind that is no word of the view, or that a later version may have. Malformed
     where it can't be."""
     kind = frame.WhichOneof("word")
     if kind == "hello":
         return Hello(frame.hello.cluster, frame.hello.settings, _read(frame.hello.record), frame.hello.fixed_settings)
     if kind == "beat":
-        return Beat(frame.beat.digest)
+        return Heartbeat(frame.beat.digest)
     if kind == "news":
-        return News(tuple(_read(record) for record in frame.news.records))
+        return RecordUpdates(tuple(_read(record) for record in frame.news.records))
     if kind == "summary":
-        if len(frame.summary.ages) > MEMBERS_MOST:
-            raise Malformed(f"a summary of {len(frame.summary.ages)} members")
+        if len(frame.summary.ages) > MAX_MEMBERS:
+            raise MalformedMessageError(f"a summary of {len(frame.summary.ages)} members")
         return Summary(
             tuple((age.name, age.incarnation, age.version) for age in frame.summary.ages), frame.summary.answer
         )
@@ -92,9 +92,13 @@
     record = pb.PeerRecord.FromString(data)
     texts = (record.name, record.life, record.host, record.room, record.address, record.status, *record.roles)
     if not record.name or not record.life:
-        raise Malformed("a record without a name or a life")
-    if max(map(len, texts)) > TEXT_MOST or len(record.sees) > SEES_MOST or len(record.roles) > SEES_MOST:
-        raise Malformed("a record that is too long")
+        raise MalformedMessageError("a record without a name or a life")
+    if (
+        max(map(len, texts)) > MAX_TEXT_CHARS
+        or len(record.sees) > MAX_SEEN_MEMBERS
+        or len(record.roles) > MAX_SEEN_MEMBERS
+    ):
+        raise MalformedMessageError("a record that is too long")
     return Record(
         name=record.name, incarnation=record.incarnation, life=record.life, version=record.version,
         number=record.number, host=record.host, room=record.room, address=record.address,
@@ -117,5 +121,7 @@
     )  # fmt: skip
     times = (found.begins_ms, found.overlap_ms, found.over_ms or 0.0)
     if found.problems() or not all(isfinite(time) for time in times):
-        raise Malformed(f"a generation that cannot be: {'; '.join(found.problems()) or 'times without end'}")
+        raise MalformedMessageError(
+            f"a generation that cannot be: {'; '.join(found.problems()) or 'times without end'}"
+        )
     return found
--- a/sprucepost/placer/configuration.py
+++ b/sprucepost/placer/configuration.py
@@ -11,7 +11,7 @@
 from sprucepost.configuration.document import Value, settings_digest
 from sprucepost.configuration.messages import Diverged, Event, Held, InForce, Overwritten, Refused, SetAside
 from sprucepost.loop import Loop
-from sprucepost.peers.configuration import ConfigurationCarrier
+from sprucepost.peers.configuration_transport import ConfigurationTransport
 from sprucepost.settings import Cluster, ConfigurationOptions
 from sprucepost.settings.running import ClusterValidator, changeable_keys, flat_cluster, key_refusal
 
@@ -52,7 +52,7 @@
             loop.now(),
             Limits(horizon_ms=options.horizon_ms),
         )
-        self.carrier = ConfigurationCarrier(self.replica, loop.now, self._on_event)
+        self.transport = ConfigurationTransport(self.replica, loop.now, self._on_event)
         self._in_force: Mapping[str, Value] = dict(self.replica.configuration)
 
     @property
@@ -66,11 +66,11 @@
             refusal = key_refusal(edit.key, self._file_cluster)
             if refusal:
                 return Receipt(self.replica.version, refusal=refusal)
-        return self.carrier.propose(proposal)
+        return self.transport.propose(proposal)
 
     def rollback(self, position: Position, author: str, comment: str) -> Receipt:
         """Propose a change that restores the values as they were right after the change at ``position``."""
-        return self.carrier.rollback(position, author, comment, self._loop.wall())
+        return self.transport.rollback(position, author, comment, self._loop.wall())
 
     def ineffective_keys(self, new: Cluster) -> list[str] | None:
         """Return the keys in which a file's deployment differs from this placer's, if the fleet's configuration sets
@@ -89,13 +89,13 @@
         if isinstance(event, InForce):
             self._apply()
         elif isinstance(event, Held):
-            self._callbacks.warn("configuration_held", key=event.key, line=event.line)
+            self._callbacks.warn("configuration_held", key=event.key, line=event.reason)
         elif isinstance(event, Overwritten):
             self._callbacks.warn(
                 "configuration_overwritten", change=str(event.position), key=event.key, by=str(event.by)
             )
         elif isinstance(event, Refused):
-            self._callbacks.warn("configuration_refused", change=str(event.position), line=event.line)
+            self._callbacks.warn("configuration_refused", change=str(event.position), line=event.reason)
         elif isinstance(event, SetAside):
             self._callbacks.warn("configuration_set_aside", change=str(event.position))
         elif isinstance(event, Diverged):
@@ -126,8 +126,8 @@
             "cut": str(replica.cut),
             "digest": f"{settings_digest(replica.configuration):016x}",
             "in_force": dict(replica.configuration),
-            "held": None if held is None else {"key": held.key, "line": held.line},
-            "peers": self.carrier.connected,
+            "held": None if held is None else {"key": held.key, "line": held.reason},
+            "peers": self.transport.connected_streams,
             "history": [_entry_status(entry) for entry in replica.history[-MAX_SHOWN_CHANGES:]],
         }
 
@@ -141,7 +141,7 @@
         "made_ms": change.made_ms,
         "baseline": change.baseline,
         "state": entry.state.value,
-        "line": entry.line,
+        "line": entry.reason,
         "edits": {edit.key: None if edit.removed else edit.value for edit in change.edits[:MAX_SHOWN_KEYS]},
         "removed": [edit.key for edit in change.edits[:MAX_SHOWN_KEYS] if edit.removed],
         "superseded_by": {key: str(by) for key, by in sorted(entry.superseded_by.items())[:MAX_SHOWN_KEYS]},
--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -26,10 +26,10 @@
 from sprucepost.settings.reload import changes, refused
 from sprucepost.settings.running import settings_fingerprint
 from sprucepost.view import Record
-from sprucepost.view.words import Changed
+from sprucepost.view.messages import ViewChanged
 from sprucepost.wire.connection import Options
 from sprucepost.wire.health import NOT_SERVING, SERVING, Health
-from sprucepost.wire.http1 import Http1
+from sprucepost.wire.http1 import Http1Server
 from sprucepost.wire.reflection import Reflection
 from sprucepost.wire.server import Server
 from sprucepost.wire.status import Code, RpcError
@@ -122,7 +122,7 @@
             loop,
             scope,
             methods,
-            Options(message_most=limits.message_bytes, connections=limits.connections),
+            Options(max_message_bytes=limits.message_bytes, max_connections=limits.connections),
             lambda path, error: self.log.error("handler", path=path, error=f"{type(error).__name__}: {error}"),
         )
         self.notifier = notifier or Notifier(loop, {}, 0)
@@ -139,7 +139,7 @@
         self._stop_by: float | None = None
         self._stop_now = self._state_update_scheduled = False
         self.grpc_address: Address = ""
-        self.http: Http1 | None = None
+        self.http: Http1Server | None = None
 
     def _make_peers(self) -> Peers | None:
         """Create the streams to other placers and the view of the fleet, if the settings ask for them."""
@@ -170,7 +170,7 @@
             self._on_view_changed,
             self._check_membership,
             lambda event, **more: self.log.debug(event, **more),
-            self.configuration.carrier if self.configuration is not None else None,
+            self.configuration.transport if self.configuration is not None else None,
             self.configuration.validator.fixed_fingerprint if self.configuration is not None else "",
         )
 
@@ -202,7 +202,7 @@
         if self.fleet_membership is not None:
             self.fleet_membership.check()
 
-    def _on_view_changed(self, change: Changed) -> None:
+    def _on_view_changed(self, change: ViewChanged) -> None:
         view = self.peers.view if self.peers is not None else None
         digest = f"{view.digest:016x}" if view is not None else None
         self.log.info(
@@ -278,7 +278,7 @@
         self.log.warning("incarnation_raised", known=known)
         if self.fleet_membership is not None and self.peers is not None:
             self.fleet_membership.incarnation = self.incarnation >> 16
-            known_incarnation = self.peers.view.me.incarnation
+            known_incarnation = self.peers.view.own_record.incarnation
             self.peers.view.update(incarnation=max(self.fleet_membership.incarnation, known_incarnation))
         return True
 
@@ -309,13 +309,13 @@
         else:
             self.grpc_address = self.server.listen(parse_address(self.file.placer.listen))
         http = passed.get("http") or passed.get("1") or parse_address(self.file.placer.http)
-        self.http = Http1(self.loop, http, pages(self))
+        self.http = Http1Server(self.loop, http, pages(self))
         for service in ("", SERVICE):
             self.health.set(service, NOT_SERVING)
         self.engine.on_conditions_changed = self.schedule_state_update
         self.engine.start()
         if self.peers is not None:
-            if not self.peers.view.me.address:
+            if not self.peers.view.own_record.address:
                 self.peers.view.update(address=format_address(self.grpc_address))
             self.links.suspended = True
             self.loop.call_later(VIEW_WAIT_MS, self._start_links)
@@ -367,7 +367,7 @@
         self.state, why = next_state(before, self._conditions())
         if (
             self.peers is not None
-            and (status := f"{self.state.value} {why}".strip()[:120]) != self.peers.view.me.status
+            and (status := f"{self.state.value} {why}".strip()[:120]) != self.peers.view.own_record.status
         ):
             self.peers.view.update(status=status)
         if self.state is before:
--- a/sprucepost/placer/discovery.py
+++ b/sprucepost/placer/discovery.py
@@ -17,7 +17,7 @@
 FIRST_UPDATE_TIMEOUT_MS = 5000.0  # for the first update of a watch
 SLOW_LIST_TIMEOUT_FACTOR = 8  # applied to that after a watch got no first update in time
 # A server treats more frequent pings than these as a flood.
-CONNECTION_OPTIONS = Options(keepalive_ms=10_000.0, keepalive_wait_ms=5000.0)
+CONNECTION_OPTIONS = Options(keepalive_ms=10_000.0, keepalive_timeout_ms=5000.0)
 MISSED_HEARTBEATS = 3  # a silent watch is broken after these; one may be late, and two don't show the cause
 
 
--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -130,7 +130,7 @@
     def _prepare_batch(self) -> None:
         """Before each batch of events to the scheduler, add changes of machines and the queued asks that are due."""
         self.roster.publish_changes()
-        self.intake.take_up()
+        self.intake.dequeue_tasks()
 
     def _execute(self, action: i.Offer | i.Refuse | i.Fail) -> None:
         if isinstance(action, i.Offer):
--- a/sprucepost/placer/fleet_membership.py
+++ b/sprucepost/placer/fleet_membership.py
@@ -55,7 +55,7 @@
 
     def __init__(self, loop: Loop, view: View, wall_ms: Callable[[], float], callbacks: MembershipCallbacks) -> None:
         self._loop, self._view, self._wall_ms, self._callbacks = loop, view, wall_ms, callbacks
-        self.incarnation = view.me.incarnation
+        self.incarnation = view.own_record.incarnation
         self.disputed = False
         self._checked_view: tuple[int, frozenset[str], int] | None = None
         self._next_check_ms = 0.0
@@ -64,9 +64,9 @@
     def check(self) -> None:
         """Check the view; to be called after each of its ticks."""
         view, now = self._view, self._loop.now()
-        if view.me.incarnation > self.incarnation:
-            self.incarnation = view.me.incarnation
-            self._callbacks.incarnation_raised(view.me.incarnation)
+        if view.own_record.incarnation > self.incarnation:
+            self.incarnation = view.own_record.incarnation
+            self._callbacks.incarnation_raised(view.own_record.incarnation)
         view_state = (view.digest, view.here, len(view.streams))
         if view_state == self._checked_view and now < self._next_check_ms:
             return
@@ -79,13 +79,21 @@
     def _check_number(self, now: float) -> None:
         view = self._view
         self._track_namesake(now)
-        others = [view.records[name] for name in view.conflicts().get(view.me.number, ()) if name != view.me.name]
-        older = [other for other in others if (other.incarnation, other.name) < (view.me.incarnation, view.me.name)]
+        others = [
+            view.records[name]
+            for name in view.conflicts().get(view.own_record.number, ())
+            if name != view.own_record.name
+        ]
+        older = [
+            other
+            for other in others
+            if (other.incarnation, other.name) < (view.own_record.incarnation, view.own_record.name)
+        ]
         since_ms = self._namesake_since_ms
         if older:
-            self._callbacks.number_shared(f"{older[0].name} at {older[0].address} has number {view.me.number}")
+            self._callbacks.number_shared(f"{older[0].name} at {older[0].address} has number {view.own_record.number}")
         elif since_ms is not None and now - since_ms >= NAMESAKE_GRACE_MS:
-            self._callbacks.number_shared(f"another process is {view.me.name}")
+            self._callbacks.number_shared(f"another process is {view.own_record.name}")
         else:
             self._callbacks.number_shared("")
         if since_ms is not None:
@@ -93,7 +101,7 @@
             self._next_check_ms = min(self._next_check_ms, due_ms) if now < due_ms else now
 
     def _track_namesake(self, now: float) -> None:
-        if not self._view.namesake or self._view.superseded:
+        if not self._view.has_namesake or self._view.is_superseded:
             self._namesake_since_ms = None
         elif self._namesake_since_ms is None:
             self._namesake_since_ms = now
@@ -103,11 +111,11 @@
         others = [
             KnownPlacer(record.number, record.generation, name in view.here)
             for name, record in view.records.items()
-            if name != view.me.name and not record.left and record.generation.size
+            if name != view.own_record.name and not record.left and record.generation.size
         ]
-        own = view.me.generation
+        own = view.own_record.generation
         generation = reduce(newer_generation, (other.generation for other in others), own)
-        resize = Resize(view.me.number, generation, others)
+        resize = Resize(view.own_record.number, generation, others)
         generation = resize.propose_end(self._wall_ms()) or generation
         if generation != own:
             view.update(generation=generation)
--- a/sprucepost/placer/links.py
+++ b/sprucepost/placer/links.py
@@ -110,14 +110,14 @@
 
         Frames other than void offers are sent again after the next attach.
         """
-        if self.call is not None and self.call.behind:
+        if self.call is not None and self.call.send_blocked:
             self._links.counters["link_behind"] += 1
             self.call.connection.abort("the machine has not read its offers in time")
 
     def send(self, frame: pb.ToMachine) -> None:
         """Send a numbered frame, now or after the next attach."""
         try:
-            frame.seq = self._session.number(frame)
+            frame.seq = self._session.assign_seq(frame)
         except SessionBroken as error:
             self._links.counters["link_unacknowledged"] += 1
             self._restart(str(error))
@@ -128,7 +128,7 @@
 
     def _write_offers(self) -> None:
         # Not if the stream is backlogged: an offer would wait there with an unchanged time limit.
-        while self._queue and self.call is not None and not self.call.behind:
+        while self._queue and self.call is not None and not self.call.send_blocked:
             key = next(iter(self._queue))
             del self._queue[key]
             offer = self._links.handler.build_offer(key, self.machine_incarnation)
@@ -154,8 +154,8 @@
             call.cancel(error.code, error.message)
             return
         try:
-            self._session.take_ack(frame.ack)
-            is_new = bool(frame.seq) and self._session.take(frame.seq)
+            self._session.receive_ack(frame.ack)
+            is_new = bool(frame.seq) and self._session.accept(frame.seq)
         except SessionBroken as error:
             self._links.counters["link_numbering"] += 1
             self._restart(str(error))
@@ -169,7 +169,7 @@
 
     def _ack(self) -> None:
         self._ack_timer = None
-        if self.call is not None and self._session.owes_ack:
+        if self.call is not None and self._session.ack_due:
             self.call.send(pb.ToMachine(ack=self._session.ack()).SerializeToString())
 
     # Connecting and attaching.
@@ -190,7 +190,7 @@
                 finally:
                     self._links.connect_limiter.release()
                 retry_ms = MIN_RECONNECT_MS
-                yield from call.wait_over()
+                yield from call.wait_done()
             except Cancelled:
                 if connection is not None:
                     connection.close()
@@ -219,7 +219,7 @@
             number=self._links.number,
             incarnation=self._links.incarnation,
             session=self._token,
-            last_seen=self._session.seen,
+            last_seen=self._session.last_received,
         )
         call.send(pb.ToMachine(hello=hello).SerializeToString())
         data = yield from within((yield from current()), ATTACH_TIMEOUT_MS, call.receive())
@@ -232,9 +232,9 @@
         is_new_incarnation = self.machine_incarnation not in (0, attached.life)
         self.machine_incarnation = attached.life
         if attached.resumed:
-            self._session.replace(self._rebuild_for_resend)
+            self._session.update_unacknowledged(self._rebuild_for_resend)
             try:
-                frames_to_resend = self._session.again(attached.last_seen)
+                frames_to_resend = self._session.resume(attached.last_seen)
             except SessionBroken as error:
                 self._restart(str(error))
                 raise RpcError(Code.ABORTED, str(error)) from None
@@ -249,7 +249,7 @@
             self._links.handler.on_machine_resumed(self.machine, attached)
         else:
             self._links.handler.on_machine_attached(self.machine, attached, is_new_incarnation)
-        call.deliver(lambda data: self._on_frame(call, data))  # frames may have arrived in the same read as the first
+        call.deliver_to(lambda data: self._on_frame(call, data))  # frames may have arrived in the same read as the first
         self._links.counters["link_resumed" if attached.resumed else "link_attached"] += 1
         self._write_offers()
         return call
@@ -295,7 +295,7 @@
         self.on_newer_incarnation, self.on_number_taken = on_newer_incarnation, on_number_taken
         self.suspended = False  # whether links are kept from attaching
         # An offer states the time that is left for it, so those that a pause of the process delayed are void.
-        self.options = Options(keepalive_ms=10_000.0, keepalive_wait_ms=5000.0, stale_ms=stale_ms)
+        self.options = Options(keepalive_ms=10_000.0, keepalive_timeout_ms=5000.0, max_send_delay_ms=stale_ms)
         self.counters: Counter[str] = Counter()
         self.rng: Rng = loop.rng()
         self.connect_limiter = ConnectLimiter(max_connects)
--- a/sprucepost/placer/owners.py
+++ b/sprucepost/placer/owners.py
@@ -79,12 +79,12 @@
         if pause_ms <= 0:
             return
         self._owners.counters["owner_unread"] += 1
-        call.hold_reading(True)
+        call.hold_window(True)
 
         def resume_reading() -> None:
             # Asks of that time have waited at the owner, whose library may have stated the time left before the wait.
             self._reading_timer, self._unread_pause = None, (loop.now() + pause_ms, pause_ms)
-            call.hold_reading(False)
+            call.hold_window(False)
 
         self._reading_timer = loop.call_later(pause_ms, resume_reading)
 
@@ -119,7 +119,7 @@
 
     def _send(self, frame: pb.PlacerFrame) -> None:
         try:
-            frame.seq = self.session.number(frame)
+            frame.seq = self.session.assign_seq(frame)
         except SessionBroken as error:
             self._owners.counters["owner_unacknowledged"] += 1
             self._owners.end_session(self, RpcError(Code.RESOURCE_EXHAUSTED, str(error)))
@@ -134,7 +134,7 @@
         call.send(frame.SerializeToString())
         if is_outcome:
             self.released(frame.task, 1)
-        if call.out_bytes > MAX_BUFFERED_BYTES:
+        if call.unsent_bytes > MAX_BUFFERED_BYTES:
             self._owners.counters["owner_behind"] += 1
             call.finish(RpcError(Code.RESOURCE_EXHAUSTED, "reads too slowly; resume the session"))
 
@@ -172,7 +172,7 @@
 
     def _ack(self) -> None:
         self._ack_timer = None
-        if self.call is not None and self.session.owes_ack:
+        if self.call is not None and self.session.ack_due:
             self.call.send(pb.PlacerFrame(ack=self.session.ack()).SerializeToString())
 
 
@@ -233,7 +233,7 @@
             session = self._open_session(call, hello.owner)
         else:
             try:
-                again = session.session.again(hello.last_seen)
+                again = session.session.resume(hello.last_seen)
             except SessionBroken as error:
                 raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
             self.counters["owner_resumed"] += 1
@@ -248,11 +248,11 @@
         session.takes_credit, session.last_credit = hello.credit, 0
         call.on_message = lambda data: self._on_frame(attached, call, data)
         call.on_end = lambda: attached.on_half_close(call)
-        call.on_over = lambda status: self._on_stream_closed(attached, call)
+        call.on_done = lambda status: self._on_stream_closed(attached, call)
         welcome = pb.Welcome(
             session=session.token,
             resumed=resumed,
-            last_seen=session.session.seen,
+            last_seen=session.session.last_received,
             resume_ms=self._resume_ms,
             number=self._number,
             incarnation=self.incarnation,
@@ -294,8 +294,8 @@
             return
         frame = self._parse(data)
         try:
-            session.session.take_ack(frame.ack)
-            is_new = bool(frame.seq) and session.session.take(frame.seq)
+            session.session.receive_ack(frame.ack)
+            is_new = bool(frame.seq) and session.session.accept(frame.seq)
         except SessionBroken as error:
             self.counters["owner_numbering"] += 1
             raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
--- a/sprucepost/placer/pages.py
+++ b/sprucepost/placer/pages.py
@@ -70,8 +70,8 @@
     if placer.peers is None or placer.fleet_membership is None:
         return ""
     view = placer.peers.view
-    settled = (placer.loop.now() - view.moved) / 1000.0
-    parts = [f"view: {len(view.here)} here, {len(view.away)} away, size {view.me.generation.size}"]
+    settled = (placer.loop.now() - view.changed_at) / 1000.0
+    parts = [f"view: {len(view.here)} here, {len(view.away)} away, size {view.own_record.generation.size}"]
     parts += [f"digest {view.digest:016x}", f"settled for {settled:.1f} s"]
     parts += ["generation disputed"] * placer.fleet_membership.disputed
     return ", ".join(parts) + "\n"
@@ -83,9 +83,9 @@
     ``settled_ms``: for how long nothing has changed.
     """
     return {
-        "name": view.me.name,
+        "name": view.own_record.name,
         "digest": f"{view.digest:016x}",
-        "settled_ms": round(now - view.moved),
+        "settled_ms": round(now - view.changed_at),
         "conflicts": {str(number): names for number, names in view.conflicts().items()},
         "members": [
             {
@@ -192,8 +192,8 @@
     view = peers.view
     for name, help_text, value in (
         ("view_here", "Placers that can be reached", len(view.here)),
-        ("view_size", "The size under which this placer runs", view.me.generation.size),
-        ("view_generation", "Its generation", view.me.generation.number),
+        ("view_size", "The size under which this placer runs", view.own_record.generation.size),
+        ("view_generation", "Its generation", view.own_record.generation.number),
         (
             "view_disputed",
             "1 while placers hold unlike generations of one number",
@@ -205,7 +205,7 @@
         ("view_messages_received", "Messages heard of other placers", peers.counters["messages_in"]),
         ("view_away", "Placers that are remembered and not reached", len(view.away)),
         ("view_conflicts", "Numbers that more than one placer has", len(view.conflicts())),
-        ("view_settled_ms", "Since the view last changed, here or at a peer", now - view.moved),
+        ("view_settled_ms", "Since the view last changed, here or at a peer", now - view.changed_at),
         ("view_streams", "Streams to other placers", len(view.streams)),
     ):
         gauge = GaugeMetricFamily(f"sprucepost_{name}", help_text)
@@ -219,14 +219,14 @@
 def _configuration_gauges(configuration: PlacerConfiguration) -> Iterator[Any]:
     from prometheus_client.core import GaugeMetricFamily
 
-    replica, carrier = configuration.replica, configuration.carrier
+    replica, transport = configuration.replica, configuration.transport
     for name, help_text, value in (
         ("number", "The highest number of a change known here", replica.version.number),
         ("held", "1 while the agreed configuration isn't in force here", replica.held is not None),
         ("refused_changes", "Known changes that aren't applied", len(replica.refused)),
-        ("peers", "Streams to placers that carry a configuration", carrier.connected),
-        ("messages_sent", "Messages about it to other placers", carrier.counters["messages_out"]),
-        ("bytes_sent", "Their bytes, without the digests in heartbeats", carrier.counters["bytes_out"]),
+        ("peers", "Streams to placers that carry a configuration", transport.connected_streams),
+        ("messages_sent", "Messages about it to other placers", transport.counters["messages_out"]),
+        ("bytes_sent", "Their bytes, without the digests in heartbeats", transport.counters["bytes_out"]),
     ):
         gauge = GaugeMetricFamily(f"sprucepost_configuration_{name}", help_text)
         gauge.add_metric([], value)
