--- a/sprucepost/placer/links.py
+++ b/sprucepost/placer/links.py
@@ -249,7 +249,8 @@
             self._links.handler.on_machine_resumed(self.machine, attached)
         else:
             self._links.handler.on_machine_attached(self.machine, attached, is_new_incarnation)
-        call.deliver_to(lambda data: self._on_frame(call, data))  # frames may have arrived in the same read as the first
+        # Frames may have arrived in the same read as the first.
+        call.deliver_to(lambda data: self._on_frame(call, data))
         self._links.counters["link_resumed" if attached.resumed else "link_attached"] += 1
         self._write_offers()
         return call
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -16,7 +16,7 @@
 from sprucepost.loop import sleep
 from sprucepost.rules.record import CAPTURE, CLUSTER
 from sprucepost.wire.capture import MAGIC
-from tests.placer.support import World, cluster, play, task
+from tests.placer.support import World, cluster, run_in_world, task
 from tests.wire.support import wait_for
 
 PLAN = {
@@ -53,7 +53,7 @@
         yield from wait_for(lambda: process.poll() is not None, 30_000)
         return process.returncode, process.communicate(), [p.engine.counters["submitted"] for p in placers]
 
-    status, (out, err), submitted = play(body, limit_ms=40_000)
+    status, (out, err), submitted = run_in_world(body, limit_ms=40_000)
     assert status == 0, err
     figures = json.loads((tmp_path / "f.json").read_text())
     assert submitted == [100, 100] and figures["first"]["due"] == figures["second"]["due"] == 100
@@ -79,7 +79,7 @@
         yield from wait_for(lambda: len(owners[0][1].outcomes("t0")) == 2)
         return b"".join(world.captured)
 
-    capture = play(day)
+    capture = run_in_world(day)
     assert capture.startswith(MAGIC)
     (tmp_path / CAPTURE).write_bytes(capture)
     (tmp_path / CLUSTER).write_text(json.dumps(msgspec.to_builtins(cluster())))
--- a/tests/load/test_run.py
+++ b/tests/load/test_run.py
@@ -10,7 +10,7 @@
 from sprucepost.load.run import Run
 from sprucepost.loop import Co
 from sprucepost.standin.tap import Condition
-from tests.placer.support import World, play
+from tests.placer.support import World, run_in_world
 from tests.wire.support import wait_for
 
 
@@ -28,7 +28,7 @@
         found = yield from Run(world.loop, world.scope, [placer.grpc_address], what).play(asks(what))
         return found.figures(1.0)
 
-    figures = play(body)
+    figures = run_in_world(body)
     # One machine looks at one offer at a time, so some may be refused; none is without its one answer.
     assert figures["due"] > 150 and figures["unanswered"] == 0
     assert sum(figures["outcomes"].values()) == figures["due"] and figures["outcomes"]["placed"] > 50
@@ -52,7 +52,7 @@
 
         return (yield from run.play(asked_in_silence())).figures(1.0)
 
-    figures = play(body)
+    figures = run_in_world(body)
     assert figures["unanswered"] == 3 and figures["answered_ms"]["p50"] >= 699
 
 
@@ -70,6 +70,6 @@
         yield from wait_for(lambda: job.done, 8000)
         return job.take().figures(1.5)
 
-    figures = play(body)
+    figures = run_in_world(body)
     # A third of the asks were due in the stall; a closed loop would have counted one of them.
     assert figures["answered_ms"]["p90"] > 150 and figures["unanswered"] == 0
--- a/tests/placer/support.py
+++ b/tests/placer/support.py
@@ -1,4 +1,4 @@
-"""A placer, machines, a list and owners on one loop over real sockets."""
+"""A placer, simulated machines, a list and owners on one loop over real sockets."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
     return Cluster(**{**values, **changes})
 
 
-class Followed:
-    """What an owner's session received, by task."""
+class ReceivedFrames:
+    """The frames that an owner's session received, by task; ``sessions``: whether each stream resumed a session."""
 
     def __init__(self) -> None:
         self.frames: dict[str, list[pb.PlacerFrame]] = {}
@@ -67,7 +67,7 @@
 
 
 class World:
-    """The parts; ``machines`` sit behind the tap, as do the placer's port and the list."""
+    """The fleet under test. Machines and the list are reached through the recording proxy ``tap``."""
 
     def __init__(self, loop: EpollLoop, scope: Scope, settings: Cluster) -> None:
         self.loop, self.scope, self.cluster = loop, scope, settings
@@ -78,8 +78,8 @@
         list_server = Server(loop, scope, self.listing.methods())
         self.list_address = list_server.listen(("127.0.0.1", 0))
         self.list_tap = self.tap.add("list", self.list_address)
-        manners: dict[str, dict[str, Any]] = {cls.name: {"work_ms": 5.0} for cls in settings.classes}
-        self.field = Field(loop, scope, settings, class_models(settings, manners), self.list_address)
+        behaviour: dict[str, dict[str, Any]] = {cls.name: {"work_ms": 5.0} for cls in settings.classes}
+        self.field = Field(loop, scope, settings, class_models(settings, behaviour), self.list_address)
         scope.spawn(self.field.report(), "reports")
         self.placers: list[Placer] = []
 
@@ -94,14 +94,16 @@
         self.field.changed(host)
         return host
 
-    def placer(self, number: int = 0, instances: int = 1, told: Cluster | None = None, **changes: Any) -> Placer:
-        """``told``: settings that differ from the deployment's, for a placer that is to break a rule."""
+    def placer(
+        self, number: int = 0, instances: int = 1, placer_cluster: Cluster | None = None, **changes: Any
+    ) -> Placer:
+        """Start a placer. ``placer_cluster``: other settings than the deployment's, for a rule-breaking placer."""
         assert isinstance(self.list_tap, tuple)
         options: dict[str, Any] = {
             "number": number, "instances": instances, "zone": "room-a", "list": f"127.0.0.1:{self.list_tap[1]}",
             "seed": 7, "source": f"127.0.1.{number + 1}", "resume_ms": 3000.0,
         }  # fmt: skip
-        file = PlacerFile(told or self.cluster, PlacerOptions(**{**options, **changes}))
+        file = PlacerFile(placer_cluster or self.cluster, PlacerOptions(**{**options, **changes}))
         assert file.problems() == []
         placer = Placer(self.loop, self.scope, file, Logs(self.loop, "error", "json"))
         placer.start()
@@ -109,20 +111,20 @@
         return placer
 
     def check_rules(self, history: RunHistory | None = None) -> dict[str, list[str]]:
-        """What is broken so far, by rule."""
+        """Return the violations so far, by rule."""
         records = read_capture(b"".join(self.captured))
         history = history or RunHistory(ended_at=self.loop.wall())
         return {result.rule[:1]: result.broken for result in check_rules(trace(records), self.cluster, history)}
 
-    def owner(self, address: Address, name: str = "owner") -> tuple[OwnerLink, Followed]:
-        followed = Followed()
+    def owner(self, address: Address, name: str = "owner") -> tuple[OwnerLink, ReceivedFrames]:
+        received = ReceivedFrames()
         link = OwnerLink(
-            self.loop, self.scope, address, name, followed.take, followed.sessions.append, source="127.0.2.1"
+            self.loop, self.scope, address, name, received.take, received.sessions.append, source="127.0.2.1"
         )
-        return link, followed
+        return link, received
 
     def ready(self, placer: Placer, machines: int) -> Co[None]:
-        """Until the placer has a stream to that many machines."""
+        """Wait until the placer has a stream to that many machines."""
         yield from wait_for(lambda: sum(link.attached for link in placer.links.all()) >= machines)
 
 
@@ -130,8 +132,8 @@
     return common_pb2.Task(task_class=task_class, service=service, cores=cores, memory=2.0, life_ms=life_ms)
 
 
-def play(body: Callable[[World], Co[Any]], settings: Cluster | None = None, limit_ms: float = 20_000) -> Any:
-    """Run ``body`` in a world of its own."""
+def run_in_world(body: Callable[[World], Co[Any]], settings: Cluster | None = None, limit_ms: float = 20_000) -> Any:
+    """Run ``body`` in a new world and return its result; it must end within ``limit_ms``."""
     loop = EpollLoop(1)
 
     def main(scope: Scope) -> Co[Any]:
--- a/tests/placer/test_ends.py
+++ b/tests/placer/test_ends.py
@@ -1,4 +1,4 @@
-"""Ends that nobody planned: killed in the midst of a stop, two with one number under load, a loop that is stuck."""
+"""Unplanned ends: a placer killed during its stop, two placers with one number under load, a blocked loop."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 
 from sprucepost.loop import Co, sleep
 from sprucepost.standin.owner_link import OwnerLink
-from tests.placer.support import Followed, World, play, task
+from tests.placer.support import ReceivedFrames, World, run_in_world, task
 from tests.wire.support import wait_for
 
 ROOT = Path(__file__).parent.parent.parent
-STAGES_MS = (0, 5, 30, 120, 400, 1500)  # from "told to stop" over "hands back" to "waits for the last attempts"
+# From the request to stop, over refusing tasks, to waiting for the last attempts.
+STAGES_MS = (0, 5, 30, 120, 400, 1500)
 
 
-def test_killed_at_every_stage_of_a_stop_and_two_with_one_number_for_20_s(tmp_path: Path) -> None:
+def test_kills_at_every_stage_of_a_stop_and_two_placers_with_one_number_for_20_s(tmp_path: Path) -> None:
     day = json.loads((ROOT / "sprucepost" / "standin" / "badday.json").read_text())
     stops = [
         {"kind": "placer_stop", "at_s": 2.0 + 4.0 * n, "len_s": 1.0, "size": size, "part": 0.2}
@@ -36,11 +37,11 @@
     }  # fmt: skip
     file = tmp_path / "ends.json"
     file.write_text(json.dumps(day))
-    played = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "sprucepost", "badday", str(file), "--quiet", "--record", str(tmp_path / "record")],
         capture_output=True, text=True, timeout=180, check=False,
     )  # fmt: skip
-    assert played.returncode == 0, played.stdout + played.stderr
+    assert completed.returncode == 0, completed.stdout + completed.stderr
     result = json.loads((tmp_path / "record" / "result.json").read_text())
     checked = [rule["checked"] for rule in result["rules"]]
     assert checked[0] > 200 and checked[1] > 200 and checked[2] > 200 and checked[4] > 100
@@ -49,31 +50,34 @@
     assert events.count("placer_killed") >= len(STAGES_MS)
 
 
-class Manager:
-    """A service manager's side of the watchdog: kills what has not said ``WATCHDOG=1`` for so long."""
+class WatchdogManager:
+    """A service manager's side of the watchdog: tells whether ``WATCHDOG=1`` has not been sent for too long."""
 
     def __init__(self, path: Path) -> None:
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         self.socket.bind(str(path))
         self.socket.setblocking(False)
-        self.heard: float | None = None
+        self.last_watchdog_s: float | None = None
 
-    def look(self) -> bool:
-        """Whether a watchdog of 500 ms has run out."""
+    def has_expired(self) -> bool:
+        """Whether a watchdog of 500 ms has expired."""
         while True:
             try:
-                told = self.socket.recv(4096)
+                message = self.socket.recv(4096)
             except BlockingIOError:
                 break
-            if b"WATCHDOG=1" in told:
-                self.heard = time.monotonic()
-        return self.heard is not None and time.monotonic() - self.heard > 0.5
+            if b"WATCHDOG=1" in message:
+                self.last_watchdog_s = time.monotonic()
+        return self.last_watchdog_s is not None and time.monotonic() - self.last_watchdog_s > 0.5
 
 
-def test_a_stuck_loop_is_seen_by_its_manager_and_the_others_work_on(tmp_path: Path) -> None:
-    """Two placers; one stops in its tracks. Its manager hears no more beats and kills it; every ask at the other placer is
-    answered as if nothing had happened, and what the stuck one held runs on until its successor or an owner claims it."""
-    manager = Manager(tmp_path / "notify")
+def test_the_manager_detects_a_blocked_loop_and_other_placers_work_on(tmp_path: Path) -> None:
+    """One of two placers is stopped; its manager gets no more watchdog messages and kills it.
+
+    Every ask at the other placer is answered as usual. Tasks of the killed one run on until its successor or an owner
+    claims them.
+    """
+    manager = WatchdogManager(tmp_path / "notify")
 
     def body(world: World) -> Co[Any]:
         for n in range(3):
@@ -97,25 +101,25 @@
             while not (line := process.stdout.readline()):
                 yield from sleep(10.0)
             host, _, port = json.loads(line)["listen"].rpartition(":")
-            front, followed = world.tap.add(f"placer-{number}", (host, int(port))), Followed()
+            proxy_address, received = world.tap.add(f"placer-{number}", (host, int(port))), ReceivedFrames()
             link = OwnerLink(
-                world.loop, world.scope, front, "o", followed.take, lambda resumed: None, source="127.0.2.1"
+                world.loop, world.scope, proxy_address, "o", received.take, lambda resumed: None, source="127.0.2.1"
             )
-            links.append((link, followed))
+            links.append((link, received))
         try:
             yield from wait_for(lambda: all(link.up for link, _ in links), 10_000)
-            yield from wait_for(lambda: manager.look() or manager.heard is not None, 5000)
-            yield from sleep(1500.0)  # the list and the machines are there by now
-            (stuck, at_stuck), (other, at_other) = links
+            yield from wait_for(lambda: manager.has_expired() or manager.last_watchdog_s is not None, 5000)
+            yield from sleep(1500.0)  # the placers have the list and streams to the machines by now
+            (blocked, at_blocked), (other, at_other) = links
             for n in range(6):
-                stuck.submit(f"a{n}", task(life_ms=5000), 3000)
-            yield from wait_for(lambda: all("bound" in at_stuck.outcomes(f"a{n}") for n in range(6)), 5000)
-            processes[0].send_signal(signal.SIGSTOP)  # a loop that does not turn
+                blocked.submit(f"a{n}", task(life_ms=5000), 3000)
+            yield from wait_for(lambda: all("bound" in at_blocked.outcomes(f"a{n}") for n in range(6)), 5000)
+            processes[0].send_signal(signal.SIGSTOP)  # its loop does not run any more
             killed_after, n, began = 0.0, 0, world.loop.now()
             while world.loop.now() - began < 2500:
                 other.submit(f"b{n}", task(life_ms=100), 2000)
                 n += 1
-                if not killed_after and manager.look():
+                if not killed_after and manager.has_expired():
                     processes[0].kill()
                     killed_after = world.loop.now() - began
                 yield from sleep(50.0)
@@ -127,6 +131,6 @@
                 process.kill()
                 process.wait()
 
-    killed_after, bound, asked, status = play(body, limit_ms=40_000)
+    killed_after, bound, asked, status = run_in_world(body, limit_ms=40_000)
     assert status == -signal.SIGKILL and 400 < killed_after < 2400
     assert bound == asked > 15
--- a/tests/placer/test_lifecycle.py
+++ b/tests/placer/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Life cycle, service manager, clean stop, reload, seats."""
+"""Lifecycle, service manager, clean stop, reload, slots."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from sprucepost.settings import PlacerFile
 from sprucepost.settings.reload import changes, refused
 from sprucepost.standin.tap import Condition
-from tests.placer.support import World, cluster, play, task
+from tests.placer.support import World, cluster, run_in_world, task
 from tests.test_settings import good
 from tests.wire.support import wait_for
 
@@ -40,8 +40,8 @@
 
 
 @given(st.lists(CONDITIONS, max_size=20))
-def test_draining_and_stopped_are_never_left_backwards(steps: list[Conditions]) -> None:
-    state, leaving = State.STARTING, False
+def test_draining_and_stopped_never_return_to_an_earlier_state(steps: list[Conditions]) -> None:
+    state, stop_was_requested = State.STARTING, False
     for conditions in steps:
         before = state
         state, why = next_state(state, conditions)
@@ -50,9 +50,9 @@
             assert state in (State.DRAINING, State.STOPPED)
         if before is State.STOPPED:
             assert state is State.STOPPED
-        leaving = leaving or conditions.stop_requested
+        stop_was_requested = stop_was_requested or conditions.stop_requested
         if state is State.READY:
-            assert conditions.listening and conditions.has_list and not conditions.conflict and not leaving
+            assert conditions.listening and conditions.has_list and not conditions.conflict and not stop_was_requested
         if state is State.STOPPED and before is not State.STOPPED:
             assert conditions.open_tasks == 0 or conditions.deadline_passed
 
@@ -73,11 +73,11 @@
 
         loop.run(main)
         loop.close()
-        got = [manager.recv(200) for _ in range(4)]
-    assert b"READY=1\nSTATUS=two lines\n" in got and got.count(b"WATCHDOG=1\n") >= 3
+        datagrams = [manager.recv(200) for _ in range(4)]
+    assert b"READY=1\nSTATUS=two lines\n" in datagrams and datagrams.count(b"WATCHDOG=1\n") >= 3
 
 
-def test_without_a_manager_nothing_is_sent_or_taken() -> None:
+def test_without_a_manager_nothing_is_sent_or_adopted() -> None:
     loop = EpollLoop(1)
     Notifier(loop, {}, 1).notify(READY="1")
     Notifier(loop, {"NOTIFY_SOCKET": "/none/there"}, 1).notify(READY="1")
@@ -98,7 +98,7 @@
 
 
 def read_until(process: subprocess.Popen[str], wanted: tuple[str, ...]) -> list[dict[str, Any]]:
-    """Log lines up to the first of those events."""
+    """Return the log events up to the first of those."""
     assert process.stderr is not None
     events: list[dict[str, Any]] = []
     while not events or events[-1]["event"] not in wanted:
@@ -106,8 +106,8 @@
     return events
 
 
-def test_a_signal_right_after_the_announcement_finds_its_handler(tmp_path: Path) -> None:
-    """On a busy machine the process was ended by a signal that came between its announcement and its handlers."""
+def test_a_signal_right_after_the_announcement_is_handled(tmp_path: Path) -> None:
+    """On a busy machine a signal between the announcement and the handlers ended the process."""
     file = tmp_path / "placer.json"
     file.write_text(json.dumps(good()))
     for number in (signal.SIGHUP, signal.SIGTERM):
@@ -122,43 +122,44 @@
         assert process.returncode == 0
 
 
-def test_a_successor_takes_the_listening_socket_and_no_connection_is_refused(tmp_path: Path) -> None:
+def test_a_successor_adopts_the_listening_socket_and_no_connection_is_refused(tmp_path: Path) -> None:
     file = tmp_path / "placer.json"
     file.write_text(json.dumps(good()))
-    with socket.create_server(("127.0.0.1", 0), backlog=1024) as server:  # what waits while none accepts
+    # The backlog holds the connections while no process accepts.
+    with socket.create_server(("127.0.0.1", 0), backlog=1024) as server:
         address = server.getsockname()
 
-        def pass_on() -> None:
+        def pass_socket() -> None:
             os.dup2(server.fileno(), 3)
             os.environ["LISTEN_PID"] = str(os.getpid())
 
         environ = {**os.environ, "LISTEN_FDS": "1", "LISTEN_FDNAMES": "grpc"}
         environ.pop("LISTEN_PID", None)
-        first = start(file, preexec_fn=pass_on, pass_fds=[3, server.fileno()], env=environ)
+        first = start(file, preexec_fn=pass_socket, pass_fds=[3, server.fileno()], env=environ)
         assert first.stdout is not None
         assert json.loads(first.stdout.readline())["listen"] == f"127.0.0.1:{address[1]}"
         second: subprocess.Popen[str] | None = None
-        refused_ = tried = 0
+        refused_count = attempts = 0
         first.send_signal(signal.SIGTERM)
         until = time.monotonic() + 3.0
         while time.monotonic() < until:
-            tried += 1
+            attempts += 1
             try:
                 socket.create_connection(address, timeout=1.0).close()
             except OSError:
-                refused_ += 1
+                refused_count += 1
             if second is None and first.poll() is not None:
-                second = start(file, preexec_fn=pass_on, pass_fds=[3, server.fileno()], env=environ)
+                second = start(file, preexec_fn=pass_socket, pass_fds=[3, server.fileno()], env=environ)
             time.sleep(0.01)
         assert second is not None and second.stdout is not None and second.stdout.readline()
         second.send_signal(signal.SIGTERM)
         assert second.wait(10) == 0 == first.returncode
         second.communicate()
         first.communicate()
-    assert refused_ == 0 and tried > 50
+    assert refused_count == 0 and attempts > 50
 
 
-def test_sighup_applies_a_good_file_whole_and_refuses_a_bad_one_whole(tmp_path: Path) -> None:
+def test_sighup_applies_a_valid_file_and_refuses_an_invalid_one_as_a_whole(tmp_path: Path) -> None:
     file = tmp_path / "placer.json"
     raw = good()
     file.write_text(json.dumps(raw))
@@ -187,11 +188,11 @@
         f"{file}: placer.limits.open_task: unknown key",
         "placer.number: cannot change while running (from 0 to 1)",
     ]
-    seats = [(e["phase"], e["seats"]) for e in events if e["event"] == "seat"]
-    assert seats[0] == ("steady", 2) and ("done", 5) in seats  # begun in 1970 and long over
+    slots = [(e["phase"], e["seats"]) for e in events if e["event"] == "seat"]
+    assert slots[0] == ("steady", 2) and ("done", 5) in slots  # the change began in 1970 and is over
 
 
-def test_what_a_reload_may_change_is_listed() -> None:
+def test_only_reloadable_settings_may_change() -> None:
     old = msgspec.convert(good(), PlacerFile)
     new = msgspec.structs.replace(old, placer=msgspec.structs.replace(old.placer, stop_ms=3.0, zone="room-b"))
     assert changes(old, new) == [("placer.stop_ms", None, 3.0), ("placer.zone", "room-a", "room-b")]
@@ -199,30 +200,30 @@
     assert refused(changes(old, old)) == []
 
 
-def test_a_reload_of_the_open_tasks_moves_the_bound() -> None:
-    """The new limit was accepted and logged, and admission went on with the old one."""
+def test_a_reload_of_open_tasks_changes_the_limit() -> None:
+    """A reload accepted and logged the new limit, but admission kept the old one."""
 
     def body(world: World) -> Co[Any]:
         placer = world.placer()
         yield from sleep(1)
         found = []
-        for most in (1, 500):
-            limits = msgspec.structs.replace(placer.file.placer.limits, open_tasks=most)
+        for limit in (1, 500):
+            limits = msgspec.structs.replace(placer.file.placer.limits, open_tasks=limit)
             new = msgspec.structs.replace(placer.file.placer, limits=limits)
             assert placer.reload(msgspec.structs.replace(placer.file, placer=new)) == []
             found.append(placer.engine.admission.open_tasks.max_open)
         return found
 
-    assert play(body) == [1, 500]
+    assert run_in_world(body) == [1, 500]
 
 
-def test_a_stop_hands_back_what_it_can_and_lets_attempts_end() -> None:
-    """Offers out, unanswered, half bound: each task still gets its one outcome, in its owner's time."""
+def test_a_stop_refuses_unattempted_tasks_and_waits_for_attempts() -> None:
+    """Whether its offer is unanswered or not sent, each task gets its one outcome within its owner's time."""
 
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.grpc_address)
+        owner, received = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         statuses: list[int] = []
 
@@ -232,16 +233,22 @@
         world.scope.spawn(run(), "placer")
         world.tap.set("slow", Condition(target="m1", up=False, delay_ms=150))
         owner.submit("bound", task("once", service="a"), 1500)
-        yield from wait_for(lambda: "offered" in followed.kinds("bound"))
+        yield from wait_for(lambda: "offered" in received.kinds("bound"))
         placer.engine.driver.scheduler._choose_machine = lambda task: None  # type: ignore[method-assign]
         owner.submit("held", task("once", service="b"), 1500)
         yield from wait_for(lambda: placer.engine.ledger.open == 2)
-        began = world.loop.now()
+        started = world.loop.now()
         placer.stop()
         yield from wait_for(lambda: statuses)
-        return statuses, followed.outcomes("bound"), followed.outcomes("held"), placer.report, world.loop.now() - began
-
-    statuses, bound, held, report, took = play(body)
+        return (
+            statuses,
+            received.outcomes("bound"),
+            received.outcomes("held"),
+            placer.report,
+            world.loop.now() - started,
+        )
+
+    statuses, bound, held, report, took = run_in_world(body)
     assert (statuses, bound, held) == ([0], ["bound"], ["refused"]) and took < 1500
     assert (report["open_at_stop"], report["handed_back"], report["settled"]) == (2, 1, 1)
 
@@ -250,7 +257,7 @@
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
-        owner, followed = world.owner(placer.grpc_address)
+        owner, received = world.owner(placer.grpc_address)
         yield from world.ready(placer, 1)
         statuses: list[int] = []
 
@@ -260,22 +267,22 @@
         world.scope.spawn(run(), "placer")
         world.tap.set("mute", Condition(target="m1", up=False, hold=True))
         owner.submit("t", task("once"), 2000)
-        yield from wait_for(lambda: "offered" in followed.kinds("t"))
+        yield from wait_for(lambda: "offered" in received.kinds("t"))
         placer.stop()
         yield from sleep(150)
         assert not statuses
         placer.stop()
-        began = world.loop.now()
-        yield from wait_for(lambda: followed.outcomes("t"))
-        answered = world.loop.now() - began
+        started = world.loop.now()
+        yield from wait_for(lambda: received.outcomes("t"))
+        answered = world.loop.now() - started
         yield from wait_for(lambda: statuses)
-        return statuses, followed.outcomes("t"), answered < 300
+        return statuses, received.outcomes("t"), answered < 300
 
-    assert play(body) == ([1], ["failed"], True)
+    assert run_in_world(body) == ([1], ["failed"], True)
 
 
-@pytest.mark.parametrize("lead, seats", [(0.0, 1), (30_000.0, 0)])
-def test_a_placer_whose_clock_is_far_off_takes_no_seat(lead: float, seats: int) -> None:
+@pytest.mark.parametrize("lead, slots", [(0.0, 1), (30_000.0, 0)])
+def test_a_placer_with_a_skewed_clock_takes_no_slot(lead: float, slots: int) -> None:
     def body(world: World) -> Co[Any]:
         real = world.loop.wall
         world.loop.wall = lambda: real() + lead  # type: ignore[method-assign]
@@ -285,4 +292,4 @@
         yield from sleep(50)
         return placer.engine.driver.scheduler.membership.slots
 
-    assert play(body, cluster()) == seats
+    assert run_in_world(body, cluster()) == slots
--- a/tests/rules/test_broken_placers.py
+++ b/tests/rules/test_broken_placers.py
@@ -16,7 +16,7 @@
 from sprucepost.settings import Cluster
 from sprucepost.standin.tap import Condition
 from sprucepost.v1 import placer_pb2 as pb
-from tests.placer.support import World, cluster, play, task
+from tests.placer.support import World, cluster, run_in_world, task
 from tests.wire.support import wait_for
 
 Break = Callable[[World, Placer], None]
@@ -37,7 +37,7 @@
     """One placer, two machines, some tasks; the verdict by rule."""
     world.machine("m1", **manners)
     world.machine("m2", zone="room-b", **manners)
-    placer = world.placer(told=told)
+    placer = world.placer(placer_cluster=told)
     front = world.tap.add("placer-0", placer.grpc_address)
     owner, _ = world.owner(front)
     yield from world.ready(placer, 2)
@@ -184,7 +184,7 @@
 def test_each_rule_is_broken_by_a_placer_that_breaks_it_and_by_no_other(
     rule: str, settings: Cluster | None, arguments: dict[str, Any]
 ) -> None:
-    broken = play(lambda world: day(world, **arguments), settings)
+    broken = run_in_world(lambda world: day(world, **arguments), settings)
     assert {name for name, lines in broken.items() if lines} == ({rule} if rule else set()), broken
 
 
@@ -203,4 +203,4 @@
             len(world.check_rules(RunHistory(ended_at=end, killed={"placer-0": [end - 800]}))["1"]),
         )
 
-    assert play(body) == (1, 0)
+    assert run_in_world(body) == (1, 0)
--- a/tests/standin/test_tap.py
+++ b/tests/standin/test_tap.py
@@ -6,7 +6,7 @@
 
 from sprucepost.loop import Co, sleep
 from sprucepost.standin.tap import Condition
-from tests.placer.support import World, play, task
+from tests.placer.support import World, run_in_world, task
 from tests.wire.support import wait_for
 
 
@@ -29,4 +29,4 @@
         yield from sleep(200.0)
         return len(world.captured) - recorded, placer.engine.counters["submitted"], len(world.tap.pipes), owner.up
 
-    assert play(body) == (0, 0, 0, False)
+    assert run_in_world(body) == (0, 0, 0, False)
