--- a/sprucepost/placer/daemon.py
+++ b/sprucepost/placer/daemon.py
@@ -258,12 +258,11 @@
             self.log.error("newer_incarnation", machine=machine, text=text)
 
     def _raise_incarnation(self, known: int) -> bool:
-        """Raise this placer's incarnation above ``known``, a predecessor's whose clock was ahead. False if it is too
-        late.
+        """Raise the incarnation above ``known``, a predecessor's whose clock was ahead. False if it is too late.
 
         Once an offer is sent, machines know the tasks by this incarnation. Before that another incarnation loses
-        nothing: what owners have asked so far is refused, and they open new sessions. Should the other process still
-        run, machines will report it next.
+        nothing: tasks that owners have submitted so far are refused, and they open new sessions. Should the other
+        process still run, machines will report it next.
         """
         if known < self.incarnation:
             return True
--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -128,7 +128,7 @@
         self.admission.max_retry_ms = _retry_limit_ms(cluster)
 
     def _prepare_batch(self) -> None:
-        """Before each batch of events to the scheduler, add changes of machines and the queued asks that are due."""
+        """Add changes of machines and the queued requests that are due to each batch of events for the scheduler."""
         self.roster.publish_changes()
         self.intake.dequeue_tasks()
 
--- a/sprucepost/placer/owners.py
+++ b/sprucepost/placer/owners.py
@@ -15,7 +15,7 @@
 
 SUBMIT_PATH = "/sprucepost.v1.Placer/Submit"
 ACK_DELAY_MS = 50.0  # an acknowledgement that no frame carries is sent by itself after this
-CREDIT_INTERVAL_MS = 100.0  # between updates of how many asks owners may have open
+CREDIT_INTERVAL_MS = 100.0  # between updates of how many requests owners may have open
 MAX_BUFFERED_BYTES = 1_048_576  # a stream whose owner reads too slowly is ended beyond this; the session goes on
 
 
@@ -25,9 +25,9 @@
 class OwnerSession:
     """One owner's session, with or without a stream.
 
-    ``pending_outcomes``: by task, the accepted asks whose outcome has not been sent. A stream that its owner has
-    half-closed (every command-line client does, after its last ask) goes on until there are none, and then ends with
-    OK.
+    ``pending_outcomes``: by task, the accepted requests whose outcome has not been sent. A stream that its owner has
+    half-closed (every command-line client does, after its last request) goes on until there are none, and then ends
+    with OK.
     """
 
     def __init__(self, owners: Owners, token: bytes, owner: str) -> None:
@@ -35,11 +35,11 @@
         self.session: Session[pb.PlacerFrame] = Session(owners.unacknowledged)
         self.call: ServerCall | None = None
         self.pending_outcomes: Counter[str] = Counter()
-        self.half_closed = False  # the owner sends no more asks on this stream
+        self.half_closed = False  # the owner sends no more requests on this stream
         self.takes_batches = False  # whether the owner accepts refused_all
         self.takes_credit = False  # whether the owner accepts credit
-        self.last_credit = 0  # the limit on open asks that the owner got last; 0: none
-        self._reading_timer: Timer | None = None  # until the stream is read again
+        self.last_credit = 0  # the limit on open requests that the owner got last; 0: none
+        self._reading_timer: Timer | None = None  # until the stream is read frames_to_resend
         # Until when arriving frames may have waited unread at the owner, and for how long they may have, in ms.
         self._unread_pause = (0.0, 0.0)
         self._refusal_batch: pb.RefusedAll | None = None  # to be sent at the end of this turn of the loop
@@ -47,10 +47,10 @@
         self._ack_timer: Timer | None = None
 
     def refuse(self, task: str, why: str, retry_after_ms: float) -> None:
-        """Refuse an ask, in one frame for all refusals of a turn of the loop.
+        """Refuse a request, in one frame for all refusals of a turn of the loop.
 
-        That frame is numbered, kept, encoded and acknowledged once. With a frame for each ask a refusal cost a quarter
-        of a placement, and an overloaded placer spent its time on refusals.
+        That frame is numbered, kept, encoded and acknowledged once. With a frame for each request a refusal cost a
+        quarter of a placement, and an overloaded placer spent its time on refusals.
         """
         if retry_after_ms:
             self._pause_reading()
@@ -71,7 +71,7 @@
             batch.retry_from_ms = retry_after_ms
 
     def _pause_reading(self) -> None:
-        """Stop reading the stream for a while if refusing its asks costs too much; they wait at the owner."""
+        """Stop reading the stream for a while if refusing its requests costs too much; they wait at the owner."""
         loop, call = self._owners.loop, self.call
         if call is None or self._reading_timer is not None:
             return
@@ -82,14 +82,14 @@
         call.hold_window(True)
 
         def resume_reading() -> None:
-            # Asks of that time have waited at the owner, whose library may have stated the time left before the wait.
+            # Requests of that time waited at the owner, whose library may have stated the time left before the wait.
             self._reading_timer, self._unread_pause = None, (loop.now() + pause_ms, pause_ms)
             call.hold_window(False)
 
         self._reading_timer = loop.call_later(pause_ms, resume_reading)
 
     def send_credit(self, limit: int) -> None:
-        """Send the limit on open asks, if it has changed by an eighth or more."""
+        """Send the limit on open requests, if it has changed by an eighth or more."""
         if (
             self.call is None
             or not self.takes_credit
@@ -110,8 +110,8 @@
     def send(self, frame: pb.PlacerFrame) -> None:
         """Send a numbered frame, now or when the owner comes back.
 
-        Earlier refusals are sent first: of two asks for one task the first must get its refusal before the second gets
-        anything.
+        Earlier refusals are sent first: of two requests for one task the first must get its refusal before the second
+        gets anything.
         """
         if self._refusal_batch is not None:
             self._flush_refusals()
@@ -139,7 +139,7 @@
             call.finish(RpcError(Code.RESOURCE_EXHAUSTED, "reads too slowly; resume the session"))
 
     def released(self, task: str, asks: int) -> None:
-        """Count ``asks`` fewer pending outcomes of the task. A handed-over task is reported as bound without an ask."""
+        """Count ``asks`` fewer pending outcomes of the task. A handed-over task is bound without a request."""
         if self.pending_outcomes[task] > asks:
             self.pending_outcomes[task] -= asks
         else:
@@ -228,12 +228,12 @@
             raise RpcError(Code.INVALID_ARGUMENT, "hello must come first")
         hello = frame.hello
         session = self.sessions.get(hello.session) if hello.session else None
-        resumed, again = session is not None, []
+        resumed, frames_to_resend = session is not None, []
         if session is None:
             session = self._open_session(call, hello.owner)
         else:
             try:
-                again = session.session.resume(hello.last_seen)
+                frames_to_resend = session.session.resume(hello.last_seen)
             except SessionBroken as error:
                 raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
             self.counters["owner_resumed"] += 1
@@ -258,10 +258,10 @@
             incarnation=self.incarnation,
         )
         call.send(pb.PlacerFrame(ack=session.session.ack(), welcome=welcome).SerializeToString())
-        for seq, kept in again:
+        for seq, kept in frames_to_resend:
             kept.seq, kept.ack = seq, session.session.ack()
             call.send(kept.SerializeToString())
-        if self._credit_per_owner:  # else owners that come back together send all held asks
+        if self._credit_per_owner:  # else owners that come back together send all held requests
             session.send_credit(self._credit_per_owner)
 
     def _open_session(self, call: ServerCall, owner: str) -> OwnerSession:
--- a/tests/placer/test_credit.py
+++ b/tests/placer/test_credit.py
@@ -1,4 +1,4 @@
-"""Credit: owners that keep to it are served, others are refused and then not read; every ask is answered."""
+"""Credit: owners that keep to it are served, others are refused and then not read; every request is answered."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def set_credit(owners: Owners, each: int) -> None:
-    """Set the state of an overload that persists, with a credit of ``each`` asks per owner."""
+    """Set the state of an overload that persists, with a credit of ``each`` requests per owner."""
     credit = owners.admission.credit
     credit.total = each
     owners.admission._queue_was_empty = False
@@ -24,7 +24,7 @@
         session.send_credit(each)
 
 
-def test_an_owner_keeps_to_its_credit_and_every_ask_is_answered() -> None:
+def test_an_owner_keeps_to_its_credit_and_every_request_is_answered() -> None:
     def body(world: World) -> Co[Any]:
         world.machine("m0", admit_ms=60.0)
         placer = world.placer()
@@ -48,10 +48,10 @@
     assert len(outcomes) == 10 and all(found == ["bound"] for found in outcomes.values())
 
 
-def test_held_asks_are_sent_newest_first_with_their_remaining_time() -> None:
-    """Asks are held back during an overload. The one that has waited longest would be late, and so would each after it.
+def test_held_requests_are_sent_newest_first_with_their_remaining_time() -> None:
+    """Held requests mean overload: the one that has waited longest would be late, and so would each after it.
 
-    An ask whose time ends while it is held is refused by the owner, and the placer never gets it.
+    A request whose time ends while it is held is refused by the owner, and the placer never gets it.
     """
 
     def body(world: World) -> Co[Any]:
@@ -77,14 +77,14 @@
     assert why == "held back until its time was over" and submitted == 4
 
 
-def test_an_ask_that_waited_for_a_stream_states_its_remaining_time() -> None:
-    """An ask that was kept for the next stream was sent with its original time limit.
+def test_a_request_that_waited_for_a_stream_states_its_remaining_time() -> None:
+    """A request that was kept for the next stream was sent with its original time limit.
 
     The placer then answered after the owner had given up.
     """
 
     def body(world: World) -> Co[Any]:
-        placer = world.placer()  # no machine: each ask waits until its time ends
+        placer = world.placer()  # no machine: each request waits until its time ends
         proxy_address = world.tap.add("placer-0", placer.grpc_address)
         owner, received = world.owner(proxy_address)
         yield from wait_for(lambda: owner.up)
@@ -104,7 +104,7 @@
 
 
 def test_an_overload_sets_a_credit_that_is_removed_afterwards() -> None:
-    """A persistent queue limits the asks that owners have open; afterwards the limit grows until it is removed."""
+    """A persistent queue limits the requests that owners have open; afterwards the limit grows until it is removed."""
 
     def body(world: World) -> Co[Any]:
         world.machine("m0", cores=1000.0, memory=2000.0)
@@ -142,7 +142,7 @@
     assert answered_once and answered == sent
 
 
-def test_a_constantly_refused_stream_is_not_read_for_a_while_and_its_asks_lose_that_time() -> None:
+def test_a_constantly_refused_stream_is_not_read_for_a_while_and_its_requests_lose_that_time() -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer(limits=Limits(open_tasks=1))
         owner, received = world.owner(placer.grpc_address)
@@ -192,8 +192,8 @@
     assert stuck > 500_000 and 0 < submitted < 1000
 
 
-def test_a_refused_ask_returns_its_credit_after_its_retry_delay() -> None:
-    """Otherwise each refusal lets the next ask out at once, which is refused at once.
+def test_a_refused_request_returns_its_credit_after_its_retry_delay() -> None:
+    """Otherwise each refusal lets the next request out at once, which is refused at once.
 
     Twelve owners with a credit of five each were refused two thousand times a second.
     """
--- a/tests/placer/test_ends.py
+++ b/tests/placer/test_ends.py
@@ -74,8 +74,8 @@
 def test_the_manager_detects_a_blocked_loop_and_other_placers_work_on(tmp_path: Path) -> None:
     """One of two placers is stopped; its manager gets no more watchdog messages and kills it.
 
-    Every ask at the other placer is answered as usual. Tasks of the killed one run on until its successor or an owner
-    claims them.
+    Every request at the other placer is answered as usual. Tasks of the killed one run on until its successor or an
+    owner claims them.
     """
     manager = WatchdogManager(tmp_path / "notify")
 
--- a/tests/placer/test_path.py
+++ b/tests/placer/test_path.py
@@ -279,7 +279,7 @@
     assert run_in_world(body) == ("", 0)
 
 
-def test_asks_for_the_same_task_share_it_and_each_gets_one_outcome() -> None:
+def test_requests_for_the_same_task_share_it_and_each_gets_one_outcome() -> None:
     def body(world: World) -> Co[Any]:
         host = world.machine("m1")
         placer = world.placer()
@@ -494,12 +494,12 @@
     assert cluster().problems() == []
 
 
-def half_closed(world: World, placer: Any, asks: list[str], left_ms: float = 3000) -> Co[tuple[list[str], int]]:
-    """Act as a command-line client: send all asks, half-close, and read to the end."""
+def half_closed(world: World, placer: Any, requests: list[str], left_ms: float = 3000) -> Co[tuple[list[str], int]]:
+    """Act as a command-line client: send all requests, half-close, and read to the end."""
     client = yield from open_client(world.loop, placer.grpc_address)
     call = client.call("/sprucepost.v1.Placer/Submit")
     call.send(pb.OwnerFrame(hello=pb.OwnerHello(owner="cli")).SerializeToString())
-    for seq, name in enumerate(asks, 1):
+    for seq, name in enumerate(requests, 1):
         submission = pb.Submission(task=task(), left_ms=left_ms)
         call.send(pb.OwnerFrame(seq=seq, task=name, submit=submission).SerializeToString())
     call.end()
@@ -513,7 +513,7 @@
     return outcomes, int(call.end_status.code)
 
 
-def test_a_half_closed_stream_returns_the_outcomes_of_its_asks() -> None:
+def test_a_half_closed_stream_returns_the_outcomes_of_its_requests() -> None:
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
@@ -540,14 +540,14 @@
         placer = world.placer(limits=limits)
         client = yield from open_client(world.loop, placer.grpc_address)
 
-        def hello(ask: bool) -> Co[None]:
+        def hello(request: bool) -> Co[None]:
             call = client.call("/sprucepost.v1.Placer/Submit")
             call.send(pb.OwnerFrame(hello=pb.OwnerHello(owner="x")).SerializeToString())
-            if ask:
+            if request:
                 submission = pb.Submission(task=task(), left_ms=2500)
                 call.send(pb.OwnerFrame(seq=1, task="open", submit=submission).SerializeToString())
             yield from call.receive()
-            yield from wait_for(lambda: not ask or placer.engine.ledger.open)
+            yield from wait_for(lambda: not request or placer.engine.ledger.open)
             call.cancel()
 
         yield from hello(True)
@@ -562,7 +562,7 @@
 
 
 @pytest.mark.parametrize("batches", [True, False])
-def test_asks_of_one_read_are_refused_in_one_frame_if_the_owner_accepts_it(batches: bool) -> None:
+def test_requests_of_one_read_are_refused_in_one_frame_if_the_owner_accepts_it(batches: bool) -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer(limits=Limits(open_tasks=1))
         proxy_address = world.tap.add("placer-0", placer.grpc_address)
@@ -583,7 +583,7 @@
     assert frames < 10 if batches else frames >= 51
 
 
-def test_a_refusal_is_sent_before_frames_of_a_later_ask_of_the_same_name() -> None:
+def test_a_refusal_is_sent_before_frames_of_a_later_request_of_the_same_name() -> None:
     def body(world: World) -> Co[Any]:
         world.machine("m1")
         placer = world.placer()
@@ -599,7 +599,7 @@
 
 def test_a_half_close_does_not_end_the_stream_that_took_over_the_session() -> None:
     def body(world: World) -> Co[Any]:
-        placer = world.placer()  # no machine: the ask stays open
+        placer = world.placer()  # no machine: the request stays open
         first = yield from open_client(world.loop, placer.grpc_address)
         old = first.call("/sprucepost.v1.Placer/Submit")
         old.send(pb.OwnerFrame(hello=pb.OwnerHello(owner="o")).SerializeToString())
--- a/tests/placer/test_storms.py
+++ b/tests/placer/test_storms.py
@@ -12,13 +12,13 @@
 from tests.placer.support import World, run_in_world, task
 from tests.wire.support import wait_for
 
-OWNERS, MACHINES, ASKS = 60, 6, 12
+OWNERS, MACHINES, REQUESTS = 60, 6, 12
 
 
 def test_every_owner_and_machine_reconnecting_at_once_loses_no_task() -> None:
-    """Owners have open asks when their streams break, and go on asking without a stream.
+    """Owners have open requests when their streams break, and go on sending requests without one.
 
-    Every ask must be answered once, and the checkers must find no rule broken in the recorded bytes.
+    Every request must be answered once, and the checkers must find no rule broken in the recorded bytes.
     """
 
     def body(world: World) -> Co[Any]:
@@ -30,7 +30,7 @@
         yield from world.ready(placer, MACHINES)
         yield from wait_for(lambda: all(owner.up for owner, _ in owners))
         asked = 0
-        for round in range(ASKS):
+        for round in range(REQUESTS):
             for n, (owner, _) in enumerate(owners):
                 owner.submit(f"{n}-{round}", task("web" if n % 2 else "bill", life_ms=60), 3000)
                 asked += 1
@@ -41,7 +41,7 @@
                     world.tap.blow("reset", target=f"m{m}")
         yield from wait_for(
             lambda: (
-                all(len(received.frames) == ASKS for _, received in owners)
+                all(len(received.frames) == REQUESTS for _, received in owners)
                 and all(received.outcomes(name) for _, received in owners for name in received.frames)
             ),
             8000,
@@ -53,7 +53,7 @@
         return asked, once, placed > asked / 4, resumed, broken, placer.engine.ledger.open
 
     asked, once, placed, resumed, broken, still_open = run_in_world(body)
-    assert asked == OWNERS * ASKS and once and placed and broken == {} and still_open == 0
+    assert asked == OWNERS * REQUESTS and once and placed and broken == {} and still_open == 0
     assert resumed >= OWNERS  # owners resumed their sessions
 
 
