--- a/sprucepost/placer/fleet_membership.py
+++ b/sprucepost/placer/fleet_membership.py
@@ -29,7 +29,7 @@
 from sprucepost.membership import Generation, KnownPlacer, Resize, newer_generation
 from sprucepost.view import View
 
-CHECK_INTERVAL_MS = 1000.0  # also without changed records, since_ms some conditions depend on the time
+CHECK_INTERVAL_MS = 1000.0  # also without changed records, since some conditions depend on the time
 NAMESAKE_GRACE_MS = 1000.0  # the view may list streams of a predecessor for a while after its end
 
 
--- a/sprucepost/placer/owners.py
+++ b/sprucepost/placer/owners.py
@@ -39,7 +39,7 @@
         self.takes_batches = False  # whether the owner accepts refused_all
         self.takes_credit = False  # whether the owner accepts credit
         self.last_credit = 0  # the limit on open requests that the owner got last; 0: none
-        self._reading_timer: Timer | None = None  # until the stream is read frames_to_resend
+        self._reading_timer: Timer | None = None  # until the stream is read again
         # Until when arriving frames may have waited unread at the owner, and for how long they may have, in ms.
         self._unread_pause = (0.0, 0.0)
         self._refusal_batch: pb.RefusedAll | None = None  # to be sent at the end of this turn of the loop
@@ -139,7 +139,10 @@
             call.finish(RpcError(Code.RESOURCE_EXHAUSTED, "reads too slowly; resume the session"))
 
     def released(self, task: str, asks: int) -> None:
-        """Count ``asks`` fewer pending outcomes of the task. A handed-over task is bound without a request."""
+        """Count ``asks`` fewer pending outcomes of the task.
+
+        There may be none: a task that was handed over gets the outcome bound without a request.
+        """
         if self.pending_outcomes[task] > asks:
             self.pending_outcomes[task] -= asks
         else:
--- a/sprucepost/placer/pages.py
+++ b/sprucepost/placer/pages.py
@@ -108,7 +108,7 @@
 
 
 def _metrics(placer: PlacerState) -> Callable[[], tuple[int, str, bytes]]:
-    # Imported at the first scrape: it would slow down the start of each of hundreds of daemons on a host.
+    # Imported at the first scrape: it would slow down the start of each of hundreds of daemons.
     def page() -> tuple[int, str, bytes]:
         from prometheus_client import CollectorRegistry, exposition
 
