--- a/sprucepost/placer/engine.py
+++ b/sprucepost/placer/engine.py
@@ -69,7 +69,7 @@
             settings,
             seed,
             options.clock_slew,
-            cluster.clock_apart_ms,
+            cluster.max_clock_skew_ms,
             generation,
             request_list,
             log,
--- a/tests/placer/test_lifecycle.py
+++ b/tests/placer/test_lifecycle.py
@@ -22,7 +22,7 @@
 from sprucepost.placer.lifecycle import Conditions, State, next_state
 from sprucepost.placer.notify import Notifier, adopt_listeners
 from sprucepost.settings import PlacerFile
-from sprucepost.settings.reload import changes, refused
+from sprucepost.settings.reload import changed_keys, restart_required
 from sprucepost.standin.tap import Condition
 from tests.placer.support import World, cluster, run_in_world, task
 from tests.test_settings import good
@@ -195,9 +195,9 @@
 def test_only_reloadable_settings_may_change() -> None:
     old = msgspec.convert(good(), PlacerFile)
     new = msgspec.structs.replace(old, placer=msgspec.structs.replace(old.placer, stop_ms=3.0, zone="room-b"))
-    assert changes(old, new) == [("placer.stop_ms", None, 3.0), ("placer.zone", "room-a", "room-b")]
-    assert [line.split(":")[0] for line in refused(changes(old, new))] == ["placer.zone"]
-    assert refused(changes(old, old)) == []
+    assert changed_keys(old, new) == [("placer.stop_ms", None, 3.0), ("placer.zone", "room-a", "room-b")]
+    assert [line.split(":")[0] for line in restart_required(changed_keys(old, new))] == ["placer.zone"]
+    assert restart_required(changed_keys(old, old)) == []
 
 
 def test_a_reload_of_open_tasks_changes_the_limit() -> None:
