--- a/tests/placer/test_path.py
+++ b/tests/placer/test_path.py
@@ -69,7 +69,9 @@
         owner.hold_acks = True
         yield from world.ready(placer, 1)
         yield from wait_for(lambda: owner.up)
-        world.tap.set_condition("answers", LinkCondition(target="placer-0", up=False, hold=True))  # answers do not arrive
+        world.tap.set_condition(
+            "answers", LinkCondition(target="placer-0", up=False, hold=True)
+        )  # answers do not arrive
         owner.submit("t", task(), 3000)
         yield from wait_for(lambda: placer.engine.ledger.outcomes)
         world.tap.break_connections("reset", target="placer-0")
