--- a/sprucepost/rules/checker.py
+++ b/sprucepost/rules/checker.py
@@ -1,13 +1,13 @@
-"""What the rules' checkers share: the history of a run, a rule's result, and the base class.
+"""Shared parts of the rule checkers: the history of a run, the result of a rule and the checkers' base class.
 
-Times are those of the tap. Where two events on different connections are compared, ``SLACK_MS`` allows for what lies between
-a process and the tap. What the run did to a placer on purpose (killed, stopped it) is told by :class:`RunHistory`, since a
-killed placer owes nothing and a stopped one owes its answers at once when it goes on.
+Times are in ms, as the recording proxy took them. Where events on different connections are compared, ``SLACK_MS`` allows
+for the delay between a process and the proxy. :class:`RunHistory` holds what the run did to placers on purpose: a killed
+placer has nothing left to answer, and a stopped one must answer as soon as it continues.
 
-Three things can leave a check open, and then it is *undecided*, which is counted apart and never taken for a pass: the tap
-looked late, so that bytes may have been sent in time; the placer got no processor, as probes of its port saw; a message
-went out to the placer and its connection was reset before it can have read it. ``docs/scenarios.md`` lists what each rule
-takes as proof.
+A check is *undecided* where the evidence doesn't suffice. Undecided checks are counted apart and never as passed. There are
+three causes: the proxy read late, so that the bytes may have been sent in time; the placer got no CPU time, as probes of its
+port show; a message went out to the placer and its connection was reset before the placer can have read it.
+``docs/scenarios.md`` lists what each rule takes as proof.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from sprucepost.rules import trace as t
 from sprucepost.settings import Cluster, TaskClass
 
-SLACK_MS = 250.0
+SLACK_MS = 250.0  # for the delay between a process and the recording proxy
 
 
 @dataclass
 class RuleResult:
-    """What a checker found: how often it looked, and each violation in one line. The fields are those of ``result.json``."""
+    """Result of a rule: the number of checks and a line for each violation. The fields are those of ``result.json``."""
 
     rule: str
     checked: int = 0
@@ -32,32 +32,38 @@
 
 @dataclass
 class RunHistory:
-    """What the run itself did to placers, and when it ended."""
+    """What the run did to placers, and when it ended. All times in ms."""
 
-    killed: dict[str, list[float]] = field(default_factory=dict)  # by placer: moments
-    stalled: dict[str, list[tuple[float, float]]] = field(default_factory=dict)  # by placer: from, to
-    starved: dict[str, list[tuple[float, float]]] = field(default_factory=dict)  # by placer: a probe waited from, to
+    killed: dict[str, list[float]] = field(default_factory=dict)  # times by placer
+    stalled: dict[str, list[tuple[float, float]]] = field(
+        default_factory=dict
+    )  # (from, to) by placer: stopped by the run
+    starved: dict[str, list[tuple[float, float]]] = field(default_factory=dict)  # (from, to) by placer: a probe waited
     ended_at: float = float("inf")
 
     def was_read(self, placer: str, at: float, until: float) -> bool:
-        """Whether a placer can be taken to have read what went out to it ``at`` on a connection that ended at ``until``."""
+        """Return whether a placer must have read what was sent to it ``at`` on a connection that ended at ``until``.
+
+        Bytes that a process hasn't read are lost when the connection is reset. Time in which the placer didn't run doesn't
+        count.
+        """
         if until == float("inf"):
             return True
         pauses = [*self.stalled.get(placer, []), *self.starved.get(placer, [])]
         return until - at - _overlap(pauses, at, until) > SLACK_MS
 
     def starved_ms(self, placer: str, since: float, until: float) -> float:
-        """How long, of that time, the placer did not answer a probe of its port, though nobody had stopped it."""
+        """Return for how many ms of that time the placer left a probe of its port unanswered although it wasn't stopped."""
         starved, stalled = self.starved.get(placer, []), self.stalled.get(placer, [])
         stopped = sum(_overlap(stalled, max(a, since), min(b, until)) for a, b in starved)
         return max(0.0, _overlap(starved, since, until) - stopped)
 
     def killed_between(self, placer: str, since: float, until: float) -> bool:
-        """Whether the run killed that placer about then."""
+        """Return whether the run killed that placer in that time, give or take ``SLACK_MS``."""
         return any(since - SLACK_MS <= at <= until + SLACK_MS for at in self.killed.get(placer, []))
 
     def due_after_pauses(self, placer: str, due: float) -> float:
-        """A moment by which the placer could act on what was due: after a pause that covers it."""
+        """Return ``due``, or where the placer was stopped at that time, the end of the stop and some slack."""
         for since, until in self.stalled.get(placer, []):
             if since <= due <= until + SLACK_MS:
                 due = max(due, until + 2 * SLACK_MS)
@@ -65,7 +71,7 @@
 
 
 def _overlap(spans: list[tuple[float, float]], since: float, until: float) -> float:
-    """Time of ``since`` to ``until`` that the spans cover, each moment once."""
+    """Return how many ms from ``since`` to ``until`` the spans cover; overlaps count once."""
     covered, reached = 0.0, since
     for start, end in sorted(spans):
         start, end = max(start, reached), min(end, until)
@@ -75,25 +81,28 @@
 
 
 class MachineLocations:
-    """Where each placer has been told that machines are."""
+    """The locations of machines as each placer knows them from the list."""
 
     def __init__(self) -> None:
         self._listed: dict[tuple[str, str], t.MachineListed] = {}
 
     def record(self, event: t.MachineListed) -> None:
-        """The latest word counts."""
+        """Record the location in a list entry; the latest entry counts."""
         self._listed[event.placer, event.machine] = event
 
-    def share(self, placer: str, one: str, other: str, place: str) -> bool | None:
-        """Whether two machines are in one ``zone`` or ``cell``; None where the placer does not know both."""
-        here, there = self._listed.get((placer, one)), self._listed.get((placer, other))
-        if here is None or there is None:
+    def share_location(self, placer: str, one: str, other: str, level: str) -> bool | None:
+        """Return whether two machines share a location; None where the placer doesn't know both.
+
+        ``level`` is ``zone`` or ``cell``.
+        """
+        first, second = self._listed.get((placer, one)), self._listed.get((placer, other))
+        if first is None or second is None:
             return None
-        return here.zone == there.zone if place == "zone" else here.cell == there.cell
+        return first.zone == second.zone if level == "zone" else first.cell == second.cell
 
 
 class Checker:
-    """``observe`` each event, then ``finish``."""
+    """Base class of the checkers: call ``observe`` with each event in order, then ``finish``."""
 
     rule = ""
 
@@ -103,25 +112,29 @@
         self.result = RuleResult(self.rule)
 
     def observe(self, event: t.Event) -> None:
-        """Take the next event of the run."""
+        """Process the next event of the run."""
         raise NotImplementedError
 
     def finish(self) -> None:
         """Check what is still open at the end of the run."""
 
     def add_violation(self, at: float, text: str) -> None:
-        """The rule was broken at that moment."""
+        """Record a violation of the rule."""
         self.result.broken.append(f"{at:.0f} ms: {text}")
 
-    def add_undecided(self, at: float, text: str, why: str) -> None:
-        """The rule may have been broken: the evidence does not say."""
-        self.result.undecided.append(f"{at:.0f} ms: {text} ({why})")
+    def add_undecided(self, at: float, text: str, reason: str) -> None:
+        """Record a possible violation that the evidence neither proves nor rules out."""
+        self.result.undecided.append(f"{at:.0f} ms: {text} ({reason})")
 
     def add_late(self, placer: str, since: float, at: float, late: float, due: float, text: str) -> None:
-        """Something came at ``at`` that was due, counted from ``since``; perhaps for a cause that is not the placer's."""
+        """Record something that came ``at``, after it was ``due``, as a violation or as undecided.
+
+        It is undecided where the delay may be the proxy's, which read up to ``late`` ms late, or where the placer lacked CPU
+        time between ``since`` and ``at``.
+        """
         if at - late <= due:
-            self.add_undecided(at, text, f"the tap was {late:.0f} ms late")
+            self.add_undecided(at, text, f"the recording proxy read {late:.0f} ms late")
         elif (starved := self.history.starved_ms(placer, since, at)) >= at - late - due:
-            self.add_undecided(at, text, f"the placer had no processor for {starved:.0f} ms")
+            self.add_undecided(at, text, f"the placer got no CPU time for {starved:.0f} ms")
         else:
             self.add_violation(at, text)
--- a/sprucepost/rules/checks.py
+++ b/sprucepost/rules/checks.py
@@ -1,4 +1,4 @@
-"""The five rules, each as a checker that is fed events in order and asked for its result at the end."""
+"""Runs the checkers of the five rules on the events of a run."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 def check_rules(events: Iterable[t.Event], cluster: Cluster, history: RunHistory) -> list[RuleResult]:
-    """The results of the five rules on a run."""
-    checkers = [kind(cluster, history) for kind in CHECKERS]
+    """Return the results of the five rules on a run; ``events`` in the order of the capture."""
+    checkers = [checker_class(cluster, history) for checker_class in CHECKERS]
     for event in events:
         for checker in checkers:
             checker.observe(event)
--- a/sprucepost/rules/cold_kept.py
+++ b/sprucepost/rules/cold_kept.py
@@ -1,4 +1,4 @@
-"""Rule 4: no cold machine pushed over."""
+"""Rule 4: no overload of machines that started recently."""
 
 from __future__ import annotations
 
@@ -10,15 +10,20 @@
 
 
 class ColdKept(Checker):
-    """Rule 4: no more offers to a cold machine in any ``fall_ms`` than it bears, of placers told of its start."""
+    """Checks that a cold machine gets at most ``cold_bears`` offers in any window of ``fall_ms``.
+
+    A machine is cold for ``warm_after_ms`` after its start. Offers count from placers that have been notified of that start.
+    """
 
     rule = "4 no cold machine pushed over"
 
     def __init__(self, cluster: Cluster, history: RunHistory) -> None:
         super().__init__(cluster, history)
-        self._started: dict[tuple[str, str], float] = {}
-        self._recent: dict[str, deque[tuple[float, float]]] = {}  # when, and how much earlier it may have been
-        self.max_offers = 0
+        self._started_at: dict[tuple[str, str], float] = {}  # start time by placer and machine
+        self._recent: dict[
+            str, deque[tuple[float, float]]
+        ] = {}  # by machine: time of each offer, and by how much it may be earlier
+        self.max_offers = 0  # the most offers in any window
 
     def observe(self, event: t.Event) -> None:
         if isinstance(event, (t.MachineListed, t.MachineAttached)):
@@ -28,7 +33,7 @@
             self._handle_offer(event)
 
     def _handle_offer(self, event: t.OfferSent) -> None:
-        started = self._started.get((event.placer, event.machine), 0.0)
+        started = self._started_at.get((event.placer, event.machine), 0.0)
         if not started or not started <= event.at < started + self.cluster.warm_after_ms:
             return
         self.result.checked += 1
@@ -38,13 +43,15 @@
             recent.popleft()
         self.max_offers = max(self.max_offers, len(recent))
         if len(recent) > self.cluster.cold_bears:
-            text = f"{event.machine} is cold and gets {len(recent)} offers in {self.cluster.fall_ms:g} ms"
-            surely = [at for at, late in recent if at - late > event.at - self.cluster.fall_ms]
-            if len(surely) > self.cluster.cold_bears:
+            text = f"{event.machine} is cold and got {len(recent)} offers within {self.cluster.fall_ms:g} ms"
+            certain = [at for at, late in recent if at - late > event.at - self.cluster.fall_ms]
+            if len(certain) > self.cluster.cold_bears:
                 self.add_violation(event.at, text)
             else:
-                self.add_undecided(event.at, text, f"the tap was {max(late for _, late in recent):.0f} ms late")
+                self.add_undecided(
+                    event.at, text, f"the recording proxy read {max(late for _, late in recent):.0f} ms late"
+                )
 
     def _record_start(self, placer: str, machine: str, started_ms: float) -> None:
-        """A later start counts; a list that is behind takes nothing back."""
-        self._started[placer, machine] = max(self._started.get((placer, machine), 0.0), started_ms)
+        """Record a machine's start; the latest one counts, since a list may be out of date."""
+        self._started_at[placer, machine] = max(self._started_at.get((placer, machine), 0.0), started_ms)
--- a/sprucepost/rules/drains_kept.py
+++ b/sprucepost/rules/drains_kept.py
@@ -1,4 +1,4 @@
-"""Rule 3: drains kept."""
+"""Rule 3: no offers to machines that drain or are gone."""
 
 from __future__ import annotations
 
@@ -8,36 +8,37 @@
 
 
 class DrainsKept(Checker):
-    """Rule 3: nothing new to a machine later than the grace after word that it drains or is gone."""
+    """Checks that no offer goes to a machine later than ``drain_grace_ms`` after notice that it drains or is gone."""
 
     rule = "3 drains kept"
 
     def __init__(self, cluster: Cluster, history: RunHistory) -> None:
         super().__init__(cluster, history)
-        self._since: dict[tuple[str, str], float] = {}  # word that the placer has read
-        self._maybe_since: dict[tuple[str, str], float] = {}  # word that it may have read
+        # By placer and machine: time of the first notice that the placer has read, or may have read.
+        self._notified_at: dict[tuple[str, str], float] = {}
+        self._maybe_notified_at: dict[tuple[str, str], float] = {}
 
     def observe(self, event: t.Event) -> None:
         if isinstance(event, t.MachineListed):
             key = (event.placer, event.machine)
             if event.state == 1:
-                self._since.pop(key, None)
-                self._maybe_since.pop(key, None)
+                self._notified_at.pop(key, None)
+                self._maybe_notified_at.pop(key, None)
             elif self.history.was_read(event.placer, event.at, event.connection_ended_at):
-                self._since.setdefault(key, event.at)
+                self._notified_at.setdefault(key, event.at)
             else:
-                self._maybe_since.setdefault(key, event.at)
+                self._maybe_notified_at.setdefault(key, event.at)
         elif isinstance(event, t.OfferSent):
             self.result.checked += 1
             self._handle_offer(event)
 
     def _handle_offer(self, event: t.OfferSent) -> None:
         key = (event.placer, event.machine)
-        since = self._since.get(key)
+        since = self._notified_at.get(key)
         if since is None:
-            maybe_since = self._maybe_since.get(key)
+            maybe_since = self._maybe_notified_at.get(key)
             if maybe_since is not None and event.at > self._due(event.placer, maybe_since):
-                self.add_undecided(event.at, self._text(event, maybe_since), "the word may not have arrived")
+                self.add_undecided(event.at, self._text(event, maybe_since), "the notice may not have arrived")
         elif event.at > (due := self._due(event.placer, since)):
             self.add_late(event.placer, since, event.at, event.late_ms, due, self._text(event, since))
 
@@ -45,5 +46,5 @@
         return self.history.due_after_pauses(placer, since + self.cluster.drain_grace_ms) + SLACK_MS / 5
 
     def _text(self, event: t.OfferSent, since: float) -> str:
-        after = f"{event.at - since:.0f} ms after word that it drains or is gone"
-        return f"{event.placer} offers {event.name} to {event.machine} {after}"
+        after = f"{event.at - since:.0f} ms after notice that it drains or is gone"
+        return f"{event.placer} offered {event.name} to {event.machine} {after}"
--- a/sprucepost/rules/record.py
+++ b/sprucepost/rules/record.py
@@ -1,7 +1,7 @@
-"""The folder that a recorded run leaves, and checking it again.
+"""Reads the folder that a recorded run leaves, and checks the run again.
 
-``scenario.json`` (the day), ``capture.bin`` (bytes at the tap), ``cluster.json`` (the deployment's settings),
-``events.jsonl`` (what the run did, with times), ``result.json`` (the figures that were printed).
+``scenario.json`` is the scenario, ``capture.bin`` the bytes that the recording proxy saw, ``cluster.json`` the deployment's
+settings, ``events.jsonl`` what the run did and when, and ``result.json`` the figures that were printed.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 
 
 def build_run_history(events: list[dict[str, Any]]) -> RunHistory:
-    """What the run did to placers."""
+    """Return what the run did to placers, from the lines of ``events.jsonl``."""
     history = RunHistory()
-    stopped: dict[str, float] = {}
+    stopped_at: dict[str, float] = {}
     for event in events:
         what, placer = event["what"], event.get("placer", "")
         if what == "placer_killed":
             history.killed.setdefault(placer, []).append(event["at"])
         elif what == "placer_stopped":
-            stopped.setdefault(placer, event["at"])  # two stops that overlap end with the first that is lifted
-        elif what == "placer_continued" and placer in stopped:
-            history.stalled.setdefault(placer, []).append((stopped.pop(placer), event["at"]))
+            stopped_at.setdefault(placer, event["at"])  # of stops that overlap, the first continuation ends all
+        elif what == "placer_continued" and placer in stopped_at:
+            history.stalled.setdefault(placer, []).append((stopped_at.pop(placer), event["at"]))
         elif what == "placer_starved":
             history.starved.setdefault(placer, []).append((event["since"], event["at"]))
         elif what == "ended":
@@ -46,9 +46,9 @@
 
 
 def check(folder: Path) -> list[RuleResult]:
-    """The results of the five rules on a recorded run, and of the views' where placers kept some.
+    """Return the results of the five rules on a recorded run, and of the checks of views where placers kept views.
 
-    RecordError or SettingsError where it cannot be checked.
+    Raises RecordError or SettingsError where the folder can't be checked.
     """
     try:
         capture = (folder / CAPTURE).read_bytes()
@@ -60,18 +60,18 @@
         records = list(read_capture(capture))
     except ValueError as error:
         raise RecordError(f"{folder}: {error}") from None
-    found = list(read_messages(iter(records)))
+    captured = list(read_messages(iter(records)))
     history = build_run_history(events)
-    results = check_rules(events_from_messages(found), read(folder / CLUSTER, Cluster), history)
+    results = check_rules(events_from_messages(captured), read(folder / CLUSTER, Cluster), history)
     if any(event["what"] == "peers_quiet" for event in events):
-        results += check_views(found, events, _view_lines(folder), history)
+        results += check_views(captured, events, _view_lines(folder), history)
     return results
 
 
 def _view_lines(folder: Path) -> dict[str, list[dict[str, Any]]]:
-    """The views that each placer wrote into its log."""
-    found: dict[str, list[dict[str, Any]]] = {}
+    """Return the ``view`` lines of each placer's log, by placer, oldest first."""
+    lines: dict[str, list[dict[str, Any]]] = {}
     for path in sorted([*folder.glob("placer-*.log"), *folder.glob("stranger-*.log")]):
         text = path.read_text(errors="replace").splitlines()
-        found[path.stem] = [json.loads(line) for line in text if '"event": "view"' in line and line.endswith("}")]
-    return found
+        lines[path.stem] = [json.loads(line) for line in text if '"event": "view"' in line and line.endswith("}")]
+    return lines
--- a/sprucepost/rules/streams.py
+++ b/sprucepost/rules/streams.py
@@ -1,7 +1,7 @@
-"""A capture taken apart: HTTP/2 frames to gRPC messages, with the time at which each was complete.
+"""Takes a capture apart: from HTTP/2 frames to gRPC messages, each with the time at which it was complete.
 
-Nothing here shares code with the placer's own connections, but for the prefix format: what checks must not err with
-what is checked.
+Shares no code with the placer's connections, so that an error there doesn't hide itself from the checks. Only the format of
+the message prefix is the same.
 """
 
 from __future__ import annotations
@@ -19,7 +19,11 @@
 
 @dataclass(frozen=True)
 class Message:
-    """One gRPC message. ``order`` counts over the whole capture, so that equal times keep their order."""
+    """One gRPC message.
+
+    ``at`` is in ms. ``order`` counts over the whole capture, so that messages of equal times keep their order. The bytes may
+    have been sent to_server to ``late_ms`` earlier.
+    """
 
     at: float
     order: int
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Closed:
-    """A connection came to its end."""
+    """The end of a connection; ``at`` in ms."""
 
     at: float
     order: int
@@ -44,24 +48,24 @@
     target: str
 
 
-class _Half:
+class _Direction:
     """One direction of one connection."""
 
     def __init__(self, from_client: bool) -> None:
         self.from_client = from_client
         self.buffer = bytearray()
         self.decoder = hpack.Decoder()
-        self.preface = len(PREFACE) if from_client else 0
-        self.block: tuple[int, bytearray] | None = None
-        self.messages: dict[int, bytearray] = {}
+        self.preface_left = len(PREFACE) if from_client else 0  # bytes still to skip
+        self.block: tuple[int, bytearray] | None = None  # stream and bytes of an incomplete header block
+        self.messages: dict[int, bytearray] = {}  # by stream: bytes of an incomplete message
 
     def feed(self, data: bytes) -> Iterator[tuple[int, int, bytes]]:
-        """(kind, stream, payload) of each frame: DATA unpadded, HEADERS as whole blocks."""
+        """Yield (kind, stream, payload) of each frame: DATA without padding, HEADERS as complete blocks."""
         self.buffer += data
-        if self.preface:
-            cut = min(self.preface, len(self.buffer))
-            del self.buffer[:cut]
-            self.preface -= cut
+        if self.preface_left:
+            skipped = min(self.preface_left, len(self.buffer))
+            del self.buffer[:skipped]
+            self.preface_left -= skipped
         while len(self.buffer) >= 9:
             size = int.from_bytes(self.buffer[:3], "big")
             if len(self.buffer) < 9 + size:
@@ -87,37 +91,39 @@
                 yield kind, stream, payload
 
     def complete(self, stream: int, data: bytes) -> Iterator[bytes]:
-        """The gRPC messages that DATA completes."""
-        held = self.messages.setdefault(stream, bytearray())
-        held += data
-        while len(held) >= 5:
-            size = int.from_bytes(held[1:5], "big")
-            if len(held) < 5 + size:
+        """Yield the gRPC messages of a stream that this payload of a DATA frame completes."""
+        pending = self.messages.setdefault(stream, bytearray())
+        pending += data
+        while len(pending) >= 5:
+            size = int.from_bytes(pending[1:5], "big")
+            if len(pending) < 5 + size:
                 return
-            if held[0] == 0:  # none of the protocol's messages is compressed
-                yield bytes(held[5 : 5 + size])
-            del held[: 5 + size]
+            if pending[0] == 0:  # the protocol compresses no message
+                yield bytes(pending[5 : 5 + size])
+            del pending[: 5 + size]
 
 
 @dataclass
 class _Connection:
     client: str
     target: str
-    up: _Half
-    down: _Half
+    to_server: _Direction
+    to_client: _Direction
     paths: dict[int, str]
 
 
 def read_messages(records: Iterator[CaptureRecord]) -> Iterator[Message | Closed]:
-    """Every message and every connection's end, in the capture's order."""
+    """Yield every message and the end of every connection, in the order of the capture."""
     import json
 
     connections: dict[int, _Connection] = {}
     order = 0
     for record in records:
         if record.kind == OPENED:
-            who = json.loads(record.data)
-            connections[record.connection] = _Connection(who["client"], who["target"], _Half(True), _Half(False), {})
+            opened = json.loads(record.data)
+            connections[record.connection] = _Connection(
+                opened["client"], opened["target"], _Direction(True), _Direction(False), {}
+            )
             continue
         connection = connections.get(record.connection)
         if connection is None:
@@ -127,14 +133,14 @@
             yield Closed(record.at_ms, order, record.connection, connection.client, connection.target)
             del connections[record.connection]
             continue
-        half = connection.up if record.kind == FROM_CLIENT else connection.down
-        for kind, stream, payload in half.feed(record.data):
+        direction = connection.to_server if record.kind == FROM_CLIENT else connection.to_client
+        for kind, stream, payload in direction.feed(record.data):
             if kind == HEADERS:
-                fields = dict(half.decoder.decode(payload, raw=True))
-                if half.from_client and b":path" in fields:
+                fields = dict(direction.decoder.decode(payload, raw=True))
+                if direction.from_client and b":path" in fields:
                     connection.paths[stream] = bytes(fields[b":path"]).decode("latin-1")
             elif kind == DATA:
-                for data in half.complete(stream, payload):
+                for data in direction.complete(stream, payload):
                     order += 1
                     yield Message(
                         record.at_ms,
@@ -144,7 +150,7 @@
                         connection.target,
                         connection.paths.get(stream, ""),
                         stream,
-                        half.from_client,
+                        direction.from_client,
                         data,
                         record.max_delay_ms,
                     )
--- a/sprucepost/rules/trace.py
+++ b/sprucepost/rules/trace.py
@@ -1,12 +1,14 @@
-"""What the messages of a capture say: submissions and outcomes, offers and answers, word of machines.
+"""Turns the messages of a capture into events: submissions and outcomes, offers and answers, list entries.
 
-Repeats (frames sent again after a broken stream) are known by their session and number, as to each end. A frame that a
-placer is sent again had not reached it before: the other end repeats only what the placer has not seen. So the repeat,
-marked ``is_repeat``, is when the placer was told.
+Frames that are sent again after a broken stream are recognised by their session and sequence number, as by both ends. A
+frame that is sent to a placer again had not reached it before: the other end repeats only what the placer hasn't seen. So
+the repeat, marked ``is_repeat``, is when the placer was notified.
 
-Bytes that went out to a placer have not been read by it for that: a socket that is reset loses what lies in it. Each event
-for a placer has the end of its connection, ``connection_ended_at``; :meth:`sprucepost.rules.checker.RunHistory.was_read`
-makes proof of it.
+Bytes that went out to a placer need not have been read by it: a socket that is reset loses what it holds. Each event for a
+placer has the end of its connection, ``connection_ended_at``, from which
+:meth:`sprucepost.rules.checker.RunHistory.was_read` decides.
+
+All times are in ms, as the recording proxy took them.
 """
 
 from __future__ import annotations
@@ -39,12 +41,12 @@
     hand_over: bool
     incarnation: int = 0
     is_repeat: bool = False
-    task_spec: common_pb2.Task | None = None  # of a submission
+    task_spec: common_pb2.Task | None = None  # of a submission; None for a hand-over
 
 
 @dataclass(frozen=True)
 class OutcomeSent:
-    """A placer told an owner: ``kind`` is the frame's body."""
+    """A placer reported the state of a task to an owner; ``kind`` names the frame's body."""
 
     at: float
     placer: str
@@ -52,12 +54,12 @@
     session: bytes
     task: str
     kind: str
-    late_ms: float = 0.0  # ms by which it may have been sent earlier: the tap looked late
+    late_ms: float = 0.0  # by how much earlier it may have been sent: the proxy read late
 
 
 @dataclass(frozen=True)
 class ClientStream:
-    """An owner's stream at a placer came (``up``) or went."""
+    """An owner's stream at a placer began (``up``) or ended."""
 
     at: float
     placer: str
@@ -67,6 +69,8 @@
 
 @dataclass(frozen=True)
 class TaskCancelled:
+    """An owner cancelled a task."""
+
     at: float
     placer: str
     session: bytes
@@ -75,7 +79,7 @@
 
 @dataclass(frozen=True)
 class OfferSent:
-    """A placer sent an offer. ``is_repeat``: the same one as before, after a break."""
+    """A placer sent an offer; ``is_repeat``: the same one again, after a broken stream."""
 
     at: float
     placer: str
@@ -85,12 +89,12 @@
     task: common_pb2.Task
     wait_ms: float
     is_repeat: bool
-    late_ms: float = 0.0  # ms by which it may have been sent earlier: the tap looked late
+    late_ms: float = 0.0  # by how much earlier it may have been sent: the proxy read late
 
 
 @dataclass(frozen=True)
 class AttemptReported:
-    """A placer was told of an attempt: accepted, refused, running, use or ended."""
+    """A machine reported on an attempt; ``kind`` is accepted, refused, running, use or ended."""
 
     at: float
     placer: str
@@ -103,7 +107,7 @@
 
 @dataclass(frozen=True)
 class AttemptWithdrawn:
-    """A placer told a machine that it wants the task of this attempt no more."""
+    """A placer told a machine that it no longer wants the task of this attempt."""
 
     at: float
     placer: str
@@ -113,7 +117,7 @@
 
 @dataclass(frozen=True)
 class TaskAdopted:
-    """A placer took over a task that the machine held."""
+    """A placer took over a task that a machine holds."""
 
     at: float
     placer: str
@@ -124,7 +128,7 @@
 
 @dataclass(frozen=True)
 class MachineAttached:
-    """A machine named itself and its life to a placer."""
+    """A machine attached to a placer; ``machine_incarnation`` changes with each restart of the machine."""
 
     at: float
     placer: str
@@ -137,7 +141,7 @@
 
 @dataclass(frozen=True)
 class MachineListed:
-    """A placer was told of a machine by the list; state 0: gone."""
+    """A placer got a machine's entry in the list; state 0: the machine is gone."""
 
     at: float
     placer: str
@@ -177,12 +181,12 @@
 
 
 @dataclass
-class _Seen:
-    """Numbers seen in one direction of the sessions."""
+class _SequenceNumbers:
+    """Highest sequence number seen per session, in one direction."""
 
     last: dict[bytes, int] = field(default_factory=dict)
 
-    def fresh(self, session: bytes, seq: int) -> bool:
+    def is_new(self, session: bytes, seq: int) -> bool:
         if not seq or seq <= self.last.get(session, 0):
             return False
         self.last[session] = seq
@@ -190,46 +194,51 @@
 
 
 class Tracer:
-    """Messages in, events out. ``ends``: when each connection ended."""
+    """Turns messages into events; ``ends`` gives the end of each connection."""
 
     def __init__(self, ends: dict[int, float] | None = None) -> None:
         self._ends = ends or {}
-        self._owner: dict[tuple[int, int], _OwnerStream] = {}
-        self._machine: dict[tuple[int, int], _MachineStream] = {}
-        self._from_owner, self._to_owner, self._from_machine = _Seen(), _Seen(), _Seen()
+        self._owner_streams: dict[tuple[int, int], _OwnerStream] = {}
+        self._machine_streams: dict[tuple[int, int], _MachineStream] = {}
+        self._from_owner, self._to_owner, self._from_machine = (
+            _SequenceNumbers(),
+            _SequenceNumbers(),
+            _SequenceNumbers(),
+        )
         self._offers: set[Key] = set()
-        self._known: dict[str, set[str]] = {}  # by placer: machines that the list has named
+        self._listed_machines: dict[str, set[str]] = {}  # by placer: machines that its list has named
 
     def events_of(self, message: Message | Closed) -> Iterator[Event]:
+        """Yield the events of the next message."""
         if isinstance(message, Closed):
-            for key in [key for key in self._owner if key[0] == message.connection]:
-                stream = self._owner.pop(key)
+            for key in [key for key in self._owner_streams if key[0] == message.connection]:
+                stream = self._owner_streams.pop(key)
                 if stream.session:
                     yield ClientStream(message.at, message.target, stream.session, False)
         elif message.path == SUBMIT:
-            yield from self._submit(message)
+            yield from self._owner_events(message)
         elif message.path == OFFERS:
-            yield from self._offer(message)
+            yield from self._machine_events(message)
         elif message.path == WATCH and not message.from_client:
-            yield from self._listed(message)
+            yield from self._list_events(message)
 
-    def _submit(self, message: Message) -> Iterator[Event]:
-        stream = self._owner.setdefault((message.connection, message.stream), _OwnerStream())
+    def _owner_events(self, message: Message) -> Iterator[Event]:
+        stream = self._owner_streams.setdefault((message.connection, message.stream), _OwnerStream())
         placer, at = message.target, message.at
         if message.from_client:
             frame = placer_pb2.OwnerFrame.FromString(message.data)
             kind = frame.WhichOneof("body")
             if kind in (None, "hello") or not frame.seq:
                 return
-            again, session = not self._from_owner.fresh(stream.session, frame.seq), stream.session
+            is_repeat, session = not self._from_owner.is_new(stream.session, frame.seq), stream.session
             if kind == "submit":
-                left = frame.submit.left_ms
+                left_ms = frame.submit.left_ms
                 yield TaskSubmitted(
-                    at, placer, session, frame.task, left, False, stream.incarnation, again, frame.submit.task
+                    at, placer, session, frame.task, left_ms, False, stream.incarnation, is_repeat, frame.submit.task
                 )
-            elif kind == "hand_over" and not again:
+            elif kind == "hand_over" and not is_repeat:
                 yield TaskSubmitted(at, placer, session, frame.task, 0.0, True, stream.incarnation)
-            elif kind == "cancel" and not again:
+            elif kind == "cancel" and not is_repeat:
                 yield TaskCancelled(at, placer, stream.session, frame.task)
             return
         answer = placer_pb2.PlacerFrame.FromString(message.data)
@@ -237,16 +246,16 @@
         if kind == "welcome":
             stream.session, stream.incarnation = answer.welcome.session, answer.welcome.incarnation
             yield ClientStream(at, placer, stream.session, True)
-        elif kind is not None and self._to_owner.fresh(stream.session, answer.seq):
-            told = answer.refused_all.tasks if kind == "refused_all" else (answer.task,)
-            word = "refused" if kind == "refused_all" else str(kind)
-            for task in told:
-                yield OutcomeSent(at, placer, stream.incarnation, stream.session, task, word, message.late_ms)
-
-    def _offer(self, message: Message) -> Iterator[Event]:
-        stream = self._machine.setdefault((message.connection, message.stream), _MachineStream())
+        elif kind is not None and self._to_owner.is_new(stream.session, answer.seq):
+            tasks = answer.refused_all.tasks if kind == "refused_all" else (answer.task,)
+            outcome = "refused" if kind == "refused_all" else str(kind)
+            for task in tasks:
+                yield OutcomeSent(at, placer, stream.incarnation, stream.session, task, outcome, message.late_ms)
+
+    def _machine_events(self, message: Message) -> Iterator[Event]:
+        stream = self._machine_streams.setdefault((message.connection, message.stream), _MachineStream())
         placer, machine, at = message.client, message.target, message.at
-        until = self._ends.get(message.connection, math.inf)
+        connection_ended_at = self._ends.get(message.connection, math.inf)
         if message.from_client:
             frame = machine_pb2.ToMachine.FromString(message.data)
             kind = frame.WhichOneof("body")
@@ -255,13 +264,15 @@
             elif kind == "offer":
                 offer = frame.offer
                 key = (stream.number, stream.incarnation, offer.request, offer.attempt)
-                again = key in self._offers
+                is_repeat = key in self._offers
                 self._offers.add(key)
-                yield OfferSent(at, placer, machine, key, offer.name, offer.task, offer.wait_ms, again, message.late_ms)
+                yield OfferSent(
+                    at, placer, machine, key, offer.name, offer.task, offer.wait_ms, is_repeat, message.late_ms
+                )
             elif kind == "withdraw":
-                gone = frame.withdraw
+                withdrawn = frame.withdraw
                 yield AttemptWithdrawn(
-                    at, placer, machine, (stream.number, gone.incarnation, gone.request, gone.attempt)
+                    at, placer, machine, (stream.number, withdrawn.incarnation, withdrawn.request, withdrawn.attempt)
                 )
             elif kind == "adopt":
                 key = (stream.number, stream.incarnation, frame.adopt.request, 0)
@@ -273,37 +284,41 @@
         kind = answer.WhichOneof("body")
         if kind == "attached":
             stream.session = answer.attached.session
-            told = answer.attached
-            yield MachineAttached(at, placer, machine, told.life, stream.incarnation, told.started_ms, until)
+            attached = answer.attached
+            yield MachineAttached(
+                at, placer, machine, attached.life, stream.incarnation, attached.started_ms, connection_ended_at
+            )
             for held in answer.attached.held:
                 if held.incarnation == stream.incarnation:
                     key = (stream.number, stream.incarnation, held.request, held.attempt)
-                    yield AttemptReported(at, placer, machine, key, "accepted", until)
+                    yield AttemptReported(at, placer, machine, key, "accepted", connection_ended_at)
         elif kind is not None and answer.seq:
-            again = not self._from_machine.fresh(stream.session, answer.seq)
+            is_repeat = not self._from_machine.is_new(stream.session, answer.seq)
             key = (stream.number, stream.incarnation, answer.request, answer.attempt)
-            yield AttemptReported(at, placer, machine, key, str(kind), until, again)
+            yield AttemptReported(at, placer, machine, key, str(kind), connection_ended_at, is_repeat)
 
-    def _listed(self, message: Message) -> Iterator[Event]:
+    def _list_events(self, message: Message) -> Iterator[Event]:
         update = fleet_pb2.FleetUpdate.FromString(message.data)
         placer, at = message.client, message.at
-        until = self._ends.get(message.connection, math.inf)
-        known = self._known.setdefault(placer, set())
+        connection_ended_at = self._ends.get(message.connection, math.inf)
+        known = self._listed_machines.setdefault(placer, set())
         if update.whole:
             for machine in sorted(known - {entry.name for entry in update.entries}):
-                yield MachineListed(at, placer, machine, 0, "", "", 0.0, until)
+                yield MachineListed(at, placer, machine, 0, "", "", 0.0, connection_ended_at)
         for entry in update.entries:
             known.add(entry.name)
-            yield MachineListed(at, placer, entry.name, entry.state, entry.zone, entry.cell, entry.started_ms, until)
+            yield MachineListed(
+                at, placer, entry.name, entry.state, entry.zone, entry.cell, entry.started_ms, connection_ended_at
+            )
 
 
 def read_events(records: Iterator[CaptureRecord]) -> Iterator[Event]:
-    """The events of a capture, in order."""
+    """Return the events of a capture, in order."""
     return events_from_messages(list(read_messages(records)))
 
 
-def events_from_messages(found: Sequence[Message | Closed]) -> Iterator[Event]:
-    """The events of a capture that has been taken apart."""
-    tracer = Tracer({message.connection: message.at for message in found if isinstance(message, Closed)})
-    for message in found:
+def events_from_messages(captured: Sequence[Message | Closed]) -> Iterator[Event]:
+    """Yield the events of the messages of a capture, in order."""
+    tracer = Tracer({message.connection: message.at for message in captured if isinstance(message, Closed)})
+    for message in captured:
         yield from tracer.events_of(message)
--- a/tests/rules/test_broken_placers.py
+++ b/tests/rules/test_broken_placers.py
@@ -1,4 +1,4 @@
-"""A checker that cannot fail is a defect: for each rule, placers that break it on purpose are caught from the bytes."""
+"""For each rule, a placer with a planted defect is found from the recorded bytes, and violates no other rule."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 from tests.placer.support import World, cluster, play, task
 from tests.wire.support import wait_for
 
-Break = Callable[[World, Placer], None]
+Plant = Callable[[World, Placer], None]
 
 
-def day(
+def run_tasks(
     world: World,
-    spoil: Break,
-    told: Cluster | None = None,
+    plant: Plant,
+    placer_settings: Cluster | None = None,
     service: Callable[[int], str] = lambda n: f"s{n}",
     task_class: str = "web",
     count: int = 8,
     before: Callable[[World], None] = lambda world: None,
     during: Callable[[World], Co[None]] | None = None,
     left_ms: float = 900,
-    **manners: Any,
+    **machine_options: Any,
 ) -> Co[dict[str, list[str]]]:
-    """One placer, two machines, some tasks; the verdict by rule."""
-    world.machine("m1", **manners)
-    world.machine("m2", zone="room-b", **manners)
-    placer = world.placer(told=told)
+    """Run one placer, two machines and some tasks; return the violations by rule."""
+    world.machine("m1", **machine_options)
+    world.machine("m2", zone="room-b", **machine_options)
+    placer = world.placer(told=placer_settings)
     front = world.tap.add("placer-0", placer.grpc_address)
     owner, _ = world.owner(front)
     yield from world.ready(placer, 2)
     yield from wait_for(lambda: owner.up)
-    spoil(world, placer)
+    plant(world, placer)
     before(world)
     for n in range(count):
         owner.submit(f"t{n}", task(task_class, service=service(n), cores=0.1), left_ms)
@@ -56,51 +56,51 @@
     return world.check_rules()
 
 
-def honest(world: World, placer: Placer) -> None: ...
+def correct(world: World, placer: Placer) -> None: ...
 
 
 def never_answers(world: World, placer: Placer) -> None:
     real = placer.engine.reporter.report
 
-    def tell(entry: Any, **body: Any) -> None:
+    def report(entry: Any, **body: Any) -> None:
         if "bound" not in body or entry.name != "t3":
             real(entry, **body)
 
-    placer.engine.reporter.report = tell  # type: ignore[method-assign]
+    placer.engine.reporter.report = report  # type: ignore[method-assign]
 
 
 def answers_twice(world: World, placer: Placer) -> None:
     real = placer.engine.reporter.report
 
-    def tell(entry: Any, **body: Any) -> None:
+    def report(entry: Any, **body: Any) -> None:
         real(entry, **body)
         if "bound" in body and entry.name == "t3":
             placer.engine.reporter.notify(entry, failed=pb.Failed(why="planted"))
 
-    placer.engine.reporter.report = tell  # type: ignore[method-assign]
+    placer.engine.reporter.report = report  # type: ignore[method-assign]
 
 
 def answers_late(world: World, placer: Placer) -> None:
     real = placer.engine.reporter.report
 
-    def tell(entry: Any, **body: Any) -> None:
+    def report(entry: Any, **body: Any) -> None:
         world.loop.call_later(1300.0 if "bound" in body and entry.name == "t3" else 0.0, lambda: real(entry, **body))
 
-    placer.engine.reporter.report = tell  # type: ignore[method-assign]
+    placer.engine.reporter.report = report  # type: ignore[method-assign]
 
 
-def takes_silence_for_never_ran(world: World, placer: Placer) -> None:
+def treats_a_timeout_as_never_run(world: World, placer: Placer) -> None:
     real = placer.engine.attempts.end
 
     def end(key: Any, out: Any, ending: i.Ending, *more: Any) -> None:
         real(key, out, i.Ending.CONNECT_FAILED if ending is i.Ending.TIMEOUT else ending, *more)
 
     placer.engine.attempts.end = end  # type: ignore
-    real_module = placer.engine.driver.scheduler._offer_timeout
-    placer.engine.driver.scheduler._offer_timeout = lambda task, machine: min(150.0, real_module(task, machine))  # type: ignore
+    real_timeout = placer.engine.driver.scheduler._offer_timeout
+    placer.engine.driver.scheduler._offer_timeout = lambda task, machine: min(150.0, real_timeout(task, machine))  # type: ignore
 
 
-def sends_two_at_once(world: World, placer: Placer) -> None:
+def offers_twice_at_once(world: World, placer: Placer) -> None:
     real = placer.engine.attempts.offer
 
     def offer(action: i.Offer) -> None:
@@ -112,7 +112,7 @@
     placer.engine.attempts.offer = offer  # type: ignore[method-assign]
 
 
-def is_deaf_to_drains(world: World, placer: Placer) -> None:
+def ignores_drains(world: World, placer: Placer) -> None:
     real = placer.engine.roster.on_list
 
     def on_list(change: i.MachineList) -> None:
@@ -142,53 +142,53 @@
     yield from sleep(400)
 
 
-GENEROUS = cluster(cold_bears=1000.0)
+LARGE_COLD_LIMIT = cluster(cold_bears=1000.0)
 SPREAD = cluster(classes=[msgspec.structs.replace(cluster().classes[0], spread="machine", most=1)])
 UNSPREAD = cluster(classes=[msgspec.structs.replace(cluster().classes[0], spread="machine", most=50)])
 
 
-def one(n: int) -> str:
+def same_service(n: int) -> str:
     return "s"
 
 
 @pytest.mark.parametrize(
     "rule, settings, arguments",
     [
-        ("", None, {"spoil": honest}),
-        ("", None, {"spoil": honest, "during": drain_m1}),
-        ("", None, {"spoil": honest, "task_class": "once", "before": hold_answers, "count": 3}),
-        ("", SPREAD, {"spoil": honest, "service": one}),
-        ("1", None, {"spoil": never_answers}),
-        ("1", None, {"spoil": answers_twice}),
-        ("1", None, {"spoil": answers_late}),
-        ("2", None, {"spoil": takes_silence_for_never_ran, "task_class": "once", "before": hold_answers, "count": 3}),
-        ("2", None, {"spoil": sends_two_at_once, "task_class": "bill", "before": hold_answers}),
-        # Many, over a longer time: of eight asks, on a busy machine, once none was to be seen on the drained one.
-        ("3", None, {"spoil": is_deaf_to_drains, "during": drain_m1, "sends_away": False, "count": 30}),
-        ("", None, {"spoil": honest, "before": restart_cold, "during": wait_cold, "count": 40, "cold_bears": 1e3}),
+        ("", None, {"plant": correct}),
+        ("", None, {"plant": correct, "during": drain_m1}),
+        ("", None, {"plant": correct, "task_class": "once", "before": hold_answers, "count": 3}),
+        ("", SPREAD, {"plant": correct, "service": same_service}),
+        ("1", None, {"plant": never_answers}),
+        ("1", None, {"plant": answers_twice}),
+        ("1", None, {"plant": answers_late}),
+        ("2", None, {"plant": treats_a_timeout_as_never_run, "task_class": "once", "before": hold_answers, "count": 3}),
+        ("2", None, {"plant": offers_twice_at_once, "task_class": "bill", "before": hold_answers}),
+        # With eight submissions on a busy computer, there was once no offer to the drained machine: so more, for longer.
+        ("3", None, {"plant": ignores_drains, "during": drain_m1, "sends_away": False, "count": 30}),
+        ("", None, {"plant": correct, "before": restart_cold, "during": wait_cold, "count": 40, "cold_bears": 1e3}),
         (
             "4",
             None,
             {
-                "spoil": honest,
-                "told": GENEROUS,
+                "plant": correct,
+                "placer_settings": LARGE_COLD_LIMIT,
                 "before": restart_cold,
                 "during": wait_cold,
                 "count": 40,
-                "cold_bears": 1e3,  # the machines themselves bear it, so that offers go on
+                "cold_bears": 1e3,  # the machines accept them, so that offers continue
             },
         ),
-        ("5", SPREAD, {"spoil": honest, "told": UNSPREAD, "service": one}),
+        ("5", SPREAD, {"plant": correct, "placer_settings": UNSPREAD, "service": same_service}),
     ],
 )
-def test_each_rule_is_broken_by_a_placer_that_breaks_it_and_by_no_other(
+def test_a_planted_defect_violates_its_rule_and_no_other(
     rule: str, settings: Cluster | None, arguments: dict[str, Any]
 ) -> None:
-    broken = play(lambda world: day(world, **arguments), settings)
+    broken = play(lambda world: run_tasks(world, **arguments), settings)
     assert {name for name, lines in broken.items() if lines} == ({rule} if rule else set()), broken
 
 
-def test_a_killed_placer_owes_nothing() -> None:
+def test_a_killed_placer_has_nothing_left_to_answer() -> None:
     def body(world: World) -> Co[Any]:
         placer = world.placer()
         front = world.tap.add("placer-0", placer.grpc_address)
--- a/tests/rules/test_checkers.py
+++ b/tests/rules/test_checkers.py
@@ -1,4 +1,4 @@
-"""What the checkers take as proof: it errs neither way where words are lost, asks come again, or the tap is late."""
+"""What the checkers take as proof where messages are lost, submissions are repeated or the recording proxy reads late."""
 
 from __future__ import annotations
 
@@ -18,11 +18,13 @@
 P, M, S = "placer-0", "m1", b"s"
 
 
-def asked(at: float, task: str = "t", left: float = 2000.0, session: bytes = S, again: bool = False) -> t.TaskSubmitted:
-    return t.TaskSubmitted(at, P, session, task, left, False, 5, again)
+def submitted(
+    at: float, task: str = "t", left_ms: float = 2000.0, session: bytes = S, is_repeat: bool = False
+) -> t.TaskSubmitted:
+    return t.TaskSubmitted(at, P, session, task, left_ms, False, 5, is_repeat)
 
 
-def told(at: float, kind: str, task: str = "t", session: bytes = S, late_ms: float = 0.0) -> t.OutcomeSent:
+def reported(at: float, kind: str, task: str = "t", session: bytes = S, late_ms: float = 0.0) -> t.OutcomeSent:
     return t.OutcomeSent(at, P, 5, session, task, kind, late_ms)
 
 
@@ -43,70 +45,72 @@
     )
 
 
-# Rule 2: which ask a refusal speaks of
+# Rule 2: the submission that a refusal answers
 
 EARLIER: list[t.Event] = [
-    asked(0),
+    submitted(0),
     offered(10),
     t.AttemptReported(20, P, M, (0, 5, 1, 0), "accepted"),
-    told(21, "bound"),
-    told(500, "ended"),
+    reported(21, "bound"),
+    reported(500, "ended"),
 ]
 
 
-def test_a_refusal_at_once_is_not_checked_against_an_earlier_ask_of_that_name() -> None:
-    assert not result_of("2", [*EARLIER, asked(2000), told(2001, "refused")]).broken
+def test_a_refusal_at_once_is_not_checked_against_an_earlier_submission_of_that_name() -> None:
+    assert not result_of("2", [*EARLIER, submitted(2000), reported(2001, "refused")]).broken
 
 
-def test_a_refusal_after_an_attempt_of_this_very_ask_is_a_break() -> None:
-    assert result_of("2", [*EARLIER, asked(2000), offered(2010, 2), told(3900, "refused")]).broken
+def test_a_refusal_after_an_attempt_of_the_same_submission_is_a_violation() -> None:
+    assert result_of("2", [*EARLIER, submitted(2000), offered(2010, 2), reported(3900, "refused")]).broken
 
 
-def test_a_joined_ask_is_checked_against_the_attempts_of_the_ask_that_it_joined() -> None:
+def test_a_joined_submission_is_checked_against_the_attempts_of_the_one_that_it_joined() -> None:
     events: list[t.Event] = [
-        asked(0),
+        submitted(0),
         offered(10),
-        asked(400, session=b"other"),
-        told(900, "refused", session=b"other"),
+        submitted(400, session=b"other"),
+        reported(900, "refused", session=b"other"),
     ]
     assert result_of("2", events).broken
 
 
-def test_of_two_askers_the_second_answer_is_checked_like_the_first() -> None:
+def test_of_two_owners_the_second_outcome_is_checked_like_the_first() -> None:
     events: list[t.Event] = [
-        asked(0),
-        asked(5, session=b"other"),
+        submitted(0),
+        submitted(5, session=b"other"),
         offered(10),
-        told(900, "failed"),
-        told(901, "refused", session=b"other"),
+        reported(900, "failed"),
+        reported(901, "refused", session=b"other"),
     ]
     assert result_of("2", events).broken
 
 
-def test_an_ask_after_a_failed_one_begins_anew() -> None:
-    assert not result_of("2", [asked(0), offered(10), told(900, "failed"), asked(950), told(951, "refused")]).broken
+def test_a_submission_after_a_failed_one_starts_anew() -> None:
+    assert not result_of(
+        "2", [submitted(0), offered(10), reported(900, "failed"), submitted(950), reported(951, "refused")]
+    ).broken
 
 
-# Words that may not have arrived
+# Messages that may not have arrived
 
 GONE = listed(1000, state=0, until=1010)
 
 
-def test_a_drain_that_went_out_to_a_socket_that_was_reset_at_once_is_no_proof() -> None:
+def test_a_drain_notice_sent_just_before_a_reset_is_no_proof() -> None:
     found = result_of("3", [GONE, offered(3000)])
     assert not found.broken and len(found.undecided) == 1
     assert result_of("3", [replace(GONE, connection_ended_at=2000), offered(3000)]).broken
 
 
-def test_a_stopped_placer_has_read_nothing_before_it_went_on() -> None:
+def test_a_stopped_placer_reads_nothing_before_it_continues() -> None:
     stopped = RunHistory(stalled={P: [(900, 3000)]}, ended_at=1e6)
     assert not result_of("3", [replace(GONE, connection_ended_at=3010), offered(5000)], stopped).broken
     assert result_of("3", [replace(GONE, connection_ended_at=4000), offered(5000)], stopped).broken
 
 
-def test_an_acceptance_that_never_arrived_was_not_told() -> None:
+def test_an_acceptance_that_may_not_have_arrived_does_not_count() -> None:
     events: list[t.Event] = [
-        asked(0),
+        submitted(0),
         offered(10, cls="web"),
         t.AttemptReported(20, P, M, (0, 5, 1, 0), "accepted", connection_ended_at=25),
     ]
@@ -115,27 +119,31 @@
     assert result_of("2", [*events, offered(400, attempt=1, cls="web")]).broken
 
 
-def test_an_ask_that_was_sent_again_counts_from_then() -> None:
-    events: list[t.Event] = [asked(0, left=1000), asked(900, left=1000, again=True), told(1800, "refused")]
+def test_a_repeated_submission_counts_from_the_repeat() -> None:
+    events: list[t.Event] = [
+        submitted(0, left_ms=1000),
+        submitted(900, left_ms=1000, is_repeat=True),
+        reported(1800, "refused"),
+    ]
     assert not result_of("1", events).broken
     assert result_of("1", [events[0], events[2]]).broken
 
 
-def test_a_machine_s_own_word_tells_that_it_is_cold() -> None:
+def test_a_machine_is_cold_by_its_own_report() -> None:
     many: list[t.Event] = [offered(5000 + n, request=n) for n in range(20)]
     assert result_of("4", [t.MachineAttached(4000, P, M, 2, 5, 3900.0), listed(4100, 1), *many]).broken
     assert not result_of("4", [listed(4100, 1), *many]).broken
 
 
-# Lateness that is not the placer's
+# Delays that the placer doesn't cause
 
 
-def test_where_the_tap_was_late_there_is_no_verdict() -> None:
+def test_a_late_recording_proxy_leaves_a_check_undecided() -> None:
     drain: list[t.Event] = [listed(0)]
     assert result_of("3", [*drain, offered(1400)]).broken
     found = result_of("3", [*drain, offered(1400, late_ms=500.0)])
-    assert not found.broken and "the tap was 500 ms late" in found.undecided[0]
-    found = result_of("1", [asked(0, left=500), told(1000, "refused", late_ms=400.0)])
+    assert not found.broken and "the recording proxy read 500 ms late" in found.undecided[0]
+    found = result_of("1", [submitted(0, left_ms=500), reported(1000, "refused", late_ms=400.0)])
     assert not found.broken and len(found.undecided) == 1
     twice: list[t.Event] = [offered(0), t.AttemptReported(5, P, M, (0, 5, 1, 0), "refused")]
     assert not result_of("2", [*twice, offered(20, attempt=1)]).undecided
@@ -143,20 +151,20 @@
     assert not found.broken and len(found.undecided) == 1
 
 
-def test_where_a_placer_had_no_processor_there_is_no_verdict_but_a_stop_is_no_excuse() -> None:
+def test_lack_of_cpu_time_leaves_a_check_undecided_but_a_stop_does_not() -> None:
     late: list[t.Event] = [listed(0), offered(2000)]
     found = result_of("3", late, RunHistory(starved={P: [(700, 1900)]}, ended_at=1e6))
-    assert not found.broken and "no processor" in found.undecided[0]
+    assert not found.broken and "no CPU time" in found.undecided[0]
     assert result_of("3", late, RunHistory(starved={P: [(700, 900)]}, ended_at=1e6)).broken
     stopped = RunHistory(starved={P: [(100, 600)]}, stalled={P: [(100, 600)]}, ended_at=1e6)
     assert result_of("3", late, stopped).broken
 
 
-def test_two_attempts_out_are_caught_whatever_the_tap_says() -> None:
+def test_two_open_attempts_are_a_violation() -> None:
     assert result_of("2", [offered(0, cls="web"), offered(10, attempt=1, cls="web")]).broken
 
 
-def test_what_a_machine_held_in_an_earlier_life_is_not_spread_over_any_more() -> None:
+def test_tasks_of_a_machine_s_earlier_incarnation_do_not_count_for_the_spread() -> None:
     spread = cluster(classes=[msgspec.structs.replace(cluster().classes[0], spread="machine", most=1)])
     first: list[t.Event] = [
         t.MachineAttached(0, P, M, 1, 5),
@@ -170,7 +178,7 @@
     assert check_rules([*first, t.MachineAttached(1000, P, M, 1, 5), again], spread, run)[4].broken
 
 
-def test_two_stops_that_overlap_are_one_from_the_first_on() -> None:
+def test_overlapping_stops_count_as_one() -> None:
     events = [
         {"what": "placer_stopped", "placer": P, "at": 10.0},
         {"what": "placer_stopped", "placer": P, "at": 50.0},
@@ -182,8 +190,8 @@
     assert run.stalled == {P: [(10.0, 90.0)]} and run.starved_ms(P, 0.0, 200.0) == 10.0
 
 
-def test_an_attempt_takes_the_place_of_the_one_before_in_what_is_spread() -> None:
-    """Accepted where the tap sees it, and unread when its placer gave it up and offered again."""
+def test_an_attempt_replaces_the_one_before_in_the_spread() -> None:
+    """The proxy saw an acceptance that the placer had not read when it gave the attempt up and made the next one."""
     spread = cluster(classes=[msgspec.structs.replace(cluster().classes[0], spread="machine", most=1)])
     accepted = t.AttemptReported(149.7, P, M, (0, 5, 1, 0), "accepted")
     run = RunHistory(ended_at=1e6)
@@ -191,8 +199,8 @@
     assert check_rules([offered(0, cls="web"), accepted, offered(150, request=2, cls="web")], spread, run)[4].broken
 
 
-def test_a_withdrawn_task_is_not_spread_over_any_more() -> None:
-    """Accepted about its time-out: within it for the checker, too late for its placer, which withdrew it."""
+def test_a_withdrawn_task_does_not_count_for_the_spread() -> None:
+    """Accepted close to the time-out: in time for the checker, too late for the placer, which withdrew the attempt."""
     spread = cluster(classes=[msgspec.structs.replace(cluster().classes[0], spread="machine", most=1)])
     late: list[t.Event] = [offered(0, cls="web"), t.AttemptReported(299, P, M, (0, 5, 1, 0), "accepted")]
     again, run = offered(2000, request=2, cls="web"), RunHistory(ended_at=1e6)
@@ -202,7 +210,7 @@
 
 
 def test_an_adopted_task_counts_once() -> None:
-    """Accepted about its time-out: within it for the checker, too late for its placer, which adopted it by another one."""
+    """Accepted close to the time-out: in time for the checker, too late for the placer, which then adopted the task."""
     spread = cluster(classes=[msgspec.structs.replace(cluster().classes[0], spread="machine", most=2)])
     late: list[t.Event] = [offered(0, cls="web"), t.AttemptReported(299, P, M, (0, 5, 1, 0), "accepted")]
     again, run = offered(2000, request=3, cls="web", name="u"), RunHistory(ended_at=1e6)
@@ -213,21 +221,26 @@
     ].broken
 
 
-def test_a_task_that_was_given_up_is_not_spread_over_until_it_is_adopted() -> None:
-    """Accepted where the tap sees it, and unread when its placer, back from a pause, told its owner that it had failed."""
+def test_a_task_that_was_given_up_does_not_count_for_the_spread_until_it_is_adopted() -> None:
+    """The proxy saw an acceptance that the placer had not read when, after a stop, it reported the task as failed."""
     spread = cluster(classes=[msgspec.structs.replace(cluster().classes[0], spread="machine", most=1)])
-    first: list[t.Event] = [asked(0), offered(10, cls="web"), t.AttemptReported(20, P, M, (0, 5, 1, 0), "accepted")]
+    first: list[t.Event] = [submitted(0), offered(10, cls="web"), t.AttemptReported(20, P, M, (0, 5, 1, 0), "accepted")]
     again, run = offered(60, request=2, cls="web", name="u"), RunHistory(ended_at=1e6)
-    assert not check_rules([*first, told(50, "failed"), again], spread, run)[4].broken
-    assert check_rules([*first, told(50, "bound"), again], spread, run)[4].broken
-    assert check_rules([*first, told(50, "bound"), asked(52), told(55, "failed"), again], spread, run)[4].broken
+    assert not check_rules([*first, reported(50, "failed"), again], spread, run)[4].broken
+    assert check_rules([*first, reported(50, "bound"), again], spread, run)[4].broken
+    assert check_rules([*first, reported(50, "bound"), submitted(52), reported(55, "failed"), again], spread, run)[
+        4
+    ].broken
     adopted = t.TaskAdopted(55, P, M, (0, 5, 3, 0), "t")
-    assert check_rules([*first, told(50, "failed"), adopted, again], spread, run)[4].broken
+    assert check_rules([*first, reported(50, "failed"), adopted, again], spread, run)[4].broken
+
 
+def test_a_submission_delivered_to_a_process_that_has_ended_was_not_read() -> None:
+    """The recording proxy held the submission while the placer was killed.
 
-def test_an_ask_that_a_cut_let_go_to_a_process_long_dead_was_not_read() -> None:
-    """Held in the tap while its placer was killed. A successor has sessions of its own, and owes what is asked on those."""
-    held = asked(3500, left=1000)
+    The next process has sessions of its own and must answer the submissions on those.
+    """
+    held = submitted(3500, left_ms=1000)
     old, new = t.ClientStream(0, P, held.session, True), t.ClientStream(3400, P, held.session, True)
     run = RunHistory(killed={P: [1000.0]}, ended_at=1e6)
     assert not result_of("1", [old, held], run).broken
