--- a/sprucepost/load/__init__.py
+++ b/sprucepost/load/__init__.py
@@ -1,4 +1,5 @@
-"""Load on running placers.
+"""Open-loop load generator for running placers.
 
-What to ask: ``plan``, ``arrivals``, ``recorded``; asking it: ``run``; what came back: ``report``.
+``plan``, ``arrivals`` and ``recorded`` say which tasks are due when; ``run`` submits them; ``report`` shows the
+results.
 """
--- a/sprucepost/load/arrivals.py
+++ b/sprucepost/load/arrivals.py
@@ -1,4 +1,4 @@
-"""The asks of a plan, drawn from its seed alone: two runs of one plan ask the same at the same moments."""
+"""The arrivals of a plan, drawn from its seed alone: two runs of a plan submit the same tasks at the same times."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskArrival:
-    """``at_ms`` from the beginning; ``owner`` from 0."""
+    """One task to submit.
+
+    It is due ``at_ms`` after the start of the run. Owners are numbered from 0. The owner waits for ``left_ms``; a placement
+    within ``aim_ms`` is good; the task runs for ``life_ms``.
+    """
 
     at_ms: float
     task_class: str
@@ -27,7 +31,7 @@
 
 
 def arrival_times(arrivals: Steady | Poisson | Bursts | Ramp, length_ms: float, rng: Rng) -> Iterator[float]:
-    """When asks are due, in ms, in order."""
+    """Yield when tasks are due, in ms from the start, in order."""
     if isinstance(arrivals, Steady):
         for n in range(int(length_ms * arrivals.rate / 1000.0)):
             yield n * 1000.0 / arrivals.rate
@@ -39,24 +43,25 @@
                 yield at
             number += 1
     elif isinstance(arrivals, Poisson):
-        # Drawn at the highest rate and thinned, so that a surge begins and ends at its moment and not one gap later.
-        most = arrivals.rate * max([1.0, *(surge.times for surge in arrivals.surges)])
-        yield from _thinned(most, length_ms, rng, lambda at: _surging(arrivals, at) / most)
+        # Drawn at the highest rate and thinned, so that a surge begins and ends on time and not one interval later.
+        peak = arrivals.rate * max([1.0, *(surge.times for surge in arrivals.surges)])
+        yield from _thinned(peak, length_ms, rng, lambda at: _rate_at(arrivals, at) / peak)
     elif isinstance(arrivals, Ramp):
         low, high = arrivals.from_rate, arrivals.to_rate
-        most = max(low, high)
-        yield from _thinned(most, length_ms, rng, lambda at: (low + (high - low) * at / length_ms) / most)
+        peak = max(low, high)
+        yield from _thinned(peak, length_ms, rng, lambda at: (low + (high - low) * at / length_ms) / peak)
     else:
         assert_never(arrivals)
 
 
-def _surging(arrivals: Poisson, at_ms: float) -> float:
-    times = [surge.times for surge in arrivals.surges if surge.from_s <= at_ms / 1000.0 < surge.to_s]
-    return arrivals.rate * (max(times) if times else 1.0)
+def _rate_at(arrivals: Poisson, at_ms: float) -> float:
+    """Return the arrivals per second at that time."""
+    factors = [surge.times for surge in arrivals.surges if surge.from_s <= at_ms / 1000.0 < surge.to_s]
+    return arrivals.rate * (max(factors) if factors else 1.0)
 
 
 def _thinned(rate: float, length_ms: float, rng: Rng, share: Callable[[float], float]) -> Iterator[float]:
-    """Independent moments at ``rate`` a second, of which the share of that moment stays."""
+    """Yield Poisson arrival times at ``rate`` per second, each kept with the probability ``share`` of its time."""
     at = 0.0
     while (at := at + rng.expovariate(rate / 1000.0)) < length_ms:
         if rng.random() < share(at):
@@ -64,21 +69,21 @@
 
 
 def task_arrivals(plan: Plan, recorded: list[TaskArrival] | None = None) -> Iterator[TaskArrival]:
-    """What a plan asks; ``recorded`` where it replays a day."""
+    """Yield the arrivals of a plan; ``recorded`` are those of the run that it replays, if it does."""
     if isinstance(plan.arrivals, Replay):
-        for ask in recorded or []:
-            at = ask.at_ms / plan.arrivals.times
+        for arrival in recorded or []:
+            at = arrival.at_ms / plan.arrivals.times
             if at < plan.length_s * 1000.0:
                 yield TaskArrival(
-                    at, ask.task_class, ask.owner % plan.owners, ask.service, ask.cores, ask.memory, ask.left_ms,
-                    ask.aim_ms, ask.life_ms,
+                    at, arrival.task_class, arrival.owner % plan.owners, arrival.service, arrival.cores, arrival.memory,
+                    arrival.left_ms, arrival.aim_ms, arrival.life_ms,
                 )  # fmt: skip
         return
-    when, what = Rng(f"moments {plan.seed}"), Rng(f"asks {plan.seed}")
+    time_rng, task_rng = Rng(f"moments {plan.seed}"), Rng(f"asks {plan.seed}")
     classes = list(accumulate(cls.share for cls in plan.classes))
     owners = list(accumulate((n + 1) ** -plan.owner_skew for n in range(plan.owners)))
-    for at in arrival_times(plan.arrivals, plan.length_s * 1000.0, when):
-        cls = what.choices(plan.classes, cum_weights=classes)[0]
-        owner = what.choices(range(plan.owners), cum_weights=owners)[0]
-        service = f"service-{what.randrange(plan.services)}"
+    for at in arrival_times(plan.arrivals, plan.length_s * 1000.0, time_rng):
+        cls = task_rng.choices(plan.classes, cum_weights=classes)[0]
+        owner = task_rng.choices(range(plan.owners), cum_weights=owners)[0]
+        service = f"service-{task_rng.randrange(plan.services)}"
         yield TaskArrival(at, cls.name, owner, service, cls.cores, cls.memory, cls.left_ms, cls.aim_ms, cls.life_ms)
--- a/sprucepost/load/recorded.py
+++ b/sprucepost/load/recorded.py
@@ -1,4 +1,4 @@
-"""The asks of a recorded day, to be played again."""
+"""The submissions of a recorded run, for a replay."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def read_recorded_arrivals(folder: Path) -> list[TaskArrival]:
-    """Every first ask in the record, from the first one on. RecordError or SettingsError where there is none.
+    """Return the first submission of each task in a record, timed from the first one.
 
-    What owners asked again is left out: whether to ask again is for the owners of the replay. Owners are numbered in the
-    order of their sessions.
+    Later submissions of a task are left out: whether to retry is up to the owners of the replay. Owners are numbered in the
+    order of their sessions. Raises RecordError or SettingsError where the folder holds no submissions.
     """
     cluster = read(folder / CLUSTER, Cluster)
     aims = {cls.name: cls.aim_ms for cls in cluster.classes}
@@ -25,23 +25,28 @@
         raise RecordError(f"{folder}: {error.strerror}: {CAPTURE}") from None
     except ValueError as error:
         raise RecordError(f"{folder}: {error}") from None
-    found: list[TaskArrival] = []
+    arrivals: list[TaskArrival] = []
     owners: dict[bytes, int] = {}
-    seen: set[str] = set()
-    began: float | None = None
+    seen_tasks: set[str] = set()
+    start_ms: float | None = None
     for event in events:
-        if not isinstance(event, t.TaskSubmitted) or event.task_spec is None or event.is_repeat or event.task in seen:
+        if (
+            not isinstance(event, t.TaskSubmitted)
+            or event.task_spec is None
+            or event.is_repeat
+            or event.task in seen_tasks
+        ):
             continue
-        seen.add(event.task)
-        began = event.at if began is None else began
+        seen_tasks.add(event.task)
+        start_ms = event.at if start_ms is None else start_ms
         task, owner = event.task_spec, owners.setdefault(event.session, len(owners))
         aim = aims.get(task.task_class, event.left_ms)
-        found.append(
+        arrivals.append(
             TaskArrival(
-                event.at - began, task.task_class, owner, task.service, task.cores, task.memory, event.left_ms, aim,
+                event.at - start_ms, task.task_class, owner, task.service, task.cores, task.memory, event.left_ms, aim,
                 task.life_ms,
             )
         )  # fmt: skip
-    if not found:
-        raise RecordError(f"{folder}: no asks in it")
-    return found
+    if not arrivals:
+        raise RecordError(f"{folder}: the record holds no submissions")
+    return arrivals
--- a/sprucepost/load/report.py
+++ b/sprucepost/load/report.py
@@ -1,4 +1,4 @@
-"""What a load run found: one HTML file with its tables and charts, nothing loaded from elsewhere."""
+"""Reports of load runs: tables, and one HTML file with charts that loads nothing from elsewhere."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def flat_figures(figures: dict[str, Any]) -> dict[str, float]:
-    """The figures without their series, flat: ``placed_ms p99`` and so on."""
+    """Return the figures by their flattened names, such as ``placed_ms p99``, without the time series."""
     flat: dict[str, float] = {}
 
     def add(name: str, value: Any) -> None:
@@ -25,30 +25,32 @@
 
 
 def comparison_rows(one: dict[str, Any], other: dict[str, Any]) -> list[list[str]]:
-    """Figure, the first's, the second's, and second over first."""
+    """Return rows of a figure's name, both values and the ratio of the second to the first."""
     first, second = flat_figures(one), flat_figures(other)
     lines = []
     for name in dict.fromkeys([*first, *second]):
-        was, now = first.get(name, 0.0), second.get(name, 0.0)
-        lines.append([name, f"{was:g}", f"{now:g}", f"{now / was:.2f}" if was else "-"])
+        before, after = first.get(name, 0.0), second.get(name, 0.0)
+        lines.append([name, f"{before:g}", f"{after:g}", f"{after / before:.2f}" if before else "-"])
     return lines
 
 
 def _svg(sides: dict[str, dict[str, Any]]) -> str:
-    """Asks due, placed within the aim and refused, and the slowest placement, over time."""
-    figure, (rate, worst) = pyplot().subplots(2, 1, figsize=(10, 7), sharex=True)
+    """Draw submissions due, placed within the aim and refused, and the slowest placement, over time."""
+    figure, (rate_axes, slowest_axes) = pyplot().subplots(2, 1, figsize=(10, 7), sharex=True)
     for colour, (name, figures) in zip(COLOURS, sides.items(), strict=False):
         per_s = 1000.0 / figures["bucket_ms"]
         seconds = [n / per_s for n in range(len(figures["buckets"]))]
         due, good, _, refused, slowest = zip(*figures["buckets"], strict=True) if seconds else ((), (), (), (), ())
-        rate.step(seconds, [n * per_s for n in due], where="post", color=colour, alpha=0.35, label=f"{name}: due")
-        rate.step(seconds, [n * per_s for n in good], where="post", color=colour, label=f"{name}: placed in time")
-        rate.step(seconds, [n * per_s for n in refused], where="post", color=colour, ls=":", label=f"{name}: refused")
-        worst.step(seconds, slowest, where="post", color=colour, label=name)
-    rate.set_ylabel("asks a second, by when they were due")
-    worst.set_ylabel("slowest placement, ms")
-    worst.set_xlabel("s")
-    for axes in (rate, worst):
+        rate_axes.step(seconds, [n * per_s for n in due], where="post", color=colour, alpha=0.35, label=f"{name}: due")
+        rate_axes.step(seconds, [n * per_s for n in good], where="post", color=colour, label=f"{name}: placed in time")
+        rate_axes.step(
+            seconds, [n * per_s for n in refused], where="post", color=colour, ls=":", label=f"{name}: refused"
+        )
+        slowest_axes.step(seconds, slowest, where="post", color=colour, label=name)
+    rate_axes.set_ylabel("submissions per second, by when they were due")
+    slowest_axes.set_ylabel("slowest placement, ms")
+    slowest_axes.set_xlabel("s")
+    for axes in (rate_axes, slowest_axes):
         axes.set_ylim(bottom=0)
         if axes.get_legend_handles_labels()[0]:
             axes.legend(loc="upper left", fontsize="small")
@@ -56,7 +58,7 @@
 
 
 def render_page(title: str, sides: dict[str, dict[str, Any]], plans: dict[str, Any]) -> str:
-    """The HTML of one or two runs, by name. NoCharts where matplotlib is missing."""
+    """Return the HTML of one or two runs by name. Raises NoCharts where matplotlib is missing."""
     names = list(sides)
     if len(names) == 1:
         table = html_table(
--- a/sprucepost/simulation/event_queue.py
+++ b/sprucepost/simulation/event_queue.py
@@ -1,4 +1,4 @@
-"""Virtual time: what is to happen when."""
+"""Virtual time and the calls that are scheduled in it."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class EventQueue:
-    """Calls by their moment, in ms; those of one moment in the order in which they were asked for."""
+    """Runs calls in the order of their times, in ms; those of one time in the order in which they were scheduled."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._calls = 0
+        self._scheduled = 0
 
-    def at(self, moment: float, call: Callable[[], None]) -> None:
-        """Do that then."""
-        self._calls += 1
-        heapq.heappush(self._heap, (max(moment, self.now), self._calls, call))
+    def at(self, time_ms: float, call: Callable[[], None]) -> None:
+        """Schedule a call; a time in the past means now."""
+        self._scheduled += 1
+        heapq.heappush(self._heap, (max(time_ms, self.now), self._scheduled, call))
 
     def run(self, until: float) -> None:
-        """Play up to that moment."""
+        """Run all calls up to that time, and advance to it."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, call = heapq.heappop(self._heap)
             call()
--- a/sprucepost/simulation/network.py
+++ b/sprucepost/simulation/network.py
@@ -1,8 +1,8 @@
-"""Processes with disks on a network of datagrams, in virtual time.
+"""Simulates processes with disks on a network of datagrams, in virtual time.
 
-Datagrams may be late, lost, duplicated and out of order. A disk makes its writes durable in order, each after a while.
-When the power is cut, a process loses what was not durable, except for as many of the pending writes, from the oldest on,
-as chance has it: a torn or reordered tail is cut at its first gap, as records with checksums allow.
+Datagrams may be late, lost, duplicated and reordered. A disk makes its writes durable in order, each after a delay. A power
+cut loses the pending writes, except for a random number of the oldest: records with checksums allow to cut a torn or
+reordered tail at its first gap.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class StateMachine(Protocol):
-    """What is played: each call returns actions."""
+    """The interface of a simulated state machine; each call returns actions."""
 
     def tick(self, now: float) -> list[Any]: ...
     def receive(self, now: float, peer: str, message: Any) -> list[Any]: ...
@@ -25,10 +25,15 @@
 
 
 class DiskProcess:
-    """One process and its disk. ``clock_rate``: how fast its clock goes; ``write_ms``: how long a write takes."""
+    """One process and its disk.
 
-    def __init__(self, name: str, machine: StateMachine, clock_rate: float, write_ms: tuple[float, float]) -> None:
-        self.name, self.state_machine, self.clock_rate, self.write_ms = name, machine, clock_rate, write_ms
+    ``clock_rate`` is the speed of its clock (1: that of virtual time), ``write_ms`` the range of a write's duration.
+    """
+
+    def __init__(
+        self, name: str, state_machine: StateMachine, clock_rate: float, write_ms: tuple[float, float]
+    ) -> None:
+        self.name, self.state_machine, self.clock_rate, self.write_ms = name, state_machine, clock_rate, write_ms
         self.alive = True
         self.paused_until = 0.0
         self.fail_next_write = False
@@ -37,7 +42,11 @@
 
 
 class DatagramNetwork(EventQueue):
-    """``on_durable`` is told of each write that a restart will find, ``on_action`` of all other actions."""
+    """A network of processes with disks.
+
+    Calls ``on_durable`` with each write that a restart will find, and ``on_action`` with each action that is neither a
+    message nor a write.
+    """
 
     def __init__(
         self,
@@ -49,19 +58,21 @@
     ) -> None:
         super().__init__()
         self.rng = random.Random(seed)
-        self.loss = self.duplication = 0.0  # shares of datagrams
-        self.partitions: list[Callable[[str, str], bool]] = []  # whether datagrams from one to another are lost
+        self.loss = self.duplication = 0.0  # share of datagrams, each
+        self.partitions: list[
+            Callable[[str, str], bool]
+        ] = []  # each tells whether datagrams from one to another are lost
         self.processes: dict[str, DiskProcess] = {}
         self._tick_ms, self._delay_ms = tick_ms, delay_ms
         self._on_durable, self._on_action = on_durable, on_action
 
     def start(self, process: DiskProcess) -> None:
-        """A process begins; any earlier one of that name must be dead."""
+        """Start a process; an earlier one of that name must have ended."""
         self.processes[process.name] = process
         self.at(self.now + self.rng.uniform(0.0, self._tick_ms), lambda: self._tick(process))
 
     def kill(self, process: DiskProcess, power_cut: bool = False) -> None:
-        """End a process. Its pending writes reach the disk, or after a ``power_cut`` only the oldest few of them."""
+        """End a process. Its pending writes reach the disk, or with ``power_cut`` a random number of the oldest."""
         process.alive = False
         pending = process.pending_writes
         kept = self.rng.randint(0, len(pending)) if power_cut else len(pending)
@@ -70,11 +81,11 @@
         process.pending_writes = []
 
     def clock(self, process: DiskProcess) -> float:
-        """What the process's monotonic clock shows."""
+        """Return the reading of the process's monotonic clock, in ms."""
         return self.now * process.clock_rate
 
     def do(self, process: DiskProcess, call: Callable[[], list[Any]]) -> None:
-        """Call the machine and carry out its actions: now, or when the process is no longer paused."""
+        """Call the state machine and perform its actions: now, or when the process is no longer paused."""
         if not process.alive:
             return
         if self.now < process.paused_until:
@@ -116,7 +127,7 @@
     def _complete(self, process: DiskProcess, write: Write) -> None:
         if not process.alive or write not in process.pending_writes:
             return
-        if process.fail_next_write:  # nobody knows what of it, and of the following ones, is there
+        if process.fail_next_write:  # how much of it and of later writes is on disk is unknown
             process.fail_next_write, process.pending_writes = False, []
             self.do(process, lambda: process.state_machine.write_failed(self.clock(process)))
             return
--- a/sprucepost/simulation/world.py
+++ b/sprucepost/simulation/world.py
@@ -1,4 +1,4 @@
-"""Processes and the streams between them in virtual time."""
+"""Simulates processes and the streams between them in virtual time."""
 
 from __future__ import annotations
 
@@ -9,98 +9,106 @@
 from sprucepost.simulation.event_queue import EventQueue
 from sprucepost.view.messages import Close, Dial, Send
 
-DIAL_LIMIT_MS = 1000.0  # a dial that nobody answers fails after that
-AGAIN_MS = 25.0  # until what a cut holds up is looked at again
+DIAL_LIMIT_MS = 1000.0  # a dial without an answer fails after that
+RETRY_DELIVERY_MS = 25.0  # interval at which messages held up by a partition are tried again
 
 
 class StateMachine(Protocol):
-    """What is played: each call returns actions."""
+    """The interface of a simulated state machine; each call returns actions."""
 
     def tick(self, now: float) -> list[Any]: ...
     def stream_opened(self, now: float, stream: int, dialled: str | None) -> list[Any]: ...
     def dial_failed(self, now: float, dialled: str) -> list[Any]: ...
     def stream_ended(self, now: float, stream: int) -> list[Any]: ...
-    def message_received(self, now: float, stream: int, word: Any) -> list[Any]: ...
+    def message_received(self, now: float, stream: int, message: Any) -> list[Any]: ...
 
 
 class Process:
-    """One process at an address; ``notifications`` is what its machine has said beside messages, with the moment."""
+    """One process at an address.
 
-    def __init__(self, address: str, machine: StateMachine, place: str) -> None:
-        self.address, self.state_machine, self.place = address, machine, place
+    ``notifications`` are the actions of its state machine that don't concern streams, with their times in ms.
+    """
+
+    def __init__(self, address: str, state_machine: StateMachine, place: str) -> None:
+        self.address, self.state_machine, self.place = address, state_machine, place
         self.alive = True
         self.paused_until = 0.0
-        self.lag_ms = 0.0  # how late it is with everything
+        self.lag_ms = 0.0  # added to all that it does and receives
         self.cannot_dial = False
-        self.streams: dict[int, _Pipe] = {}
+        self.streams: dict[int, _Stream] = {}
         self.notifications: list[tuple[float, Any]] = []
 
 
-class _Pipe:
-    """One stream: two ends, each with the number that it has there, and messages on the way in both directions."""
+class _Stream:
+    """One stream between two processes, with its number at each end."""
 
-    def __init__(self, ends: tuple[Process, Process], idents: tuple[int, int]) -> None:
-        self.ends, self.idents = ends, idents
-        self.last = [0.0, 0.0]  # when the latest word to each end arrives: none overtakes another
-        self.over = False
+    def __init__(self, ends: tuple[Process, Process], stream_ids: tuple[int, int]) -> None:
+        self.ends, self.stream_ids = ends, stream_ids
+        self.last_arrival_ms = [0.0, 0.0]  # when the latest message to each end arrives: messages keep their order
+        self.has_ended = False
 
 
 class World(EventQueue):
-    """``rng`` draws all that is left open; ``tick_ms`` is how often machines are looked at."""
+    """Processes and their streams.
+
+    ``tick_ms`` is the interval at which state machines are ticked, ``delay_ms`` the range of a message's delay.
+    """
 
     def __init__(self, seed: int, tick_ms: float, delay_ms: tuple[float, float] = (0.2, 2.0)) -> None:
         super().__init__()
         self.rng = random.Random(seed)
-        self._tick, self._delay = tick_ms, delay_ms
+        self._tick_ms, self._delay_ms = tick_ms, delay_ms
         self.processes: dict[str, Process] = {}
-        self._number = 0
-        self.partitions: list[Callable[[Process, Process], bool]] = []  # whether a message is held up
-        self.duplication = 0.0  # share of messages that come twice
+        self._last_stream_id = 0
+        self.partitions: list[
+            Callable[[Process, Process], bool]
+        ] = []  # each tells whether messages from one to another are held up
+        self.duplication = 0.0  # share of messages that arrive twice
         self.messages_sent = 0
 
     # Processes and faults
 
-    def start(self, address: str, machine: StateMachine, place: str = "") -> Process:
-        """A process begins; whatever had that address must be dead."""
-        process = self.processes[address] = Process(address, machine, place)
-        self.at(self.now + self.rng.uniform(0.0, self._tick), lambda: self._ticks(process))
+    def start(self, address: str, state_machine: StateMachine, place: str = "") -> Process:
+        """Start a process; an earlier one at that address must have ended."""
+        process = self.processes[address] = Process(address, state_machine, place)
+        self.at(self.now + self.rng.uniform(0.0, self._tick_ms), lambda: self._tick(process))
         return process
 
     def kill(self, process: Process, silently: bool = False) -> None:
-        """It is gone at once; ``silently`` as with its machine's power, so that no stream ends by itself."""
+        """End a process at once; ``silently``, as by a power cut, the other ends of its streams don't notice."""
         process.alive = False
-        for pipe in list(process.streams.values()):
+        for stream in list(process.streams.values()):
             if silently:
-                pipe.over = True  # nothing comes from there any more; the other end keeps its own
+                stream.has_ended = True  # nothing more arrives from here; the other end keeps its stream
             else:
-                self._end(pipe, process)
+                self._end(stream, process)
         process.streams.clear()
 
     def pause(self, process: Process, length_ms: float) -> None:
-        """It does nothing for so long, and then finds all that has come."""
+        """Pause a process; what arrives meanwhile is handled when it continues."""
         process.paused_until = max(process.paused_until, self.now + length_ms)
 
     def reset(self, share: float) -> None:
-        """That share of all streams breaks."""
-        streams = {id(pipe): pipe for process in self.processes.values() for pipe in process.streams.values()}
-        for pipe in list(streams.values()):
-            if not pipe.over and self.rng.random() < share:
-                for process in pipe.ends:
-                    self._end(pipe, process)
+        """Break that share of all streams."""
+        streams = {id(stream): stream for process in self.processes.values() for stream in process.streams.values()}
+        for stream in list(streams.values()):
+            if not stream.has_ended and self.rng.random() < share:
+                for process in stream.ends:
+                    self._end(stream, process)
 
     def is_held(self, one: Process, other: Process) -> bool:
-        """Whether messages from one do not reach the other now."""
+        """Return whether messages from one to the other are held up now."""
         return any(cut(one, other) for cut in self.partitions)
 
-    # How it works
+    # Delivery
 
-    def _ticks(self, process: Process) -> None:
+    def _tick(self, process: Process) -> None:
         if process.alive and self.processes.get(process.address) is process:
             self.do(process, lambda: process.state_machine.tick(self.now))
-            self.at(max(self.now + self._tick, process.paused_until) + process.lag_ms, lambda: self._ticks(process))
+            self.at(max(self.now + self._tick_ms, process.paused_until) + process.lag_ms, lambda: self._tick(process))
 
     def do(self, process: Process, call: Callable[[], list[Any]]) -> None:
-        """Call the machine, and carry out what it says: now, or when the process runs again."""
+        """Call the state machine and perform its actions: now, or when the process is no longer paused."""
         if not process.alive:
             return
         if self.now < process.paused_until:
@@ -108,57 +116,60 @@
             return
         for action in call():
             if isinstance(action, Send):
-                if (pipe := process.streams.get(action.stream)) is not None:
-                    self._send(pipe, process, action.word)
+                if (stream := process.streams.get(action.stream)) is not None:
+                    self._send(stream, process, action.word)
             elif isinstance(action, Close):
-                if (pipe := process.streams.get(action.stream)) is not None:
-                    self._end(pipe, process)
+                if (stream := process.streams.get(action.stream)) is not None:
+                    self._end(stream, process)
             elif isinstance(action, Dial):
                 self._dial(process, action)
             else:
                 process.notifications.append((self.now, action))
 
-    def _way(self, process: Process) -> float:
-        return self.rng.uniform(*self._delay) + process.lag_ms
+    def _draw_delay(self, process: Process) -> float:
+        return self.rng.uniform(*self._delay_ms) + process.lag_ms
 
-    def _send(self, pipe: _Pipe, sender: Process, word: Any) -> None:
+    def _send(self, stream: _Stream, sender: Process, message: Any) -> None:
         self.messages_sent += 1
-        to = 1 if pipe.ends[0] is sender else 0
+        to = 1 if stream.ends[0] is sender else 0
         for _ in range(2 if self.rng.random() < self.duplication else 1):
-            pipe.last[to] = max(pipe.last[to], self.now + self._way(pipe.ends[to]))
-            self.at(pipe.last[to], lambda: self._arrive(pipe, to, word))
+            stream.last_arrival_ms[to] = max(stream.last_arrival_ms[to], self.now + self._draw_delay(stream.ends[to]))
+            self.at(stream.last_arrival_ms[to], lambda: self._arrive(stream, to, message))
 
-    def _arrive(self, pipe: _Pipe, to: int, word: Any) -> None:
-        receiver, sender = pipe.ends[to], pipe.ends[1 - to]
-        if pipe.over or receiver.streams.get(pipe.idents[to]) is not pipe:
+    def _arrive(self, stream: _Stream, to: int, message: Any) -> None:
+        receiver, sender = stream.ends[to], stream.ends[1 - to]
+        if stream.has_ended or receiver.streams.get(stream.stream_ids[to]) is not stream:
             return
         if self.is_held(sender, receiver):
-            self.at(self.now + AGAIN_MS, lambda: self._arrive(pipe, to, word))
+            self.at(self.now + RETRY_DELIVERY_MS, lambda: self._arrive(stream, to, message))
             return
-        self.do(receiver, lambda: receiver.state_machine.message_received(self.now, pipe.idents[to], word))
-
-    def _end(self, pipe: _Pipe, by: Process) -> None:
-        """One end is closed; the other hears of it as soon as messages from there reach it."""
-        to = 1 if pipe.ends[0] is by else 0
-        by.streams.pop(pipe.idents[1 - to], None)
-        if not pipe.over:
-            self.at(max(pipe.last[to], self.now + self._way(pipe.ends[to])), lambda: self._ended(pipe, to))
-
-    def _ended(self, pipe: _Pipe, to: int) -> None:
-        receiver, sender = pipe.ends[to], pipe.ends[1 - to]
-        if receiver.streams.get(pipe.idents[to]) is not pipe:
+        self.do(receiver, lambda: receiver.state_machine.message_received(self.now, stream.stream_ids[to], message))
+
+    def _end(self, stream: _Stream, by: Process) -> None:
+        """Close one end; the other end notices after the messages that are under way."""
+        to = 1 if stream.ends[0] is by else 0
+        by.streams.pop(stream.stream_ids[1 - to], None)
+        if not stream.has_ended:
+            self.at(
+                max(stream.last_arrival_ms[to], self.now + self._draw_delay(stream.ends[to])),
+                lambda: self._ended(stream, to),
+            )
+
+    def _ended(self, stream: _Stream, to: int) -> None:
+        receiver, sender = stream.ends[to], stream.ends[1 - to]
+        if receiver.streams.get(stream.stream_ids[to]) is not stream:
             return
         if self.is_held(sender, receiver):
-            self.at(self.now + AGAIN_MS, lambda: self._ended(pipe, to))
+            self.at(self.now + RETRY_DELIVERY_MS, lambda: self._ended(stream, to))
             return
-        pipe.over = True
-        del receiver.streams[pipe.idents[to]]
-        self.do(receiver, lambda: receiver.state_machine.stream_ended(self.now, pipe.idents[to]))
+        stream.has_ended = True
+        del receiver.streams[stream.stream_ids[to]]
+        self.do(receiver, lambda: receiver.state_machine.stream_ended(self.now, stream.stream_ids[to]))
 
     def _dial(self, process: Process, action: Dial) -> None:
-        self.at(self.now + self._way(process), lambda: self._dialled(process, action))
+        self.at(self.now + self._draw_delay(process), lambda: self._answer_dial(process, action))
 
-    def _dialled(self, process: Process, action: Dial) -> None:
+    def _answer_dial(self, process: Process, action: Dial) -> None:
         target, dialled = self.processes.get(action.address), action.name or action.address
         if target is None or not target.alive:
             self.do(process, lambda: process.state_machine.dial_failed(self.now, dialled))
@@ -168,8 +179,8 @@
                 lambda: self.do(process, lambda: process.state_machine.dial_failed(self.now, dialled)),
             )
         elif process.alive:
-            self._number += 2
-            pipe = _Pipe((process, target), (self._number, self._number + 1))
-            process.streams[pipe.idents[0]] = target.streams[pipe.idents[1]] = pipe
-            self.do(process, lambda: process.state_machine.stream_opened(self.now, pipe.idents[0], dialled))
-            self.do(target, lambda: target.state_machine.stream_opened(self.now, pipe.idents[1], None))
+            self._last_stream_id += 2
+            stream = _Stream((process, target), (self._last_stream_id, self._last_stream_id + 1))
+            process.streams[stream.stream_ids[0]] = target.streams[stream.stream_ids[1]] = stream
+            self.do(process, lambda: process.state_machine.stream_opened(self.now, stream.stream_ids[0], dialled))
+            self.do(target, lambda: target.state_machine.stream_opened(self.now, stream.stream_ids[1], None))
--- a/tests/load/test_arrivals.py
+++ b/tests/load/test_arrivals.py
@@ -1,4 +1,4 @@
-"""What a plan asks: shapes, shares, seeds."""
+"""Arrivals of load plans: times, shares, seeds, and plans that are rejected."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from sprucepost.settings.reading import decode
 
 CLASSES = [Class("web", 3.0), Class("bill", 1.0, aim_ms=900.0)]
-SHAPES = st.one_of(
+ARRIVALS = st.one_of(
     st.builds(Steady, st.floats(1, 500)),
     st.builds(
         Poisson, st.floats(1, 500), st.lists(st.builds(Surge, st.floats(0, 2), st.floats(2.1, 4), st.floats(1, 5)))
@@ -28,21 +28,21 @@
 
 
 @settings(deadline=None, max_examples=50)
-@given(SHAPES, st.integers(0, 100), st.integers(1, 20), st.floats(0, 3))
-def test_asks_come_in_order_within_the_length_and_the_same_again(
+@given(ARRIVALS, st.integers(0, 100), st.integers(1, 20), st.floats(0, 3))
+def test_arrivals_are_ordered_within_the_length_and_reproducible(
     shape: Steady | Poisson | Bursts | Ramp, seed: int, owners: int, skew: float
 ) -> None:
     plan = Plan(shape, CLASSES, 3.0, seed, owners, skew, 4)
-    found = list(task_arrivals(plan))
-    assert found == list(task_arrivals(plan))
-    assert all(a.at_ms <= b.at_ms for a, b in pairwise(found))
-    most = 3000.0 + (shape.jitter_ms if isinstance(shape, Bursts) else 0.0)
-    assert all(0 <= ask.at_ms <= most and 0 <= ask.owner < owners for ask in found)
+    arrivals = list(task_arrivals(plan))
+    assert arrivals == list(task_arrivals(plan))
+    assert all(a.at_ms <= b.at_ms for a, b in pairwise(arrivals))
+    last_ms = 3000.0 + (shape.jitter_ms if isinstance(shape, Bursts) else 0.0)
+    assert all(0 <= arrival.at_ms <= last_ms and 0 <= arrival.owner < owners for arrival in arrivals)
 
 
-def test_rates_are_kept_and_surges_begin_and_end_at_their_moments() -> None:
-    def within(found: list[float], low: float, high: float) -> int:
-        return sum(low <= at < high for at in found)
+def test_rates_are_kept_and_surges_begin_and_end_on_time() -> None:
+    def within(arrivals: list[float], low: float, high: float) -> int:
+        return sum(low <= at < high for at in arrivals)
 
     surge = list(arrival_times(Poisson(100.0, [Surge(10.0, 15.0, 4.0)]), 20_000.0, random.Random(1)))
     assert 850 < within(surge, 0, 10_000) < 1150 and 1800 < within(surge, 10_000, 15_000) < 2200
@@ -55,25 +55,28 @@
     assert bursts == {0.0: 30, 500.0: 30, 1000.0: 30, 1500.0: 30}
 
 
-def test_classes_and_owners_have_their_shares() -> None:
-    found = list(task_arrivals(Plan(Steady(1000.0), CLASSES, 10.0, 1, 4, 1.0)))
-    classes, owners = Counter(ask.task_class for ask in found), Counter(ask.owner for ask in found)
+def test_classes_and_owners_get_their_shares() -> None:
+    arrivals = list(task_arrivals(Plan(Steady(1000.0), CLASSES, 10.0, 1, 4, 1.0)))
+    classes, owners = (
+        Counter(arrival.task_class for arrival in arrivals),
+        Counter(arrival.owner for arrival in arrivals),
+    )
     assert 7200 < classes["web"] < 7800
     assert 4500 < owners[0] < 5100 and 2200 < owners[1] < 2600 and 1000 < owners[3] < 1400
 
 
-def test_another_seed_asks_otherwise_and_owners_do_not_move_the_moments() -> None:
+def test_another_seed_gives_other_times_and_the_number_of_owners_does_not() -> None:
     base = Plan(Poisson(100.0), CLASSES, 2.0, 1, 4)
     other, owners = Plan(Poisson(100.0), CLASSES, 2.0, 2, 4), Plan(Poisson(100.0), CLASSES, 2.0, 1, 40)
     assert [a.at_ms for a in task_arrivals(base)] != [a.at_ms for a in task_arrivals(other)]
     assert [a.at_ms for a in task_arrivals(base)] == [a.at_ms for a in task_arrivals(owners)]
 
 
-def test_a_replay_keeps_the_days_asks_and_hurries_as_told() -> None:
-    day = [TaskArrival(n * 100.0, "web", n, "s", 1.0, 1.0, 900.0, 400.0, 50.0) for n in range(30)]
-    found = list(task_arrivals(Plan(Replay("x", 2.0), length_s=1.0, owners=4), day))
-    assert [ask.at_ms for ask in found] == [n * 50.0 for n in range(20)]
-    assert {ask.owner for ask in found} == {0, 1, 2, 3} and found[3].left_ms == 900.0
+def test_a_replay_keeps_the_recorded_arrivals_at_the_speed_of_the_plan() -> None:
+    recorded = [TaskArrival(n * 100.0, "web", n, "s", 1.0, 1.0, 900.0, 400.0, 50.0) for n in range(30)]
+    arrivals = list(task_arrivals(Plan(Replay("x", 2.0), length_s=1.0, owners=4), recorded))
+    assert [arrival.at_ms for arrival in arrivals] == [n * 50.0 for n in range(20)]
+    assert {arrival.owner for arrival in arrivals} == {0, 1, 2, 3} and arrivals[3].left_ms == 900.0
 
 
 @pytest.mark.parametrize(
@@ -91,13 +94,13 @@
         ('{"arrivals": {"shape": "storm"}, "classes": [{"name": "a"}]}', "arrivals.shape"),
     ],
 )
-def test_a_plan_that_makes_no_sense_is_told_by_its_key(text: str, line: str) -> None:
+def test_a_contradictory_plan_is_rejected_with_the_key(text: str, line: str) -> None:
     with pytest.raises(SettingsError) as error:
         decode(text.encode(), Plan, "plan.json")
     assert line in error.value.lines[0]
 
 
-def test_a_record_without_asks_is_refused(tmp_path: Path) -> None:
+def test_a_folder_without_a_record_is_rejected(tmp_path: Path) -> None:
     from sprucepost.load.recorded import read_recorded_arrivals
 
     with pytest.raises(SettingsError):
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -1,4 +1,4 @@
-"""``sprucepost load`` as it is called: plans, two sides, a replayed day, a page, and what goes wrong."""
+"""``sprucepost load`` as a command: plans, two sides, a replayed recording, an HTML page, and errors."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return f"{listen[0]}:{listen[1]}"
 
 
-def test_two_plans_side_by_side_on_two_placers_with_a_page(tmp_path: Path) -> None:
+def test_two_plans_run_side_by_side_on_two_placers_with_a_page(tmp_path: Path) -> None:
     (tmp_path / "a.json").write_text(json.dumps(PLAN))
     (tmp_path / "b.json").write_text(json.dumps({**PLAN, "credit": False, "batches": False}))
 
@@ -62,8 +62,8 @@
     assert "<svg" in text and "placed_ms p99" in text and "http" not in text.split("</svg>")[1]
 
 
-def test_a_recorded_day_is_played_again(tmp_path: Path) -> None:
-    def day(world: World) -> Any:
+def test_a_recorded_run_is_read_for_a_replay(tmp_path: Path) -> None:
+    def record_run(world: World) -> Any:
         world.machine("m1")
         placer = world.placer()
         front = world.tap.add("placer-0", placer.grpc_address)
@@ -75,17 +75,20 @@
             owner.submit(f"t{n}", task(life_ms=20.0 + n), 900)
             while not followed.outcomes(f"t{n}"):
                 yield from sleep(2.0)
-        owners[0][0].submit("t0", task(life_ms=20), 900)  # again: the owners of a replay decide that themselves
+        # A retry: left out, since the owners of a replay retry by themselves.
+        owners[0][0].submit("t0", task(life_ms=20), 900)
         yield from wait_for(lambda: len(owners[0][1].outcomes("t0")) == 2)
         return b"".join(world.captured)
 
-    capture = play(day)
+    capture = play(record_run)
     assert capture.startswith(MAGIC)
     (tmp_path / CAPTURE).write_bytes(capture)
     (tmp_path / CLUSTER).write_text(json.dumps(msgspec.to_builtins(cluster())))
-    found = read_recorded_arrivals(tmp_path)
-    assert [ask.life_ms for ask in found] == [20.0 + n for n in range(6)] and {ask.owner for ask in found} == {0, 1}
-    assert found[0].at_ms == 0.0 and found[0].left_ms == pytest.approx(900.0, abs=1.0)
+    arrivals = read_recorded_arrivals(tmp_path)
+    assert [arrival.life_ms for arrival in arrivals] == [20.0 + n for n in range(6)] and {
+        arrival.owner for arrival in arrivals
+    } == {0, 1}
+    assert arrivals[0].at_ms == 0.0 and arrivals[0].left_ms == pytest.approx(900.0, abs=1.0)
 
 
 @pytest.mark.parametrize(
@@ -97,13 +100,13 @@
         (["127.0.0.1:1", "--class", "web", "--rate", "5", "--burst", "3", "1", "2"], 2, "arrivals.surges[0].to_s"),
     ],
 )
-def test_what_cannot_be_played_is_told_in_one_line(arguments: list[str], status: int, text: str) -> None:
+def test_an_unusable_plan_is_reported_in_one_line(arguments: list[str], status: int, text: str) -> None:
     process = load(*arguments)
     _, err = process.communicate(timeout=30)
     assert process.returncode == status and text in err and err.count("\n") == 1 and "Traceback" not in err
 
 
-def test_the_same_figures_make_the_same_page() -> None:
+def test_the_same_figures_give_the_same_page() -> None:
     figures = {
         "due": 3,
         "classes": {"web": {"due": 3}},
