--- a/sprucepost/load/arrivals.py
+++ b/sprucepost/load/arrivals.py
@@ -15,8 +15,8 @@
 class TaskArrival:
     """One task to submit.
 
-    It is due ``at_ms`` after the start of the run. Owners are numbered from 0. The owner waits for ``left_ms``; a placement
-    within ``aim_ms`` is good; the task runs for ``life_ms``.
+    It is due ``at_ms`` after the start of the run. Owners are numbered from 0. The owner waits for ``left_ms``; a
+    placement within ``aim_ms`` is good; the task runs for ``life_ms``.
     """
 
     at_ms: float
--- a/sprucepost/load/recorded.py
+++ b/sprucepost/load/recorded.py
@@ -14,8 +14,8 @@
 def read_recorded_arrivals(folder: Path) -> list[TaskArrival]:
     """Return the first submission of each task in a record, timed from the first one.
 
-    Later submissions of a task are left out: whether to retry is up to the owners of the replay. Owners are numbered in the
-    order of their sessions. Raises RecordError or SettingsError where the folder holds no submissions.
+    Later submissions of a task are left out: whether to retry is up to the owners of the replay. Owners are numbered in
+    the order of their sessions. Raises RecordError or SettingsError where the folder holds no submissions.
     """
     cluster = read(folder / CLUSTER, Cluster)
     aims = {cls.name: cls.aim_ms for cls in cluster.classes}
--- a/sprucepost/load/run.py
+++ b/sprucepost/load/run.py
@@ -1,7 +1,8 @@
 """Runs an open-loop load: tasks are submitted when they are due, regardless of the answers.
 
-Latency counts from when a task was due and not from when it was submitted, so that a stalled generator or a full connection
-shows in the figures (no coordinated omission). A task without an answer counts as answered when its owner's time is over.
+Latency counts from when a task was due and not from when it was submitted, so that a stalled generator or a full
+connection shows in the figures (no coordinated omission). A task without an answer counts as answered when its owner's
+time is over.
 """
 
 from __future__ import annotations
@@ -106,7 +107,8 @@
 
     def __init__(self, loop: Loop, scope: Scope, addresses: list[Address], plan: Plan, prefix: str = "load") -> None:
         self.loop, self.plan = loop, plan
-        # Generators must not share task names: a submission under a name in use joins the earlier one and gets its answer.
+        # Generators must not share task names: a submission under a name in use joins the earlier one and gets its
+        # answer.
         self._prefix = f"{prefix}-{loop.token(6).hex()}"
         self.result = LoadResult()
         self._open_tasks: dict[str, _OpenTask] = {}
--- a/sprucepost/rules/__init__.py
+++ b/sprucepost/rules/__init__.py
@@ -1,6 +1,7 @@
 """Checks of recorded runs: five rules that placers must keep, and what placers show of each other.
 
-The checks read the bytes that sockets carried, recorded by a proxy between the processes, and never a placer's own state.
+The checks read the bytes that sockets carried, recorded by a proxy between the processes, and never a placer's own
+state.
 
 ===================  ==============================================================
 ``streams``          takes a capture apart into gRPC messages
--- a/sprucepost/rules/checker.py
+++ b/sprucepost/rules/checker.py
@@ -1,13 +1,13 @@
 """Shared parts of the rule checkers: the history of a run, the result of a rule and the checkers' base class.
 
-Times are in ms, as the recording proxy took them. Where events on different connections are compared, ``SLACK_MS`` allows
-for the delay between a process and the proxy. :class:`RunHistory` holds what the run did to placers on purpose: a killed
-placer has nothing left to answer, and a stopped one must answer as soon as it continues.
-
-A check is *undecided* where the evidence doesn't suffice. Undecided checks are counted apart and never as passed. There are
-three causes: the proxy read late, so that the bytes may have been sent in time; the placer got no CPU time, as probes of its
-port show; a message went out to the placer and its connection was reset before the placer can have read it.
-``docs/scenarios.md`` lists what each rule takes as proof.
+Times are in ms, as the recording proxy took them. Where events on different connections are compared, ``SLACK_MS``
+allows for the delay between a process and the proxy. :class:`RunHistory` holds what the run did to placers on purpose:
+a killed placer has nothing left to answer, and a stopped one must answer as soon as it continues.
+
+A check is *undecided* where the evidence doesn't suffice. Undecided checks are counted apart and never as passed. There
+are three causes: the proxy read late, so that the bytes may have been sent in time; the placer got no CPU time, as
+probes of its port show; a message went out to the placer and its connection was reset before the placer can have read
+it. ``docs/scenarios.md`` lists what each rule takes as proof.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
     def was_read(self, placer: str, at: float, until: float) -> bool:
         """Return whether a placer must have read what was sent to it ``at`` on a connection that ended at ``until``.
 
-        Bytes that a process hasn't read are lost when the connection is reset. Time in which the placer didn't run doesn't
-        count.
+        Bytes that a process hasn't read are lost when the connection is reset. Time in which the placer didn't run
+        doesn't count.
         """
         if until == float("inf"):
             return True
@@ -129,8 +129,8 @@
     def add_late(self, placer: str, since: float, at: float, late: float, due: float, text: str) -> None:
         """Record something that came ``at``, after it was ``due``, as a violation or as undecided.
 
-        It is undecided where the delay may be the proxy's, which read up to ``late`` ms late, or where the placer lacked CPU
-        time between ``since`` and ``at``.
+        It is undecided where the delay may be the proxy's, which read up to ``late`` ms late, or where the placer
+        lacked CPU time between ``since`` and ``at``.
         """
         if at - late <= due:
             self.add_undecided(at, text, f"the recording proxy read {late:.0f} ms late")
--- a/sprucepost/rules/cold_kept.py
+++ b/sprucepost/rules/cold_kept.py
@@ -12,7 +12,8 @@
 class ColdKept(Checker):
     """Checks that a cold machine gets at most ``cold_bears`` offers in any window of ``fall_ms``.
 
-    A machine is cold for ``warm_after_ms`` after its start. Offers count from placers that have been notified of that start.
+    A machine is cold for ``warm_after_ms`` after its start. Offers count from placers that have been notified of that
+    start.
     """
 
     rule = "4 no cold machine pushed over"
--- a/sprucepost/rules/no_effect_twice.py
+++ b/sprucepost/rules/no_effect_twice.py
@@ -20,8 +20,8 @@
 class NoEffectTwice(Checker):
     """Checks that a request has one open attempt at a time, and that a class's rules for retries are kept.
 
-    After an attempt that may have run, a task of an ``unsafe`` class must not be offered again, and one of a ``keyed`` class
-    only within its window and its group of machines.
+    After an attempt that may have run, a task of an ``unsafe`` class must not be offered again, and one of a ``keyed``
+    class only within its window and its group of machines.
     """
 
     rule = "2 no effect twice"
@@ -83,8 +83,8 @@
     def _handle_submission(self, event: t.TaskSubmitted) -> None:
         """Note which requests were made before this submission, unless it joins an open one.
 
-        While a submission of a task is open, later ones join it, and the attempts since the first of them count for every
-        outcome. A submission that comes when none is open starts anew: earlier attempts don't belong to it.
+        While a submission of a task is open, later ones join it, and the attempts since the first of them count for
+        every outcome. A submission that comes when none is open starts anew: earlier attempts don't belong to it.
         """
         key = (event.placer, event.incarnation, event.task)
         if not self._open_submissions.get(key):
--- a/sprucepost/rules/no_task_lost.py
+++ b/sprucepost/rules/no_task_lost.py
@@ -121,8 +121,8 @@
                 due = self._due(placer, session, submission)
                 if submission.hand_over or due + SLACK_MS > self.history.ended_at:
                     continue
-                # A session ends with its process. A partition may hold a submission in the recording proxy while its placer
-                # is killed, and the proxy then sends it on a connection whose other end is gone: nobody read it.
+                # A session ends with its process. A partition may hold a submission in the recording proxy while its
+                # placer is killed, and the proxy then sends it on a connection whose other end is gone: nobody read it.
                 session_began = min(submission.at, self._first_stream_at.get((placer, session), submission.at))
                 if self.history.killed_between(placer, session_began, due) or (placer, session) in self._down_since:
                     continue
--- a/sprucepost/rules/record.py
+++ b/sprucepost/rules/record.py
@@ -1,7 +1,7 @@
 """Reads the folder that a recorded run leaves, and checks the run again.
 
-``scenario.json`` is the scenario, ``capture.bin`` the bytes that the recording proxy saw, ``cluster.json`` the deployment's
-settings, ``events.jsonl`` what the run did and when, and ``result.json`` the figures that were printed.
+``scenario.json`` is the scenario, ``capture.bin`` the bytes that the recording proxy saw, ``cluster.json`` the
+deployment's settings, ``events.jsonl`` what the run did and when, and ``result.json`` the figures that were printed.
 """
 
 from __future__ import annotations
--- a/sprucepost/rules/spread_kept.py
+++ b/sprucepost/rules/spread_kept.py
@@ -46,8 +46,8 @@
             case t.TaskAdopted():
                 self._handle_adopted(event)
             case t.AttemptWithdrawn():
-                # An acceptance that comes close to the time-out may be too late for the placer. Its withdrawal settles that:
-                # without it, both this attempt and the next one would count.
+                # An acceptance that comes close to the time-out may be too late for the placer. Its withdrawal settles
+                # that: without it, both this attempt and the next one would count.
                 self._counted.get(event.key[:2], {}).pop(event.key, None)
             case t.AttemptReported():
                 self._handle_report(event)
@@ -63,8 +63,8 @@
 
     def _handle_outcome(self, event: t.OutcomeSent) -> None:
         keys = self._attempts_without_outcome.pop((event.incarnation, event.task), ())
-        # The placer gave the task up. An acceptance that the recording proxy saw before had not been read by then, or the
-        # task would be bound. The task counts again once the placer adopts it, after an owner has claimed it.
+        # The placer gave the task up. An acceptance that the recording proxy saw before had not been read by then, or
+        # the task would be bound. The task counts again once the placer adopts it, after an owner has claimed it.
         for key in keys if event.kind != "bound" else ():
             self._counted.get(key[:2], {}).pop(key, None)
 
@@ -90,8 +90,9 @@
 
     def _handle_offer(self, event: t.OfferSent) -> None:
         held = self._counted.setdefault(event.key[:2], {})
-        # One attempt of a request counts: a placer that makes the next one has given up the one before. An acceptance that
-        # the recording proxy saw a millisecond earlier, unread by the placer, would count as another task of the service.
+        # One attempt of a request counts: a placer that makes the next one has given up the one before. An acceptance
+        # that the recording proxy saw a millisecond earlier, unread by the placer, would count as another task of the
+        # service.
         for key in [key for key in held if key[2] == event.key[2] and key[3] < event.key[3]]:
             del held[key]
         cls = self.classes.get(event.task.task_class)
--- a/sprucepost/rules/streams.py
+++ b/sprucepost/rules/streams.py
@@ -1,7 +1,7 @@
 """Takes a capture apart: from HTTP/2 frames to gRPC messages, each with the time at which it was complete.
 
-Shares no code with the placer's connections, so that an error there doesn't hide itself from the checks. Only the format of
-the message prefix is the same.
+Shares no code with the placer's connections, so that an error there doesn't hide itself from the checks. Only the
+format of the message prefix is the same.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 class Message:
     """One gRPC message.
 
-    ``at`` is in ms. ``order`` counts over the whole capture, so that messages of equal times keep their order. The bytes may
-    have been sent to_server to ``late_ms`` earlier.
+    ``at`` is in ms. ``order`` counts over the whole capture, so that messages of equal times keep their order. The
+    bytes may have been sent up to ``late_ms`` earlier.
     """
 
     at: float
--- a/sprucepost/rules/trace.py
+++ b/sprucepost/rules/trace.py
@@ -1,11 +1,11 @@
 """Turns the messages of a capture into events: submissions and outcomes, offers and answers, list entries.
 
 Frames that are sent again after a broken stream are recognised by their session and sequence number, as by both ends. A
-frame that is sent to a placer again had not reached it before: the other end repeats only what the placer hasn't seen. So
-the repeat, marked ``is_repeat``, is when the placer was notified.
+frame that is sent to a placer again had not reached it before: the other end repeats only what the placer hasn't seen.
+So the repeat, marked ``is_repeat``, is when the placer was notified.
 
-Bytes that went out to a placer need not have been read by it: a socket that is reset loses what it holds. Each event for a
-placer has the end of its connection, ``connection_ended_at``, from which
+Bytes that went out to a placer need not have been read by it: a socket that is reset loses what it holds. Each event
+for a placer has the end of its connection, ``connection_ended_at``, from which
 :meth:`sprucepost.rules.checker.RunHistory.was_read` decides.
 
 All times are in ms, as the recording proxy took them.
--- a/sprucepost/rules/views.py
+++ b/sprucepost/rules/views.py
@@ -11,8 +11,8 @@
                                                     placer shows a member of another cluster
 ============  ====================================  ====================================================================
 
-Who is away is not checked while links between placers are disturbed or a placer is stopped, nor for ``RECOVERY_MS`` after
-that. What happened while a placer got no CPU time is undecided.
+Who is away is not checked while links between placers are disturbed or a placer is stopped, nor for ``RECOVERY_MS``
+after that. What happened while a placer got no CPU time is undecided.
 """
 
 from __future__ import annotations
@@ -96,8 +96,8 @@
 ) -> list[RuleResult]:
     """Return the results of the three checks.
 
-    ``captured`` are the messages of the capture, ``events`` the lines of ``events.jsonl``, and ``lines`` the ``view`` lines
-    of each placer's log, oldest first.
+    ``captured`` are the messages of the capture, ``events`` the lines of ``events.jsonl``, and ``lines`` the ``view``
+    lines of each placer's log, oldest first.
     """
     processes = process_history(events)
     return [
--- a/sprucepost/simulation/__init__.py
+++ b/sprucepost/simulation/__init__.py
@@ -9,9 +9,9 @@
 ===================  ===================================================================
 
 A state machine is driven through its own calls and actions: in the ``world`` those of :mod:`sprucepost.view.messages`
-(``tick``, ``stream_opened``, ``dial_failed``, ``stream_ended`` and ``message_received`` in; ``Send``, ``Dial`` and ``Close``
-out), on the ``network`` those of :mod:`sprucepost.agreement.actions`. All other actions are recorded as notifications or
-passed on. The same seed gives the same run.
+(``tick``, ``stream_opened``, ``dial_failed``, ``stream_ended`` and ``message_received`` in; ``Send``, ``Dial`` and
+``Close`` out), on the ``network`` those of :mod:`sprucepost.agreement.actions`. All other actions are recorded as
+notifications or passed on. The same seed gives the same run.
 """
 
 from sprucepost.simulation.network import DatagramNetwork, DiskProcess
--- a/sprucepost/simulation/network.py
+++ b/sprucepost/simulation/network.py
@@ -1,8 +1,8 @@
 """Simulates processes with disks on a network of datagrams, in virtual time.
 
-Datagrams may be late, lost, duplicated and reordered. A disk makes its writes durable in order, each after a delay. A power
-cut loses the pending writes, except for a random number of the oldest: records with checksums allow to cut a torn or
-reordered tail at its first gap.
+Datagrams may be late, lost, duplicated and reordered. A disk makes its writes durable in order, each after a delay. A
+power cut loses the pending writes, except for a random number of the oldest: records with checksums allow to cut a torn
+or reordered tail at its first gap.
 """
 
 from __future__ import annotations
--- a/sprucepost/simulation/world.py
+++ b/sprucepost/simulation/world.py
@@ -59,10 +59,9 @@
         self.rng = random.Random(seed)
         self._tick_ms, self._delay_ms = tick_ms, delay_ms
         self.processes: dict[str, Process] = {}
-        self._last_stream_id = 0
-        self.partitions: list[
-            Callable[[Process, Process], bool]
-        ] = []  # each tells whether messages from one to another are held up
+        self._stream_counter = 0
+        # Each tells whether messages from one process to another are held up.
+        self.partitions: list[Callable[[Process, Process], bool]] = []
         self.duplication = 0.0  # share of messages that arrive twice
         self.messages_sent = 0
 
@@ -179,8 +178,8 @@
                 lambda: self.do(process, lambda: process.state_machine.dial_failed(self.now, dialled)),
             )
         elif process.alive:
-            self._last_stream_id += 2
-            stream = _Stream((process, target), (self._last_stream_id, self._last_stream_id + 1))
+            self._stream_counter += 2
+            stream = _Stream((process, target), (self._stream_counter, self._stream_counter + 1))
             process.streams[stream.stream_ids[0]] = target.streams[stream.stream_ids[1]] = stream
             self.do(process, lambda: process.state_machine.stream_opened(self.now, stream.stream_ids[0], dialled))
             self.do(target, lambda: target.state_machine.stream_opened(self.now, stream.stream_ids[1], None))
--- a/tests/load/test_run.py
+++ b/tests/load/test_run.py
@@ -48,7 +48,8 @@
         arrival = TaskArrival(0.0, "web", 0, "s", 0.01, 0.01, 700.0, 500.0, 10.0)
 
         def arrivals_without_answers() -> Iterator[TaskArrival]:
-            # Iterated once every link is up and before the first submission, so that a busy computer can't miss the moment.
+            # Iterated once every link is up and before the first submission, so that a busy computer can't miss the
+            # moment.
             world.tap.set("silence", Condition(target="placer-0", hold=True))
             yield from [arrival] * 3
 
--- a/tests/rules/test_broken_placers.py
+++ b/tests/rules/test_broken_placers.py
@@ -163,7 +163,8 @@
         ("1", None, {"plant": answers_late}),
         ("2", None, {"plant": treats_a_timeout_as_never_run, "task_class": "once", "before": hold_answers, "count": 3}),
         ("2", None, {"plant": offers_twice_at_once, "task_class": "bill", "before": hold_answers}),
-        # With eight submissions on a busy computer, there was once no offer to the drained machine: so more, for longer.
+        # With eight submissions on a busy computer, there was once no offer to the drained machine: so more, for
+        # longer.
         ("3", None, {"plant": ignores_drains, "during": drain_m1, "sends_away": False, "count": 30}),
         ("", None, {"plant": correct, "before": restart_cold, "during": wait_cold, "count": 40, "cold_bears": 1e3}),
         (
--- a/tests/simulation/test_cold_starts.py
+++ b/tests/simulation/test_cold_starts.py
@@ -31,10 +31,10 @@
     return summarise(FleetSimulation(conditions, 1, scheduler).simulate(), conditions.bound)
 
 
-@pytest.mark.parametrize("bears", [12.0, 16.0])
+@pytest.mark.parametrize("cold_limit", [12.0, 16.0])
 @pytest.mark.parametrize("name", NOTIFIED_IN_TIME)
-def test_offers_of_all_processes_stay_within_the_bound_for_chance(name: str, bears: float) -> None:
-    summary = simulate(replace(CONDITIONS[name], size=SIZE, cold_limit=bears))
+def test_offers_of_all_processes_stay_within_the_bound_for_chance(name: str, cold_limit: float) -> None:
+    summary = simulate(replace(CONDITIONS[name], size=SIZE, cold_limit=cold_limit))
     assert summary.starts >= 10 and summary.used > 0.05
     assert summary.worst <= summary.bound
 
@@ -109,8 +109,10 @@
 
 
 def test_a_window_is_sliding_and_half_open() -> None:
-    life = MachineIncarnation("m", 0.0, arrivals=[(at, at < 1200.0) for at in (100.0, 1099.0, 1100.0, 1101.0, 5000.0)])
-    assert life.summary(1000.0, 2.0, until=10_000.0) == ColdStart(worst=3, worst_told=3, used=0.25)
+    machine = MachineIncarnation(
+        "m", 0.0, arrivals=[(at, at < 1200.0) for at in (100.0, 1099.0, 1100.0, 1101.0, 5000.0)]
+    )
+    assert machine.summary(1000.0, 2.0, until=10_000.0) == ColdStart(worst=3, worst_told=3, used=0.25)
     assert not ColdStart(12, 8, 1.0).exceeds(11.9) and ColdStart(12, 9, 1.0).exceeds(11.9)
     assert not ColdStart(12, 12, 1.0).exceeds(12.0)
 
