--- a/sprucepost/rules/views.py
+++ b/sprucepost/rules/views.py
@@ -30,7 +30,7 @@
 DETECTION_LIMIT_MS = 3000.0  # promised: a process that ended is shown as away by then
 REPORT_SLACK_MS = 2000.0  # a view is logged one tick after it changed, by a process that shares its core
 RECOVERY_MS = 8000.0  # after a fault on links: until placers have found each other again
-FINAL_WINDOW_MS = 4500.0  # end of the record, with at least two heartbeats of each placer (view.IDLE_MS)
+FINAL_WINDOW_MS = 4500.0  # end of the record, with at least two heartbeats of each placer (view.IDLE_HEARTBEAT_MS)
 MAX_STARVED_MS = 400.0  # without CPU time; more makes a violation undecided
 LINK_FAULTS = frozenset(
     ("peer_cut", "peer_flap", "peer_slow", "peer_reset", "zone_cut", "reset", "descriptors", "balancer_stall", "resize")
