--- a/sprucepost/standin/daemons.py
+++ b/sprucepost/standin/daemons.py
@@ -116,18 +116,18 @@
 
 
 def run_machines(loop: Loop, scope: Scope, file: MachineFile, announce: Announce) -> Co[int]:
-    field = MachinePool(
+    pool = MachinePool(
         loop, scope, file.cluster, class_models(file.cluster, file.manners), parse_address(file.report_to)
     )
-    scope.spawn(field.report(), "reports")
+    scope.spawn(pool.report(), "reports")
     ports = {}
     for raw in file.machines:
-        host = field.add(MachineModel(**raw))
+        host = pool.add(MachineModel(**raw))
         assert isinstance(host.address, tuple)
         ports[raw["name"]] = host.address[1]
         host.listed_address = f"{host.address[0]}:{host.address[1]}"
-        field.mark_changed(host)
-    announce(json.dumps({"control": serve_orders(loop, scope, field.orders(), file.control), "machines": ports}))
+        pool.mark_changed(host)
+    announce(json.dumps({"control": serve_orders(loop, scope, pool.orders(), file.control), "machines": ports}))
     return (yield from wait_for_stop_signal(loop, scope))
 
 
--- a/sprucepost/standin/machine_types.py
+++ b/sprucepost/standin/machine_types.py
@@ -1,4 +1,4 @@
-"""Types of the simulated machine: its parameters, offers and tasks, and the events that it reports."""
+"""Types of the simulated machine: its parameters, its offers and tasks, and the events that it reports."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MachineState(Enum):
-    """Whether the machine runs, and takes new tasks."""
+    """Whether the machine runs and takes new tasks."""
 
     DOWN = 0
     READY = 1
@@ -17,7 +17,7 @@
 
 
 class Reason(Enum):
-    """Refusals and losses, by the numbers of the wire."""
+    """Reasons of refusals and losses; values are those of the protocol's ``Reason``."""
 
     UNTOLD = 0
     NO_CORES = 1
@@ -40,26 +40,26 @@
 
 @dataclass(frozen=True)
 class ClassModel:
-    """What tasks of a class do on a machine."""
+    """Behaviour of a class's tasks on a machine."""
 
     name: str
-    work_ms: float = 40.0  # of a start, on a machine that holds the program
+    work_ms: float = 40.0  # duration of a start on a machine that has the program cached
     keyed: bool = False
     window_ms: float = 0.0
     kind: str | None = None
     priority: int = 0
     calm: float = 0.8
     fade: float = 0.2
-    cores_use: float = 0.55  # mean share of what was asked
+    cores_use: float = 0.55  # mean share of the request
     memory_use: float = 0.7
     use_sigma: float = 0.4
-    burst: float = 2.0  # cap on use, times what was asked
+    burst: float = 2.0  # cap on use, as a multiple of the request
     memory_burst: float = 1.4
 
 
 @dataclass(frozen=True)
 class MachineModel:
-    """One machine's size and behaviour."""
+    """Size and behaviour of one machine; times in ms."""
 
     name: str
     kind: str
@@ -88,7 +88,7 @@
 
 
 class AttemptId(NamedTuple):
-    """Which attempt: that of which placer, and which incarnation of it."""
+    """Identity of an attempt: the placer number, its incarnation, the request and the attempt's number."""
 
     placer: int
     incarnation: int
@@ -98,7 +98,7 @@
 
 @dataclass
 class Offer:
-    """An offer as it arrived."""
+    """An offer as received."""
 
     attempt_id: AttemptId
     name: str
@@ -119,7 +119,7 @@
     offer: Offer
     accepted: float
     running: bool = False
-    claimed: bool = True  # False: a copy that nobody waits for
+    claimed: bool = True  # False: no placer claims the task any more
     use: tuple[float, float] = (0.0, 0.0)
     factor: tuple[float, float] = (1.0, 1.0)
     until: float = math.inf
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True)
 class OfferAnswered:
-    """An offer was looked at; ``reason`` None: accepted."""
+    """An offer was accepted (``reason`` is None) or refused."""
 
     attempt_id: AttemptId
     reason: Reason | None
@@ -136,14 +136,14 @@
 
 @dataclass(frozen=True)
 class TaskStarted:
-    """A task has begun to run."""
+    """A task has started to run."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True)
 class TaskUse:
-    """What a task uses, how well it is served (None: in full) and the machine's memory (None: not short)."""
+    """A task's use, its share of full service (None: full) and the machine's share of memory in use (None: not short)."""
 
     attempt_id: AttemptId
     cores: float
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """A load report, as fresh as ``report_ms`` allows."""
+    """A load report, at most ``report_ms`` old."""
 
     free_cores: float
     free_memory: float
--- a/sprucepost/standin/owners.py
+++ b/sprucepost/standin/owners.py
@@ -1,8 +1,8 @@
-"""Owners: they ask for tasks, follow them, and ask again as owners do.
+"""Simulated owners, which submit tasks, follow them and submit them again as real owners do.
 
-A task that is refused, lost or failed comes again until its time is over: after about ``again_ms`` or more, soon after
-a loss, and, where an attempt may have run and a second start could do harm, only after ``owner_wait_ms``, in which a
-task that turns out to run is handed over instead. A plain front layer spreads tasks over the placers that are up.
+A task that is refused, lost or failed is submitted again until its time is over: after about ``again_ms`` or more, soon
+after a loss, and, if an attempt may have run and a second start could do harm, only after ``owner_wait_ms``. A task that
+turns out to run in the meantime is handed over instead. Each submission goes to a random placer of those that are up.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from sprucepost.v1 import common_pb2
 from sprucepost.v1 import placer_pb2 as pb
 
-TWICE_MS = 60.0  # an impatient owner asks again within this
-SLACK_MS = 250.0  # an answer that comes later than this after its time is counted as none
+REPEAT_WITHIN_MS = 60.0  # within this time a repeated submission follows the first one
+ANSWER_SLACK_MS = 250.0  # an answer that is later than the deadline by more than this counts as none
 
 
 @dataclass(frozen=True)
 class Service:
-    """A service whose tasks are asked for; shapes by drawing from the class's."""
+    """A service whose tasks are submitted, and the shape of its tasks."""
 
     name: str
     task_class: str
@@ -39,30 +39,30 @@
 
 @dataclass(eq=False)
 class WantedTask:
-    """One task that an owner wants."""
+    """One task that an owner wants to run."""
 
     name: str
     service: Service
     task: common_pb2.Task
-    until: float  # its time is over then
-    asks: int = 0
-    placer: int = -1  # where it was asked
-    open: bool = False  # asked and not answered
-    placed: str = ""  # the machine it is on
+    until: float  # the owner wants it until then
+    submissions: int = 0
+    placer: int = -1  # the placer that it was last submitted to
+    open: bool = False  # submitted and not answered
+    placed: str = ""  # the machine that it is bound to
     ran: bool = False
-    harm: bool = False  # an attempt may have run
-    asked_at: float = 0.0
-    first_asked: float = 0.0
-    gives_up: Timer | None = None
-    again: Timer | None = None
+    may_have_run: bool = False  # an attempt may have run without the owner knowing
+    submitted_at: float = 0.0
+    first_submitted: float = 0.0
+    answer_timer: Timer | None = None
+    retry_timer: Timer | None = None
     over: bool = False
-    owed: dict[int, deque[int]] = field(default_factory=dict)  # by placer: asks that it has not answered
-    handed: int = 0  # hand-overs that are to be answered
+    unanswered: dict[int, deque[int]] = field(default_factory=dict)  # by placer: submissions without an answer
+    hand_overs: int = 0  # hand-overs without an answer
 
 
 @dataclass
 class ClassStatistics:
-    """What became of the asks of a class."""
+    """Outcomes of a class's submissions, and their times to answer and to start in ms."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
     answer_ms: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 600_000, 2))
@@ -70,7 +70,7 @@
 
 
 class Owners:
-    """All owners of a run, with a session at each placer."""
+    """All owners of a run, with one session per placer."""
 
     def __init__(
         self,
@@ -86,26 +86,26 @@
         prefix: str = "task",
         keepalive_ms: float = KEEPALIVE_MS,
     ) -> None:
-        """``prefix``: of the tasks' names, which no one else's tasks may have. ``keepalive_ms``: see OwnerLink."""
+        """``prefix`` starts the tasks' names; no other tasks may use it. ``keepalive_ms``: see OwnerLink."""
         self.loop, self.scope, self.cluster, self.services = loop, scope, cluster, services
         self._prefix, self._keepalive_ms = prefix, keepalive_ms
         self._classes = {cls.name: cls for cls in cluster.classes}
         self._rng = loop.rng()
-        self._rate, self.rate_factor = rate_per_s, 1.0
-        self._wanted_ms, self._again_ms = wanted_ms, again_ms
+        self._rate_per_s, self.rate_factor = rate_per_s, 1.0
+        self._wanted_ms, self._retry_ms = wanted_ms, again_ms
         self.tasks: dict[str, WantedTask] = {}
         self.statistics: dict[str, ClassStatistics] = {cls.name: ClassStatistics() for cls in cluster.classes}
         self.second_answers = 0
-        self.twice = 0.0  # share of asks that come a second time while they are open
-        self.asking = True  # else nothing is asked for, also not again
-        self._count = 0
+        self.repeat_share = 0.0  # share of submissions that are repeated while they are open
+        self.is_submitting = True  # if False nothing is submitted, no retries either
+        self._task_count = 0
         self._source = source
         self.links: list[OwnerLink] = []
         for address in placers:
-            self.link(address)
+            self.add_placer(address)
 
-    def link(self, address: Address) -> None:
-        """A session with one more placer."""
+    def add_placer(self, address: Address) -> None:
+        """Open a session with one more placer."""
         n = len(self.links)
         self.links.append(
             OwnerLink(
@@ -113,30 +113,30 @@
                 self.scope,
                 address,
                 "owners",
-                lambda frame: self._frame(n, frame),
-                lambda resumed: self._session(n, resumed),
+                lambda frame: self._receive_frame(n, frame),
+                lambda resumed: self._attached(n, resumed),
                 source=self._source,
                 keepalive_ms=self._keepalive_ms,
             )
         )
 
-    # Asking
+    # Submitting
 
     def run(self) -> Co[None]:
-        """Ask for new tasks, for ever, at the rate of the moment."""
+        """Submit new tasks at the current rate until cancelled."""
         while True:
-            wait = self._rng.expovariate(max(1e-6, self._rate * self.rate_factor / 1000.0))
+            wait = self._rng.expovariate(max(1e-6, self._rate_per_s * self.rate_factor / 1000.0))
             yield from sleep(min(wait, 1000.0))
-            if self.asking and wait <= 1000.0:
+            if self.is_submitting and wait <= 1000.0:
                 self.submit_new_task(self._rng.choice(self.services))
 
     def draw_life_ms(self, service: Service) -> float:
-        """Of one task; its mean is the service's."""
+        """Draw the life of one task, whose mean is the service's."""
         return service.life_ms * self._rng.lognormvariate(-0.125, 0.5)
 
     def submit_new_task(self, service: Service) -> WantedTask:
-        """A new task of that service."""
-        self._count += 1
+        """Submit a new task of the service."""
+        self._task_count += 1
         task = common_pb2.Task(
             task_class=service.task_class,
             service=service.name,
@@ -146,155 +146,161 @@
             life_ms=self.draw_life_ms(service),
         )
         now = self.loop.now()
-        wanted = WantedTask(f"{self._prefix}-{self._count}", service, task, now + self._wanted_ms, first_asked=now)
+        wanted = WantedTask(
+            f"{self._prefix}-{self._task_count}", service, task, now + self._wanted_ms, first_submitted=now
+        )
         self.tasks[wanted.name] = wanted
-        self._ask(wanted)
+        self._submit(wanted)
         return wanted
 
-    def _front(self) -> int:
-        """A placer that is up, -1 where none is."""
+    def _pick_placer(self) -> int:
+        """Return a random placer that is up, -1 if there is none."""
         up = [n for n, link in enumerate(self.links) if link.up]
         return self._rng.choice(up) if up else -1
 
-    def _ask(self, wanted: WantedTask) -> None:
-        wanted.again = None
+    def _submit(self, wanted: WantedTask) -> None:
+        wanted.retry_timer = None
         now, cls = self.loop.now(), self._classes[wanted.service.task_class]
-        if wanted.over or now >= wanted.until or not self.asking:
+        if wanted.over or now >= wanted.until or not self.is_submitting:
             self._finish(wanted, "given up")
             return
-        placer = self._front()
+        placer = self._pick_placer()
         if placer < 0:
-            self._ask_later(wanted, 100.0)
+            self._submit_later(wanted, 100.0)
             return
-        wanted.placer, wanted.open, wanted.asked_at, wanted.placed = placer, True, now, ""
-        wanted.asks += 1
-        wanted.owed.setdefault(placer, deque()).append(wanted.asks)
-        self._tally(wanted, "asked")
-        self.links[placer].submit(wanted.name, wanted.task, cls.deadline_ms, wanted.asks > 1)
-        wanted.gives_up = self.loop.call_later(cls.deadline_ms + SLACK_MS, lambda: self._no_answer(wanted))
-        if self.twice and self._rng.random() < self.twice:
-            ask = wanted.asks
-            self.loop.call_later(self._rng.uniform(0.0, TWICE_MS), lambda: self._ask_twice(wanted, placer, ask))
-
-    def _ask_twice(self, wanted: WantedTask, placer: int, ask: int) -> None:
-        """The same ask once more while it is open, in the same session: it is owed an answer of its own."""
-        if wanted.over or not wanted.open or wanted.asks != ask or not self.links[placer].up:
+        wanted.placer, wanted.open, wanted.submitted_at, wanted.placed = placer, True, now, ""
+        wanted.submissions += 1
+        wanted.unanswered.setdefault(placer, deque()).append(wanted.submissions)
+        self._count_outcome(wanted, "asked")
+        self.links[placer].submit(wanted.name, wanted.task, cls.deadline_ms, wanted.submissions > 1)
+        wanted.answer_timer = self.loop.call_later(
+            cls.deadline_ms + ANSWER_SLACK_MS, lambda: self._answer_timed_out(wanted)
+        )
+        if self.repeat_share and self._rng.random() < self.repeat_share:
+            submission = wanted.submissions
+            self.loop.call_later(
+                self._rng.uniform(0.0, REPEAT_WITHIN_MS), lambda: self._repeat_submission(wanted, placer, submission)
+            )
+
+    def _repeat_submission(self, wanted: WantedTask, placer: int, submission: int) -> None:
+        """Repeat a submission in the same session while it is open; the placer must answer it as well."""
+        if wanted.over or not wanted.open or wanted.submissions != submission or not self.links[placer].up:
             return
-        wanted.owed[placer].append(ask)
-        self._tally(wanted, "asked twice")
-        left = wanted.asked_at + self._classes[wanted.service.task_class].deadline_ms - self.loop.now()
+        wanted.unanswered[placer].append(submission)
+        self._count_outcome(wanted, "asked twice")
+        left = wanted.submitted_at + self._classes[wanted.service.task_class].deadline_ms - self.loop.now()
         self.links[placer].submit(wanted.name, wanted.task, left, True)
 
-    def _ask_later(self, wanted: WantedTask, wait_ms: float) -> None:
-        if wanted.again is not None:
-            wanted.again.cancel()
-        wanted.again = self.loop.call_later(wait_ms, lambda: self._ask(wanted))
+    def _submit_later(self, wanted: WantedTask, wait_ms: float) -> None:
+        if wanted.retry_timer is not None:
+            wanted.retry_timer.cancel()
+        wanted.retry_timer = self.loop.call_later(wait_ms, lambda: self._submit(wanted))
 
-    def _pause(self, wanted: WantedTask) -> float:
-        """How long an owner waits after a refusal or failure, longer after many."""
-        wait = self._again_ms * self._rng.uniform(1.0, 1.8) * min(4.0, 1.0 + 0.25 * max(0, wanted.asks - 3))
+    def _retry_delay_ms(self, wanted: WantedTask) -> float:
+        """Return how long the owner waits after a refusal or failure; it grows with the number of submissions."""
+        wait = self._retry_ms * self._rng.uniform(1.0, 1.8) * min(4.0, 1.0 + 0.25 * max(0, wanted.submissions - 3))
         cls = self._classes[wanted.service.task_class]
-        if wanted.harm and cls.effect != "safe":
+        if wanted.may_have_run and cls.effect != "safe":
             wait = max(wait, self.cluster.owner_wait_ms)
         return wait
 
-    def _tally(self, wanted: WantedTask, what: str) -> None:
+    def _count_outcome(self, wanted: WantedTask, what: str) -> None:
         self.statistics[wanted.service.task_class].outcomes[what] += 1
 
     def _finish(self, wanted: WantedTask, what: str) -> None:
         if not wanted.over:
             wanted.over = True
-            self._tally(wanted, what)
-            for timer in (wanted.gives_up, wanted.again):
+            self._count_outcome(wanted, what)
+            for timer in (wanted.answer_timer, wanted.retry_timer):
                 if timer is not None:
                     timer.cancel()
             self.tasks.pop(wanted.name, None)
 
     # Answers
 
-    def _answered(self, wanted: WantedTask, what: str) -> None:
-        """The one outcome of an ask."""
+    def _record_answer(self, wanted: WantedTask, what: str) -> None:
+        """Record the outcome of the open submission."""
         wanted.open = False
-        if wanted.gives_up is not None:
-            wanted.gives_up.cancel()
-        self._tally(wanted, what)
+        if wanted.answer_timer is not None:
+            wanted.answer_timer.cancel()
+        self._count_outcome(wanted, what)
         self.statistics[wanted.service.task_class].answer_ms.record_value(
-            max(1, int(self.loop.now() - wanted.asked_at))
+            max(1, int(self.loop.now() - wanted.submitted_at))
         )
 
-    def _no_answer(self, wanted: WantedTask) -> None:
-        """The owner gives up on this ask: a task was lost on the way."""
+    def _answer_timed_out(self, wanted: WantedTask) -> None:
+        """Stop waiting for an answer and schedule a retry; an attempt may have run."""
         if wanted.open and not wanted.over:
             wanted.open = False
-            self._tally(wanted, "no answer")
-            wanted.harm = True
-            self._ask_later(wanted, self._pause(wanted))
+            self._count_outcome(wanted, "no answer")
+            wanted.may_have_run = True
+            self._submit_later(wanted, self._retry_delay_ms(wanted))
 
-    def _frame(self, placer: int, frame: pb.PlacerFrame) -> None:
+    def _receive_frame(self, placer: int, frame: pb.PlacerFrame) -> None:
         wanted = self.tasks.get(frame.task)
         kind = frame.WhichOneof("body")
         if wanted is None:
             return
         if kind in ("bound", "refused", "failed"):
-            self._outcome(wanted, placer, kind, frame)
+            self._receive_outcome(wanted, placer, kind, frame)
         elif wanted.placer != placer:
             return
         elif kind == "running":
             if not wanted.ran:
                 wanted.ran = True
-                start = max(1, int(self.loop.now() - wanted.first_asked))
+                start = max(1, int(self.loop.now() - wanted.first_submitted))
                 self.statistics[wanted.service.task_class].start_ms.record_value(start)
         elif kind == "surfaced":
             if not wanted.open and not wanted.placed and not wanted.over:
-                self._tally(wanted, "handed over")
-                if wanted.again is not None:
-                    wanted.again.cancel()
-                self._ask_later(wanted, self.cluster.owner_wait_ms)  # should the hand-over fail
-                wanted.handed += 1
+                self._count_outcome(wanted, "handed over")
+                if wanted.retry_timer is not None:
+                    wanted.retry_timer.cancel()
+                self._submit_later(wanted, self.cluster.owner_wait_ms)  # in case the hand-over fails
+                wanted.hand_overs += 1
                 self.links[placer].hand_over(wanted.name, wanted.task, frame.surfaced.machine)
         elif kind == "ended":
-            self._ended(wanted, frame.ended)
-
-    def _outcome(self, wanted: WantedTask, placer: int, kind: str, frame: pb.PlacerFrame) -> None:
-        owed = wanted.owed.get(placer)
-        if not owed:
-            if kind == "bound" and wanted.handed:
-                wanted.handed -= 1
-                self._bound(wanted, placer, frame.bound.machine)
+            self._receive_end(wanted, frame.ended)
+
+    def _receive_outcome(self, wanted: WantedTask, placer: int, kind: str, frame: pb.PlacerFrame) -> None:
+        unanswered = wanted.unanswered.get(placer)
+        if not unanswered:
+            if kind == "bound" and wanted.hand_overs:
+                wanted.hand_overs -= 1
+                self._record_binding(wanted, placer, frame.bound.machine)
             else:
                 self.second_answers += 1
             return
-        late = owed.popleft() != wanted.asks or not wanted.open
+        late = unanswered.popleft() != wanted.submissions or not wanted.open
         if late:
-            self._tally(wanted, "answered late")
+            self._count_outcome(wanted, "answered late")
             if kind == "bound":
                 if placer == wanted.placer or not (wanted.open or wanted.placed):
-                    self._bound(wanted, placer, frame.bound.machine)
+                    self._record_binding(wanted, placer, frame.bound.machine)
                 else:
-                    self.links[placer].cancel(wanted.name)  # asked elsewhere by now: not twice
+                    self.links[placer].cancel(wanted.name)  # submitted to another placer by now; it must not run twice
             return
         if kind == "bound":
-            self._answered(wanted, "placed")
-            self._bound(wanted, placer, frame.bound.machine)
+            self._record_answer(wanted, "placed")
+            self._record_binding(wanted, placer, frame.bound.machine)
         elif kind == "refused":
-            self._answered(wanted, "refused")
-            self._ask_later(wanted, max(self._pause(wanted), frame.refused.retry_after_ms))
+            self._record_answer(wanted, "refused")
+            self._submit_later(wanted, max(self._retry_delay_ms(wanted), frame.refused.retry_after_ms))
         else:
-            self._answered(wanted, "failed")
-            wanted.harm = True
-            self._ask_later(wanted, self._pause(wanted))
+            self._record_answer(wanted, "failed")
+            wanted.may_have_run = True
+            self._submit_later(wanted, self._retry_delay_ms(wanted))
 
-    def _bound(self, wanted: WantedTask, placer: int, machine: str) -> None:
-        wanted.placer, wanted.placed, wanted.harm = placer, machine, False
-        if wanted.again is not None:
-            wanted.again.cancel()
-            wanted.again = None
+    def _record_binding(self, wanted: WantedTask, placer: int, machine: str) -> None:
+        wanted.placer, wanted.placed, wanted.may_have_run = placer, machine, False
+        if wanted.retry_timer is not None:
+            wanted.retry_timer.cancel()
+            wanted.retry_timer = None
 
-    def _ended(self, wanted: WantedTask, ended: pb.Ended) -> None:
+    def _receive_end(self, wanted: WantedTask, ended: pb.Ended) -> None:
         if wanted.open or wanted.over:
             return
-        if wanted.handed and not wanted.placed:
-            wanted.handed -= 1
+        if wanted.hand_overs and not wanted.placed:
+            wanted.hand_overs -= 1
         if ended.how == pb.Ended.DONE:
             self._finish(wanted, "done")
             return
@@ -302,46 +308,48 @@
         if ended.how == pb.Ended.STOPPED:
             self._finish(wanted, "stopped")
             return
-        self._tally(wanted, "lost")
-        gone = ended.reason == common_pb2.REASON_UNTOLD
+        self._count_outcome(wanted, "lost")
+        unexplained = ended.reason == common_pb2.REASON_UNTOLD
         safe = self._classes[wanted.service.task_class].effect == "safe"
         if ended.reason == common_pb2.REASON_EVICTED:
-            self._ask_later(wanted, self._pause(wanted))
+            self._submit_later(wanted, self._retry_delay_ms(wanted))
         else:
-            self._ask_later(
-                wanted, self.cluster.owner_wait_ms if gone and not safe else self._rng.uniform(50.0, 1000.0)
+            self._submit_later(
+                wanted, self.cluster.owner_wait_ms if unexplained and not safe else self._rng.uniform(50.0, 1000.0)
             )
 
-    def _session(self, placer: int, resumed: bool) -> None:
-        """Attached. A placer that knows nothing of the session was restarted: what it held is ours to settle."""
+    def _attached(self, placer: int, resumed: bool) -> None:
+        """Handle an attach. A placer that does not know the session was restarted: its open submissions count as lost and
+        its placed tasks are handed over to it."""
         if resumed:
             return
         for wanted in self.tasks.values():
-            wanted.owed.pop(placer, None)
+            wanted.unanswered.pop(placer, None)
         for wanted in [w for w in self.tasks.values() if w.placer == placer and not w.over]:
             if wanted.open:
                 wanted.open = False
-                self._tally(wanted, "placer lost")
-                if wanted.gives_up is not None:
-                    wanted.gives_up.cancel()
-                wanted.harm = True
+                self._count_outcome(wanted, "placer lost")
+                if wanted.answer_timer is not None:
+                    wanted.answer_timer.cancel()
+                wanted.may_have_run = True
                 safe = self._classes[wanted.service.task_class].effect == "safe"
-                self._ask_later(wanted, 0.0 if safe else self.cluster.owner_wait_ms)
+                self._submit_later(wanted, 0.0 if safe else self.cluster.owner_wait_ms)
             elif wanted.placed:
-                wanted.handed += 1
+                wanted.hand_overs += 1
                 self.links[placer].hand_over(wanted.name, wanted.task, wanted.placed)
 
     # Orders
 
     def orders(self) -> OrderService:
+        """Return the handlers of the orders that the owners take."""
         return OrderService({
-            "rate": self._set_rate, "twice": self._set_twice, "restart": self._restart, "asking": self._asking,
-            "result": self.result, "placer": self._placer,
+            "rate": self._set_rate, "twice": self._set_twice, "restart": self._restart, "asking": self._set_submitting,
+            "result": self.result, "placer": self._add_placer,
         })  # fmt: skip
 
-    def _placer(self, address: str) -> dict[str, Any]:
+    def _add_placer(self, address: str) -> dict[str, Any]:
         host, _, port = address.rpartition(":")
-        self.link((host, int(port)))
+        self.add_placer((host, int(port)))
         return {"placers": len(self.links)}
 
     def _set_rate(self, factor: float) -> dict[str, Any]:
@@ -349,27 +357,27 @@
         return {}
 
     def _set_twice(self, part: float) -> dict[str, Any]:
-        self.twice = part
+        self.repeat_share = part
         return {}
 
-    def _asking(self, on: bool) -> dict[str, Any]:
-        self.asking = on
+    def _set_submitting(self, on: bool) -> dict[str, Any]:
+        self.is_submitting = on
         return {}
 
     def _restart(self, share: float, within_ms: float) -> dict[str, Any]:
-        """Stop a share of the services and ask for all their tasks again."""
+        """Cancel the tasks of a share of the services and submit as many new ones."""
         chosen = {s.name for s in self._rng.sample(self.services, max(1, int(share * len(self.services))))}
         tasks = [w for w in self.tasks.values() if w.service.name in chosen and w.placed]
         for wanted in tasks:
             self.links[wanted.placer].cancel(wanted.name)
-            self.loop.call_later(self._rng.uniform(0.0, within_ms), partial(self._want_again, wanted.service))
+            self.loop.call_later(self._rng.uniform(0.0, within_ms), partial(self._submit_replacement, wanted.service))
         return {"tasks": len(tasks)}
 
-    def _want_again(self, service: Service) -> None:
+    def _submit_replacement(self, service: Service) -> None:
         self.submit_new_task(service)
 
     def result(self) -> dict[str, Any]:
-        """Everything counted so far."""
+        """Return all counts and percentiles so far."""
 
         def quantiles(histogram: HdrHistogram) -> dict[str, float]:
             return {f"p{q:g}": histogram.get_value_at_percentile(q) for q in (50, 90, 99)}
--- a/sprucepost/standin/simulated_machine.py
+++ b/sprucepost/standin/simulated_machine.py
@@ -1,10 +1,15 @@
-"""A machine that takes tasks, without I/O and clock: give it the time and what arrives, it reports what happens.
-
-It looks at one offer at a time and lets only so many wait; accepts while what it has accepted asks for no more than its
-factors; says yes at acceptance and starts only a few tasks at a time; a first start of a program costs several times the
-next; started cold, it starts slower and falls over when overloaded; tasks use more or less than they asked, crowded cores
-serve poorly, memory that runs out evicts; drains keep tasks or send them away; of a keyed task one copy stands in a group.
-Times in ms, cores and memory in the site's units.
+"""Model of a machine that runs tasks, without I/O and clock: the caller gives the time and the input, and gets events.
+
+- Offers are processed one at a time from a bounded queue.
+- Offers are accepted while the requests of all accepted tasks stay within the machine's overcommit factors.
+- An offer is answered when it is accepted; only a few tasks start at a time.
+- The first start of a program takes several times as long as later ones.
+- A cold machine starts tasks more slowly and fails for good when it is overloaded.
+- Tasks use more or less than they requested; busy cores degrade service, and a memory shortage evicts tasks.
+- A drain keeps the tasks or sends them away.
+- A key group holds one copy of each keyed task.
+
+Times are in ms, cores and memory in the units of the cluster's settings.
 """
 
 from __future__ import annotations
@@ -34,21 +39,21 @@
     TaskUse,
 )
 
-DEFAULT_LIFE_MS = 20_000.0
-USE_REPORT_MS = 1000.0  # between two reports of a task's use
-SETTING_UP_MS = 40.0  # of a start, by which a cold machine's endurance is counted
-USE_SWING, MEMORY_SWING = 0.2, 0.05  # sigma of a change of use
-MEMORY_EXTRA_MOST = 1.5  # times, by which extra use may raise a task's memory
-MEMORY_SHORT_FROM, MEMORY_SHORT_SPAN = (
+DEFAULT_LIFETIME_MS = 20_000.0
+USE_REPORT_MS = 1000.0  # interval between two reports of a task's use
+FALL_REFERENCE_START_MS = 40.0  # start time from which the load that a cold machine withstands is computed
+CORES_USE_SIGMA, MEMORY_USE_SIGMA = 0.2, 0.05  # sigma of each redraw of a task's use
+MAX_EXTRA_MEMORY_FACTOR = 1.5  # cap on the factor by which extra use raises a task's memory
+MEMORY_SHORTAGE_FROM, MEMORY_SHORTAGE_SPAN = (
     0.92,
     0.08,
-)  # share of the memory from which tasks are served worse, and over which
-MEMORY_SHORT_COST = 0.7  # they lose so much of their service
-SERVED_REPORTED_BELOW, MEMORY_REPORTED_ABOVE = 0.95, 0.85
+)  # share of the memory from which service degrades, and the span to the full loss
+MEMORY_SHORTAGE_LOSS = 0.7  # share of their service that tasks lose at full shortage
+REPORTED_SERVICE_BELOW, REPORTED_MEMORY_ABOVE = 0.95, 0.85
 
 
 class SimulatedMachine:
-    """One machine. ``on_event`` is called with everything that it does, at the time it does it."""
+    """One machine. ``on_event`` is called with each event at the time at which it happens."""
 
     def __init__(
         self,
@@ -62,29 +67,30 @@
         self._group = group or (lambda cls: own)
         self.state = MachineState.READY
         self.started = 0.0
-        self.slow = 1.0  # times slower
+        self.slow = 1.0  # factor on the duration of admissions and starts
         self.fallen = False
-        self.deaf_class: str | None = None  # offers of this class get no answer
-        self.extra_use: dict[str, float] = {}  # factor on use, by service or "class:NAME"
+        self.deaf_class: str | None = None  # offers of this class are not answered
+        self.extra_use: dict[str, float] = {}  # factor on use, by service name or "class:NAME"
         self.tasks: dict[AttemptId, Task] = {}
         self._queue: deque[Offer] = deque()
         self._starting: dict[AttemptId, Task] = {}
         self._waiting: deque[Task] = deque()
-        self._kept_programs: dict[str, float] = {}  # kept after the last task, oldest first
+        self._cached_programs: dict[str, float] = {}  # program by service, kept after its last task ended, oldest first
         self._timers: list[tuple[float, int, Callable[[float], None]]] = []
         self._timer_count = 0
         self._is_admitting = False
-        self._cold_offers: deque[float] = deque()  # arrivals of offers while cold
+        self._cold_offers: deque[float] = deque()  # arrival times of offers while cold
         self._report: tuple[float, LoadReport] | None = None
-        self.offers_in_fall = 0  # the most offers that any window of fall_ms brought while cold
+        self.offers_in_fall = 0  # the largest number of offers in any window of fall_ms while cold
 
     # Time
 
     def next_due(self) -> float | None:
+        """Return the time of the next timer, None if there is none."""
         return self._timers[0][0] if self._timers else None
 
     def advance(self, now: float) -> None:
-        """Do everything that is due by ``now``, in order."""
+        """Run all timers that are due by ``now``, in order."""
         while self._timers and self._timers[0][0] <= now:
             at, _, call = heapq.heappop(self._timers)
             call(at)
@@ -93,10 +99,10 @@
         self._timer_count += 1
         heapq.heappush(self._timers, (when, self._timer_count, call))
 
-    # Life
+    # Start and stop
 
     def up(self, now: float, cold: bool = True) -> None:
-        """Start, empty; cold unless the machine was there before anybody looked."""
+        """Start without tasks; not ``cold`` means that the machine has been up since before the simulation began."""
         self.down()
         self.state, self.fallen = MachineState.READY, False
         self.started = now if cold else 0.0
@@ -104,7 +110,7 @@
         self.offers_in_fall = 0
 
     def down(self) -> None:
-        """Die: all that it held is gone, and nobody is told."""
+        """Stop at once: all tasks are dropped without an event."""
         for task in [*self.tasks.values()]:
             task.has_ended = True
             if task.offer.cls.keyed:
@@ -114,14 +120,14 @@
         self._queue.clear()
         self._starting.clear()
         self._waiting.clear()
-        self._kept_programs.clear()
+        self._cached_programs.clear()
         self._timers.clear()
         self._is_admitting = False
         self._report = None
         self.slow, self.deaf_class = 1.0, None
 
     def drain(self, now: float) -> None:
-        """Take nothing new; tasks run on or are sent away, as the machine's parameters say."""
+        """Refuse new tasks; running ones go on or are sent away, as ``sends_away`` says."""
         if self.state is MachineState.READY:
             self.state = MachineState.DRAINING
             if self.model.sends_away:
@@ -131,19 +137,21 @@
     # Load
 
     def requested(self) -> tuple[float, float]:
-        """Cores and memory that accepted tasks ask for."""
+        """Return the cores and memory that accepted tasks request."""
         offers = [task.offer for task in self.tasks.values()]
         return sum(o.cores for o in offers), sum(o.memory for o in offers)
 
     def used(self) -> tuple[float, float]:
+        """Return the cores and memory that running tasks use."""
         running = [task.use for task in self.tasks.values() if task.running]
         return sum(cores for cores, _ in running), sum(memory for _, memory in running)
 
     def busy(self) -> float:
-        """Share of the cores that tasks and starts use."""
+        """Return the share of the cores that tasks and starts use."""
         return (self.used()[0] + len(self._starting)) / self.model.cores
 
     def report(self, now: float) -> LoadReport:
+        """Return the load report, at most ``report_ms`` old."""
         if self._report is None or now - self._report[0] >= self.model.report_ms:
             cores, memory = self.requested() if self.model.report_counts == "asked" else self.used()
             waiting = len(self._queue) + len(self._waiting) + len(self._starting)
@@ -154,7 +162,7 @@
         return self._report[1]
 
     def pace(self, now: float) -> float:
-        """Share of the full pace of starts: a cold machine warms up in a straight line."""
+        """Return the share of the full speed of starts, which grows linearly while a cold machine warms up."""
         if not self.started or not self.model.warm_ms:
             return 1.0
         share = min(1.0, (now - self.started) / self.model.warm_ms)
@@ -163,10 +171,10 @@
     # Offers
 
     def offer(self, offer: Offer, now: float) -> None:
-        """An offer has arrived."""
+        """Queue an offer that has arrived, or refuse it if the queue is full."""
         if self.state is MachineState.DOWN or self.fallen:
             return
-        if self._falls_over(now):
+        if self._record_cold_offer(now):
             return
         if offer.cls.name == self.deaf_class:
             return
@@ -179,8 +187,9 @@
         self._queue.append(offer)
         self._schedule_admission(now)
 
-    def _falls_over(self, now: float) -> bool:
-        """Count an offer to a cold machine; beyond what it bears it falls over and stays down."""
+    def _record_cold_offer(self, now: float) -> bool:
+        """Count an offer to a cold machine, and return whether the machine has failed. Beyond the load that it withstands it
+        fails and stays down."""
         model = self.model
         if not self.started or now >= self.started + model.warm_ms:
             return False
@@ -188,8 +197,14 @@
         while self._cold_offers[0] <= now - model.fall_ms:
             self._cold_offers.popleft()
         self.offers_in_fall = max(self.offers_in_fall, len(self._cold_offers))
-        can = model.fall_multiple * self.pace(now) * model.starts * model.fall_ms / (SETTING_UP_MS * model.setup)
-        if len(self._cold_offers) > max(model.cold_bears, can):
+        sustainable_offers = (
+            model.fall_multiple
+            * self.pace(now)
+            * model.starts
+            * model.fall_ms
+            / (FALL_REFERENCE_START_MS * model.setup)
+        )
+        if len(self._cold_offers) > max(model.cold_bears, sustainable_offers):
             self.fallen = True
             self.down()
         return self.fallen
@@ -222,12 +237,12 @@
         over_memory = memory + offer.memory - model.accepts_memory * model.memory
         if over_cores <= 0 and over_memory <= 0:
             return None
-        if model.preempts and self._make_room(offer, over_cores, over_memory, now):
+        if model.preempts and self._preempt(offer, over_cores, over_memory, now):
             return None
         return Reason.NO_CORES if over_cores > 0 else Reason.NO_MEMORY
 
-    def _make_room(self, offer: Offer, cores: float, memory: float, now: float) -> bool:
-        """Push out tasks of lower priority, the lowest and largest first, if that is enough."""
+    def _preempt(self, offer: Offer, cores: float, memory: float, now: float) -> bool:
+        """Preempt tasks of lower priority, the lowest and largest first, if that frees enough; return whether it did."""
         lower = [task for task in self.tasks.values() if task.offer.cls.priority < offer.cls.priority]
         lower.sort(key=lambda task: (task.offer.cls.priority, -task.offer.cores, task.offer.attempt_id))
         chosen: list[Task] = []
@@ -266,21 +281,21 @@
                 continue
             self._starting[task.offer.attempt_id] = task
             service = task.offer.service
-            known = service in self._kept_programs or any(
+            has_program = service in self._cached_programs or any(
                 other.offer.service == service and other.running for other in self.tasks.values()
             )
-            work = task.offer.cls.work_ms * (1.0 if known else self.model.setup)
-            crowded = max(1.0, self.busy())
-            takes_ms = work * self.slow * crowded / self.pace(now)
-            self._schedule(now + takes_ms, partial(self._start_completed, task))
+            work = task.offer.cls.work_ms * (1.0 if has_program else self.model.setup)
+            contention = max(1.0, self.busy())
+            start_ms = work * self.slow * contention / self.pace(now)
+            self._schedule(now + start_ms, partial(self._start_completed, task))
 
     def _start_completed(self, task: Task, now: float) -> None:
         self._starting.pop(task.offer.attempt_id, None)
         if not task.has_ended:
             task.running = True
-            self._kept_programs.pop(task.offer.service, None)
-            life = task.offer.life_ms or DEFAULT_LIFE_MS
-            task.until = now + life
+            self._cached_programs.pop(task.offer.service, None)
+            lifetime_ms = task.offer.life_ms or DEFAULT_LIFETIME_MS
+            task.until = now + lifetime_ms
             self._schedule(task.until, lambda at: self.end(task, EndKind.DONE, at))
             self._draw_use(task, now)
             self._emit(TaskStarted(task.offer.attempt_id))
@@ -288,21 +303,21 @@
         self._start_next(now)
 
     def _draw_use(self, task: Task, now: float) -> None:
-        """Use changes now and then; memory that runs out evicts."""
+        """Redraw the task's use, schedule the next redraw, and evict tasks if memory has run out."""
         if task.has_ended:
             return
         offer, cls = task.offer, task.offer.cls
         extra = self.extra_use.get(offer.service, 1.0) * self.extra_use.get(f"class:{cls.name}", 1.0)
-        swing = math.exp(self._rng.gauss(0.0, USE_SWING))
-        cores = min(task.factor[0] * swing * extra, cls.burst)
-        memory_swing = math.exp(self._rng.gauss(0.0, MEMORY_SWING))
-        memory = min(task.factor[1] * memory_swing * min(extra, MEMORY_EXTRA_MOST), cls.memory_burst)
+        cores_swing = math.exp(self._rng.gauss(0.0, CORES_USE_SIGMA))
+        cores = min(task.factor[0] * cores_swing * extra, cls.burst)
+        memory_swing = math.exp(self._rng.gauss(0.0, MEMORY_USE_SIGMA))
+        memory = min(task.factor[1] * memory_swing * min(extra, MAX_EXTRA_MEMORY_FACTOR), cls.memory_burst)
         task.use = offer.cores * cores, offer.memory * memory
         self._schedule(now + self.model.change_ms * self._rng.uniform(0.7, 1.3), lambda at: self._draw_use(task, at))
         self._evict(now)
 
     def redraw(self, now: float) -> None:
-        """Use anew for all tasks, after a change of ``extra_use``."""
+        """Redraw the use of all running tasks after a change of ``extra_use``."""
         for task in list(self.tasks.values()):
             if task.running:
                 self._draw_use(task, now)
@@ -310,21 +325,21 @@
     def _evict(self, now: float) -> None:
         while self.used()[1] > self.model.memory:
             running = [task for task in self.tasks.values() if task.running]
-            worst = min(
+            victim = min(
                 running,
                 key=lambda t: (t.offer.cls.priority, t.offer.memory - t.use[1], t.offer.attempt_id),
                 default=None,
             )
-            if worst is None:
+            if victim is None:
                 return
-            self.end(worst, EndKind.LOST, now, Reason.EVICTED)
+            self.end(victim, EndKind.LOST, now, Reason.EVICTED)
 
     def served(self, cls: ClassModel) -> float:
-        """Share of full service that a running task of this class gets."""
-        calm = 1.0 if self.busy() <= cls.calm else max(0.0, 1.0 - (self.busy() - cls.calm) / cls.fade)
+        """Return the share of full service that a running task of this class gets."""
+        contention_share = 1.0 if self.busy() <= cls.calm else max(0.0, 1.0 - (self.busy() - cls.calm) / cls.fade)
         memory = self.used()[1] / self.model.memory
-        shortage = min(1.0, max(0.0, (memory - MEMORY_SHORT_FROM) / MEMORY_SHORT_SPAN))
-        return calm * (1.0 - MEMORY_SHORT_COST * shortage)
+        shortage = min(1.0, max(0.0, (memory - MEMORY_SHORTAGE_FROM) / MEMORY_SHORTAGE_SPAN))
+        return contention_share * (1.0 - MEMORY_SHORTAGE_LOSS * shortage)
 
     def _report_use(self, task: Task, now: float) -> None:
         if task.has_ended:
@@ -335,14 +350,14 @@
                 task.offer.attempt_id,
                 task.use[0],
                 task.use[1],
-                share if share < SERVED_REPORTED_BELOW else None,
-                memory if memory > MEMORY_REPORTED_ABOVE else None,
+                share if share < REPORTED_SERVICE_BELOW else None,
+                memory if memory > REPORTED_MEMORY_ABOVE else None,
             )
         )
         self._schedule(now + USE_REPORT_MS, lambda at: self._report_use(task, at))
 
     def end(self, task: Task, kind: EndKind, now: float, reason: Reason = Reason.UNTOLD) -> None:
-        """The task leaves the machine."""
+        """End a task, free its resources and start the next waiting one."""
         if task.has_ended:
             return
         task.has_ended = True
@@ -352,24 +367,24 @@
         if offer.cls.keyed:
             self._group(offer.cls).task_ended(task, kind is EndKind.DONE)
         if not any(other.offer.service == offer.service for other in self.tasks.values()):
-            self._kept_programs.pop(offer.service, None)
-            self._kept_programs[offer.service] = now
-            while len(self._kept_programs) > self.model.kept:
-                del self._kept_programs[next(iter(self._kept_programs))]
+            self._cached_programs.pop(offer.service, None)
+            self._cached_programs[offer.service] = now
+            while len(self._cached_programs) > self.model.kept:
+                del self._cached_programs[next(iter(self._cached_programs))]
         self._emit(TaskEnded(offer.attempt_id, kind, reason))
         self._start_next(now)
 
-    # What placers say of their attempts
+    # Messages of placers about their attempts
 
     def withdraw(self, attempt_id: AttemptId, now: float) -> None:
-        """Drop the offer or stop the task."""
+        """Drop the queued offer or stop the task."""
         self._queue = deque(offer for offer in self._queue if offer.attempt_id != attempt_id)
         task = self.tasks.get(attempt_id)
         if task is not None:
             self.end(task, EndKind.STOPPED, now)
 
     def unclaim(self, attempt_id: AttemptId, now: float) -> None:
-        """Nobody waits for this task any more: it stops unless it is adopted in time."""
+        """Mark the task as released by its placer: it stops after ``unclaimed_ms`` unless it is adopted before."""
         task = self.tasks.get(attempt_id)
         if task is not None and task.claimed:
             task.claimed = False
@@ -380,17 +395,17 @@
 
             self._schedule(now + self.model.unclaimed_ms, stop)
 
-    def adopt(self, attempt_id: AttemptId, new: AttemptId) -> bool:
-        """A held task gets a new identity; False where it is not held."""
+    def adopt(self, attempt_id: AttemptId, new_id: AttemptId) -> bool:
+        """Give a task the identity of another attempt; False if there is no such task."""
         task = self.tasks.pop(attempt_id, None)
         if task is None:
             return False
-        task.offer.attempt_id, task.claimed = new, True
-        self.tasks[new] = task
+        task.offer.attempt_id, task.claimed = new_id, True
+        self.tasks[new_id] = task
         if attempt_id in self._starting:
-            self._starting[new] = self._starting.pop(attempt_id)
+            self._starting[new_id] = self._starting.pop(attempt_id)
         return True
 
     def held(self, number: int) -> list[Task]:
-        """The tasks that came from a placer's number."""
+        """Return the tasks that came from a placer number."""
         return [task for task in self.tasks.values() if task.offer.attempt_id[0] == number]
