--- a/sprucepost/standin/__init__.py
+++ b/sprucepost/standin/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for the outside world: machines, the list, owners, and the tap between every pair.
+"""Simulated peers of a placer: machines, the list and owners, with a recording proxy between all processes.
 
-They follow the protocol of ``docs/protocol.md`` and know nothing of the placer's code. ``model`` is a machine without any
-I/O or clock; ``machines`` puts it on the wire.
+They follow the protocol of ``docs/protocol.md`` and use none of the placer's code. ``simulated_machine`` is a machine
+without I/O or clock; ``machines`` serves it over gRPC.
 """
--- a/sprucepost/standin/bench_day.py
+++ b/sprucepost/standin/bench_day.py
@@ -1,7 +1,7 @@
-"""A day drawn by the simulator's bench, turned into a scenario for real processes, scaled down.
+"""Converts a day of the simulator's benchmark into a scenario for real processes, scaled down.
 
-A bench day gives times in us, machines and placers one by one, and its load as a share of what the fleet can do. What has no
-equivalent on loopback (queues in slots, error rates, skewed clocks of load reports) is left out.
+A benchmark day gives times in us, machines and placers one by one, and its load as a share of the fleet's capacity.
+What has no equivalent on loopback (queues in slots, error rates, skewed clocks of load reports) is left out.
 """
 
 from __future__ import annotations
@@ -10,62 +10,66 @@
 
 from sprucepost.settings import SettingsError
 
-_MARGIN = 0.93  # of the tightest resource: a fleet that is packed to its end evicts
-_WHOLE = ("crash", "vanish", "slow", "ageing", "class_fail", "answer_lost")
-_KINDS = (*_WHOLE, "balancer_stall", "burst", "hot_key", "heavy_tail", "zone_cut", "deploy", "shrink", "grow",
+_LOAD_MARGIN = 0.93  # share of the scarcest resource that is used: a fully packed fleet evicts tasks
+_MACHINE_KINDS = ("crash", "vanish", "slow", "ageing", "class_fail", "answer_lost")
+_KINDS = (*_MACHINE_KINDS, "balancer_stall", "burst", "hot_key", "heavy_tail", "zone_cut", "deploy", "shrink", "grow",
           "discovery_down", "discovery_stale", "reconnect")  # fmt: skip
 
 
-def _rate(day: dict[str, Any], servers: list[dict[str, Any]], life_s: list[float]) -> float:
-    """New tasks a second that the day's load comes to on these machines."""
+def _task_rate_per_s(day: dict[str, Any], servers: list[dict[str, Any]], life_s: list[float]) -> float:
+    """Return the new tasks per second that give the day's load on these machines."""
     fam, kinds = day["fam"], day["tiers"][0]["kinds"]
     cores = sum(kinds[server["kind"]]["cores"] for server in servers)
     memory = sum(fam["memory"][server["kind"]] for server in servers)
-    need = [0.0, 0.0, 0.0, 0.0]  # for one task a second: cores and memory in use, cores and memory asked
+    demand = [0.0, 0.0, 0.0, 0.0]  # per task per second: cores and memory in use, cores and memory requested
     for cls, use, life in zip(day["classes"], fam["uses"], life_s, strict=True):
         shapes = use["shapes"]
         total = sum(shape[2] for shape in shapes)
-        asked = [sum(shape[n] * shape[2] for shape in shapes) / total for n in (0, 1)]
+        requested = [sum(shape[n] * shape[2] for shape in shapes) / total for n in (0, 1)]
         for n, (amount, share) in enumerate(
-            ((asked[0], use["used"][0]), (asked[1], use["used"][1]), (asked[0], 1.0), (asked[1], 1.0))
+            ((requested[0], use["used"][0]), (requested[1], use["used"][1]), (requested[0], 1.0), (requested[1], 1.0))
         ):
-            need[n] += cls["share"] * life * amount * share
-    has = (cores, memory, cores * fam["over"][0], memory * fam["over"][1])
-    return float(day["traffic"]["load"] * _MARGIN * min(h / n for h, n in zip(has, need, strict=True) if n > 0))
+            demand[n] += cls["share"] * life * amount * share
+    available = (cores, memory, cores * fam["over"][0], memory * fam["over"][1])
+    return float(
+        day["traffic"]["load"] * _LOAD_MARGIN * min(h / n for h, n in zip(available, demand, strict=True) if n > 0)
+    )
 
 
-def _fault(trouble: dict[str, Any], day: dict[str, Any], total: int) -> dict[str, Any]:
-    kind = trouble["kind"]
+def _fault(bench_fault: dict[str, Any], day: dict[str, Any], total: int) -> dict[str, Any]:
+    kind = bench_fault["kind"]
     if kind not in _KINDS:
-        raise SettingsError([f"troubles: no equivalent of {kind!r}"])
+        raise SettingsError([f"troubles: {kind!r} has no equivalent"])
     fault: dict[str, Any] = {
-        "kind": kind, "at_s": trouble["at"] / 1e6, "len_s": trouble["len"] / 1e6, "size": trouble["size"],
-        "extra": trouble["extra"],
+        "kind": kind, "at_s": bench_fault["at"] / 1e6, "len_s": bench_fault["len"] / 1e6, "size": bench_fault["size"],
+        "extra": bench_fault["extra"],
     }  # fmt: skip
-    if kind in _WHOLE:
-        fault["part"] = min(1.0, len(trouble["on"]) / total)
+    if kind in _MACHINE_KINDS:
+        fault["part"] = min(1.0, len(bench_fault["on"]) / total)
     elif kind == "balancer_stall":
-        fault["part"] = min(1.0, len(trouble["on"]) / len(day["balancers"]))
+        fault["part"] = min(1.0, len(bench_fault["on"]) / len(day["balancers"]))
     elif kind == "deploy":
-        fault["part"] = min(1.0, sum(len(step["stop"]) for step in trouble["steps"]) / total)
+        fault["part"] = min(1.0, sum(len(step["stop"]) for step in bench_fault["steps"]) / total)
     elif kind in ("hot_key", "reconnect"):
-        fault["part"] = min(1.0, trouble["size"])
+        fault["part"] = min(1.0, bench_fault["size"])
         fault["size"] = 2.0 if kind == "hot_key" else 1.0
     elif kind == "heavy_tail":
-        fault["size"] = 1.0 + (trouble["size"] - 1.0) * min(1.0, 6.0 * trouble["extra"])
+        fault["size"] = 1.0 + (bench_fault["size"] - 1.0) * min(1.0, 6.0 * bench_fault["extra"])
     elif kind == "zone_cut":
-        fault["zone"] = day["zones"][trouble["which"]]
+        fault["zone"] = day["zones"][bench_fault["which"]]
     if kind in ("class_fail", "heavy_tail"):
-        fault["task_class"] = day["classes"][trouble["which"]]["name"]
+        fault["task_class"] = day["classes"][bench_fault["which"]]["name"]
     return fault
 
 
 def convert(day: dict[str, Any], scale: float) -> dict[str, Any]:
-    """A scenario, as plain data, of ``scale`` times the day's machines, placers and traffic. SettingsError where the day
-    is of another kind of system or has a trouble without equivalent."""
+    """Return a scenario, as plain data, with ``scale`` times the day's machines, placers and traffic.
+
+    SettingsError if the day is of another kind of system or has a fault without an equivalent.
+    """
     try:
         if day["family"] != "place":
-            raise SettingsError([f"family: {day['family']!r} days place no tasks"])
+            raise SettingsError([f"family: days of {day['family']!r} do not place tasks"])
         fam, tier = day["fam"], day["tiers"][0]
         servers = [server for server in day["servers"] if server["up"]]
         machines = max(len(day["zones"]), round(len(servers) * scale))
@@ -83,10 +87,10 @@
                     "priority": use["priority"], "calm": use["calm"], "fade": use["fade"],
                 }
             )  # fmt: skip
-        kept = [server for server in servers[:machines]]
-        rate = _rate(day, kept, life_s)
-        count = sum(life * cls["share"] * rate for life, cls in zip(life_s, day["classes"], strict=True))
-        services = max(len(classes), round(count / max(1.0, sum(use["service"] for use in uses) / len(uses))))
+        used_servers = [server for server in servers[:machines]]
+        rate_per_s = _task_rate_per_s(day, used_servers, life_s)
+        task_count = sum(life * cls["share"] * rate_per_s for life, cls in zip(life_s, day["classes"], strict=True))
+        services = max(len(classes), round(task_count / max(1.0, sum(use["service"] for use in uses) / len(uses))))
         return {
             "name": f"{day['site']} {day['kind']}",
             "length_s": day["length"] / 1e6,
@@ -122,7 +126,7 @@
                 },
             },
             "traffic": {
-                "rate_per_s": round(rate, 3),
+                "rate_per_s": round(rate_per_s, 3),
                 "services": services,
                 "shares": {cls["name"]: cls["share"] for cls in day["classes"]},
                 "shapes": {
@@ -143,7 +147,7 @@
                 }
                 for cls, use in zip(day["classes"], uses, strict=True)
             },
-            "faults": [_fault(trouble, day, len(servers)) for trouble in day["troubles"]],
+            "faults": [_fault(bench_fault, day, len(servers)) for bench_fault in day["troubles"]],
         }  # fmt: skip
     except (KeyError, IndexError, TypeError, ValueError) as error:
-        raise SettingsError([f"not a day of the bench: {type(error).__name__}: {error}"]) from None
+        raise SettingsError([f"not a benchmark day: {type(error).__name__}: {error}"]) from None
--- a/sprucepost/standin/daemons.py
+++ b/sprucepost/standin/daemons.py
@@ -1,4 +1,5 @@
-"""Each stand-in as a process: binds, announces its ports in one JSON line, takes orders until it is told to stop."""
+"""Simulated peers as processes: each binds, announces its ports in one JSON line and takes orders until it is
+stopped."""
 
 from __future__ import annotations
 
@@ -20,16 +21,17 @@
 from sprucepost.wire.capture import CaptureWriter
 from sprucepost.wire.server import Method, Server
 
-Announce = Callable[[str], None]
+AnnounceFunction = Callable[[str], None]
 
 
 def parse_address(text: str) -> Address:
+    """Parse ``HOST:PORT``."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class MachineFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """What ``sprucepost machine`` reads: machines of one process, which share key groups."""
+    """Settings of ``sprucepost machine``: the machines of one process, which share key groups."""
 
     cluster: Cluster
     report_to: Annotated[str, Meta(description="the list's address")]
@@ -39,6 +41,7 @@
     seed: int | None = None
 
     def problems(self) -> list[str]:
+        """Return what is wrong with the settings, one line each."""
         found = [f"cluster.{line}" for line in self.cluster.problems()]
         for n, model in enumerate(self.machines):
             try:
@@ -49,7 +52,7 @@
 
 
 class ListFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """What ``sprucepost list`` reads."""
+    """Settings of ``sprucepost list``."""
 
     listen: str = "127.0.0.1:0"
     late_ms: float = 800.0
@@ -57,11 +60,12 @@
     call_wait_ms: float = 2000.0
 
     def problems(self) -> list[str]:
+        """Return what is wrong with the settings, one line each."""
         return []
 
 
 class OwnerFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """What ``sprucepost owner watch`` reads: services whose tasks are asked for at a rate."""
+    """Settings of ``sprucepost owner watch``: services whose tasks are submitted at a rate."""
 
     cluster: Cluster
     placers: Annotated[list[str], Meta(min_length=1)]
@@ -74,6 +78,7 @@
     seed: int | None = None
 
     def problems(self) -> list[str]:
+        """Return what is wrong with the settings, one line each."""
         found = [f"cluster.{line}" for line in self.cluster.problems()]
         names = {cls.name for cls in self.cluster.classes}
         for n, raw in enumerate(self.services):
@@ -88,17 +93,18 @@
 
 
 class ProxyFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """What the tap process reads."""
+    """Settings of ``sprucepost tap``, the recording proxy."""
 
     capture: str | None = None
     control: str = "127.0.0.1:0"
 
     def problems(self) -> list[str]:
+        """Return what is wrong with the settings, one line each."""
         return []
 
 
 def wait_for_stop_signal(loop: Loop, scope: Scope) -> Co[int]:
-    """Wait for SIGTERM or SIGINT, then cancel the scope; the exit status."""
+    """Wait for SIGTERM or SIGINT, cancel the scope and return the exit status."""
     stopped: list[bool] = []
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.on_signal(number, lambda: stopped.append(True))
@@ -108,14 +114,17 @@
     return 0
 
 
-def serve_orders(loop: Loop, scope: Scope, orders: OrderService, at: str, more: dict[str, Method] | None = None) -> int:
-    """Serve orders, and ``more`` beside them, on that address; the port that was bound."""
-    address = Server(loop, scope, {**orders.methods(), **(more or {})}).listen(parse_address(at))
+def serve_orders(
+    loop: Loop, scope: Scope, orders: OrderService, address_text: str, extra_methods: dict[str, Method] | None = None
+) -> int:
+    """Serve orders and ``extra_methods`` at an address, and return the port that was bound."""
+    address = Server(loop, scope, {**orders.methods(), **(extra_methods or {})}).listen(parse_address(address_text))
     assert isinstance(address, tuple)
     return address[1]
 
 
-def run_machines(loop: Loop, scope: Scope, file: MachineFile, announce: Announce) -> Co[int]:
+def run_machines(loop: Loop, scope: Scope, file: MachineFile, announce: AnnounceFunction) -> Co[int]:
+    """Run simulated machines until stopped."""
     pool = MachinePool(
         loop, scope, file.cluster, class_models(file.cluster, file.manners), parse_address(file.report_to)
     )
@@ -131,14 +140,16 @@
     return (yield from wait_for_stop_signal(loop, scope))
 
 
-def run_list(loop: Loop, scope: Scope, file: ListFile, announce: Announce) -> Co[int]:
+def run_list(loop: Loop, scope: Scope, file: ListFile, announce: AnnounceFunction) -> Co[int]:
+    """Run the list service until stopped."""
     service = ListService(loop, file.late_ms, file.lines_per_s, file.call_wait_ms)
     port = serve_orders(loop, scope, service.orders(), file.listen, service.methods())
     announce(json.dumps({"listen": port, "control": port}))
     return (yield from wait_for_stop_signal(loop, scope))
 
 
-def run_owners(loop: Loop, scope: Scope, file: OwnerFile, announce: Announce) -> Co[int]:
+def run_owners(loop: Loop, scope: Scope, file: OwnerFile, announce: AnnounceFunction) -> Co[int]:
+    """Run simulated owners until stopped."""
     service = Owners(
         loop,
         scope,
@@ -155,15 +166,16 @@
     return (yield from wait_for_stop_signal(loop, scope))
 
 
-def run_proxy(loop: Loop, scope: Scope, file: ProxyFile, announce: Announce) -> Co[int]:
+def run_proxy(loop: Loop, scope: Scope, file: ProxyFile, announce: AnnounceFunction) -> Co[int]:
+    """Run the recording proxy until stopped."""
     if file.capture is None:
-        relay = RecordingProxy(loop)
-        announce(json.dumps({"control": serve_orders(loop, scope, relay.orders(), file.control)}))
+        proxy = RecordingProxy(loop)
+        announce(json.dumps({"control": serve_orders(loop, scope, proxy.orders(), file.control)}))
         return (yield from wait_for_stop_signal(loop, scope))
     with open(file.capture, "wb", buffering=1 << 20) as out:
-        relay = RecordingProxy(loop, CaptureWriter(out.write))
-        announce(json.dumps({"control": serve_orders(loop, scope, relay.orders(), file.control)}))
+        proxy = RecordingProxy(loop, CaptureWriter(out.write))
+        announce(json.dumps({"control": serve_orders(loop, scope, proxy.orders(), file.control)}))
         try:
             return (yield from wait_for_stop_signal(loop, scope))
         finally:
-            relay.stop()
+            proxy.stop()
--- a/sprucepost/standin/faults/__init__.py
+++ b/sprucepost/standin/faults/__init__.py
@@ -1,13 +1,13 @@
-"""Fault injection: the faults of a scenario, played on a running fleet.
+"""Fault injection: injects the faults of a scenario into a running fleet.
 
 ==================== ================================================================
-``context``          the fleet under test, and which machines and placers a fault meets
-``machine_faults``   of machines and their tasks
-``client_faults``    of clients
-``discovery_faults`` of the discovery service
-``placer_faults``    of placers, their clocks, their numbers and the fleet's size
-``link_faults``      of links, also between placers
-``injector``         each fault at its time
+``context``          the fleet under test, and the choice of what a fault affects
+``machine_faults``   faults of machines and their tasks
+``client_faults``    faults of clients
+``discovery_faults`` faults of the discovery service
+``placer_faults``    faults of placers, their clocks, their numbers and the fleet's size
+``link_faults``      faults of links, also between placers
+``injector``         injects each fault at its time
 ==================== ================================================================
 """
 
--- a/sprucepost/standin/faults/client_faults.py
+++ b/sprucepost/standin/faults/client_faults.py
@@ -3,26 +3,26 @@
 from __future__ import annotations
 
 from sprucepost.loop import Co
-from sprucepost.standin.faults.context import FaultContext, FaultFunction, hold
+from sprucepost.standin.faults.context import FaultContext, FaultFunction, wait_duration
 from sprucepost.standin.scenario import Fault
 
 
 def burst(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """``size``: times as many submissions."""
+    """Multiply the rate of submissions by ``size``."""
     yield from context.control.order_owners("rate", factor=fault.size)
-    yield from hold(fault)
+    yield from wait_duration(fault)
     yield from context.control.order_owners("rate", factor=1.0)
 
 
 def ask_twice(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """``part`` of the tasks are submitted a second time, in the same session."""
+    """Submit a share ``part`` of the tasks a second time, in the same session."""
     yield from context.control.order_owners("twice", part=fault.part)
-    yield from hold(fault)
+    yield from wait_duration(fault)
     yield from context.control.order_owners("twice", part=0.0)
 
 
 def reconnect(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """Of ``part`` of the services all tasks are cancelled, and submitted again within the fault's length."""
+    """Cancel all tasks of a share ``part`` of the services, and submit new ones within the fault's length."""
     yield from context.control.order_owners("restart", share=fault.part, within_ms=fault.len_s * 1000.0)
 
 
--- a/sprucepost/standin/faults/context.py
+++ b/sprucepost/standin/faults/context.py
@@ -1,4 +1,5 @@
-"""What faults share: the fleet that they are injected into, and which machines and placers each meets."""
+"""Context of the fault functions: the fleet under test, and the choice of the machines and placers that a fault
+affects."""
 
 from __future__ import annotations
 
@@ -10,89 +11,89 @@
 
 
 class FleetControl(Protocol):
-    """What can be done to a running fleet, whether of processes or of a simulation."""
+    """Operations on a running fleet, of processes or of a simulation."""
 
     def order_machines(self, order: str, /, **arguments: Any) -> Co[Any]:
-        """An order to the machines."""
+        """Send an order to the machines and return its result."""
         ...
 
     def order_list(self, order: str, /, **arguments: Any) -> Co[Any]:
-        """An order to the list."""
+        """Send an order to the list and return its result."""
         ...
 
     def order_proxy(self, order: str, /, **arguments: Any) -> Co[Any]:
-        """An order to the relay."""
+        """Send an order to the recording proxy and return its result."""
         ...
 
     def order_owners(self, order: str, /, **arguments: Any) -> Co[Any]:
-        """An order to the owners."""
+        """Send an order to the owners and return its result."""
         ...
 
     def add_machine(self, model: dict[str, Any], cold: bool) -> Co[None]:
-        """A machine joins, behind the relay, and the list hears of it."""
+        """Add a machine behind the recording proxy and announce it to the list."""
         ...
 
     def kill_placer(self, number: int) -> None:
-        """End it with SIGKILL."""
+        """Kill a placer with SIGKILL."""
         ...
 
     def term_placer(self, number: int) -> None:
-        """Ask it to stop, and wait for nothing."""
+        """Ask a placer to stop, without waiting for it."""
         ...
 
     def start_placer(self, number: int) -> Co[None]:
-        """Start it, and wait until it listens."""
+        """Start a placer, and wait until it listens."""
         ...
 
     def stall_placer(self, number: int, stalled: bool) -> None:
-        """Stop the process, or let it go on."""
+        """Suspend a placer's process, or resume it."""
         ...
 
     def limit_descriptors(self, number: int, limited: bool) -> None:
-        """No new descriptor for that placer's process, or as many as before."""
+        """Deny new file descriptors to a placer's process, or restore its limit."""
         ...
 
     def step_clock(self, number: int, by_ms: float) -> None:
-        """The wall clock of that placer's host is off by so much from now on."""
+        """Set the offset of the wall clock of a placer's host."""
         ...
 
     def start_duplicate(self, number: int) -> Co[None]:
-        """A second process with that placer's number."""
+        """Start a second process with a placer's number."""
         ...
 
     def stop_duplicate(self, number: int) -> None:
-        """End the second process with that placer's number."""
+        """Stop the second process with a placer's number."""
         ...
 
     def resize(self, size: int, lead_ms: float, overlap_ms: float, notified: int = 0) -> Co[None]:
-        """Another number of placers, by an announced generation; returns when the new ones run.
+        """Change the number of placers by an announced generation; return when the new ones run.
 
-        ``told``: so many of the old ones are told, 0 for all.
+        ``notified`` is how many of the old placers are notified, 0 for all.
         """
         ...
 
     def record_event(self, what: str, **more: Any) -> None:
-        """Something happened, for the run's own record."""
+        """Write an event to the run's record."""
         ...
 
 
-def hold(fault: Fault) -> Co[None]:
-    """Wait for as long as a fault lasts."""
+def wait_duration(fault: Fault) -> Co[None]:
+    """Wait for the fault's duration."""
     yield from sleep(fault.len_s * 1000.0)
 
 
 class FaultContext:
-    """One day's fleet. What a fault meets is drawn from the day's seed and the fault's number."""
+    """The fleet of a run. What a fault affects is drawn from the scenario's seed and the fault's number."""
 
     def __init__(self, loop: Loop, scenario: Scenario, control: FleetControl) -> None:
         self.loop, self.scenario, self.control = loop, scenario, control
         self.machines: dict[str, dict[str, Any]] = {}  # those that are meant to be up
-        self.machines_in_hand: set[str] = set()  # that a fault has taken down or is about to
+        self.machines_taken: set[str] = set()  # machines that a fault has taken down or is about to
         self.placers_down: set[int] = set()
         self._next_machine = 0
 
     def add_machine(self, cold: bool) -> Co[str]:
-        """The scenario's next machine joins; its name."""
+        """Add the scenario's next machine and return its name."""
         model = self.scenario.machine(self._next_machine)
         self._next_machine += 1
         self.machines[model["name"]] = model
@@ -100,43 +101,46 @@
         return str(model["name"])
 
     def pick_machines(self, fault: Fault, number: int, share: float | None = None) -> list[str]:
-        """The machines that a fault meets: a share of those up, of its room where it names one."""
+        """Choose the machines that a fault affects: a share of those up, in its zone if it names one."""
         rng = self.scenario.rng(f"fault {number}")
         up = [
             name
             for name, model in self.machines.items()
-            if fault.zone in (None, model["zone"]) and name not in self.machines_in_hand
+            if fault.zone in (None, model["zone"]) and name not in self.machines_taken
         ]
         return rng.sample(up, min(len(up), max(1, round((fault.part if share is None else share) * len(up)))))
 
     def pick_machines_to_stop(self, fault: Fault, number: int, share: float | None = None) -> list[str]:
-        """The same for a fault that takes machines down: none that another one has in hand. One machine at least stays."""
-        some = self.pick_machines(fault, number, share)[: max(0, len(self.machines) - len(self.machines_in_hand) - 1)]
-        self.machines_in_hand.update(some)
-        return some
+        """Choose machines for a fault that takes them down.
+
+        None that another fault has taken is chosen, and at least one machine stays up.
+        """
+        chosen = self.pick_machines(fault, number, share)[: max(0, len(self.machines) - len(self.machines_taken) - 1)]
+        self.machines_taken.update(chosen)
+        return chosen
 
     def restart_machine(self, name: str) -> Co[None]:
-        """A machine that a fault had taken down comes back."""
-        self.machines_in_hand.discard(name)
+        """Restart a machine that a fault has taken down."""
+        self.machines_taken.discard(name)
         if name in self.machines:
-            told = yield from self.control.order_machines("up", machine=name)
-            if "moved" in told:
+            result = yield from self.control.order_machines("up", machine=name)
+            if "moved" in result:
                 yield from self.control.order_proxy(
-                    "add", name=name, target=told["moved"], zone=self.machines[name]["zone"]
+                    "add", name=name, target=result["moved"], zone=self.machines[name]["zone"]
                 )
 
     def pick_placers(self, fault: Fault, number: int) -> list[int]:
-        """The placers that a fault meets, of those that are up."""
+        """Choose the placers that a fault affects from those that are up."""
         rng = self.scenario.rng(f"fault {number}")
         up = [placer for placer in range(self.scenario.placers) if placer not in self.placers_down]
         return rng.sample(up, min(len(up), max(1, round(fault.part * self.scenario.placers))))
 
-    def start_placers(self, some: list[int]) -> Co[None]:
-        """Placers that a fault had taken down come back."""
-        for placer in some:
+    def start_placers(self, chosen: list[int]) -> Co[None]:
+        """Start placers that a fault has taken down."""
+        for placer in chosen:
             yield from self.control.start_placer(placer)
             self.placers_down.discard(placer)
 
 
 FaultFunction = Callable[[FaultContext, Fault, int], Co[None]]
-"""Injects a fault and lifts it again; the number is the fault's place in its scenario."""
+"""Injects a fault and lifts it again; the number is the fault's index in the scenario."""
--- a/sprucepost/standin/faults/link_faults.py
+++ b/sprucepost/standin/faults/link_faults.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from sprucepost.loop import Co, sleep
-from sprucepost.standin.faults.context import FaultContext, FaultFunction, hold
+from sprucepost.standin.faults.context import FaultContext, FaultFunction, wait_duration
 from sprucepost.standin.scenario import Fault
 
 
 def _pick_sides(context: FaultContext, fault: Fault, number: int) -> tuple[list[str], list[str]]:
-    """The placers of a room, or so many as ``part`` says, and the others; neither side is empty."""
+    """Return the placers of the fault's zone, or a share ``part`` of all, and the others; neither side is empty."""
     placers = [f"placer-{n}" for n in range(context.scenario.placers)]
     zones = context.scenario.cluster.zones
     inside = [name for n, name in enumerate(placers) if zones[n % len(zones)] == fault.zone]
@@ -21,20 +21,20 @@
 
 
 def _add_conditions(
-    context: FaultContext, number: int, sides: tuple[list[str], list[str]], out: bool, back: bool, **what: Any
+    context: FaultContext, number: int, sides: tuple[list[str], list[str]], out: bool, back: bool, **condition: Any
 ) -> Co[None]:
-    """A condition on the messages from the first side to the other (``out``), and from there (``back``).
+    """Set a condition on data from the first side to the second (``out``), and back (``back``).
 
-    A stream may have been opened by either end.
+    Each pair needs two conditions, since either end may have opened the stream.
     """
     for a in sides[0]:
         for b in sides[1]:
             name = f"peers {number} {a} {b}"
             yield from context.control.order_proxy(
-                "set", name=f"{name} up", client=a, target=b, up=out, down=back, **what
+                "set", name=f"{name} up", client=a, target=b, up=out, down=back, **condition
             )
             yield from context.control.order_proxy(
-                "set", name=f"{name} down", client=b, target=a, up=back, down=out, **what
+                "set", name=f"{name} down", client=b, target=a, up=back, down=out, **condition
             )
 
 
@@ -46,53 +46,54 @@
 
 
 def zone_cut(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """Nothing passes into or out of ``zone``."""
+    """Hold all data into and out of ``zone``."""
     yield from context.control.order_proxy("set", name=f"cut {number}", cut_zone=fault.zone, hold=True)
-    yield from hold(fault)
+    yield from wait_duration(fault)
     yield from context.control.order_proxy("lift", name=f"cut {number}")
 
 
 def one_way_cut(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """``extra`` 0: nothing passes out of ``zone``; else nothing passes into it."""
+    """Hold data of the machines in ``zone``: what they send if ``extra`` is 0, else what is sent to them."""
     out = not fault.extra
     inside = [name for name, model in context.machines.items() if model["zone"] == fault.zone]
-    for name in inside:  # a machine is a target: what leaves it goes down
+    for name in inside:  # machines are targets: data that they send goes down
         yield from context.control.order_proxy(
             "set", name=f"one way {number} {name}", target=name, up=not out, down=out, hold=True
         )
-    yield from hold(fault)
+    yield from wait_duration(fault)
     for name in inside:
         yield from context.control.order_proxy("lift", name=f"one way {number} {name}")
 
 
 def slow_link(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """``size``: ms more each way to some machines; ``extra``: bytes a second, 0 for no limit."""
-    some = context.pick_machines(fault, number)
-    for name in some:
+    """Add ``size`` ms of delay each way to some machines, and limit the rate to ``extra`` bytes per second (0: no
+    limit)."""
+    chosen = context.pick_machines(fault, number)
+    for name in chosen:
         slow = {"delay_ms": fault.size, "rate": fault.extra}
         yield from context.control.order_proxy("set", name=f"slow {number} {name}", target=name, **slow)
-    yield from hold(fault)
-    for name in some:
+    yield from wait_duration(fault)
+    for name in chosen:
         yield from context.control.order_proxy("lift", name=f"slow {number} {name}")
 
 
 def reset(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """Every connection to some machines, and to all placers, is reset once."""
+    """Reset all connections to some machines and to all placers once."""
     for name in context.pick_machines(fault, number):
         yield from context.control.order_proxy("blow", kind="reset", target=name)
     yield from context.control.order_proxy("blow", kind="reset", target="placer-*")
 
 
 def peer_cut(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """``extra`` 0: nothing passes between the sides; 1: nothing out of the first, 2: nothing into it."""
+    """Hold data between two sides of the fleet: all if ``extra`` is 0, from the first side if 1, to it if 2."""
     sides = _pick_sides(context, fault, number)
     yield from _add_conditions(context, number, sides, fault.extra != 2, fault.extra != 1, hold=True)
-    yield from hold(fault)
+    yield from wait_duration(fault)
     yield from _lift_conditions(context, number, sides)
 
 
 def peer_flap(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """``size``: ms for which the sides are cut off, and then joined, again and again."""
+    """Separate and rejoin two sides of the fleet repeatedly, each for ``size`` ms."""
     sides, until = _pick_sides(context, fault, number), context.loop.now() + fault.len_s * 1000.0
     while context.loop.now() < until:
         yield from _add_conditions(context, number, sides, True, True, hold=True)
@@ -102,15 +103,16 @@
 
 
 def peer_slow(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """``size``: ms more each way between the sides."""
+    """Add ``size`` ms of delay each way between two sides of the fleet."""
     sides = _pick_sides(context, fault, number)
     yield from _add_conditions(context, number, sides, True, True, delay_ms=fault.size)
-    yield from hold(fault)
+    yield from wait_duration(fault)
     yield from _lift_conditions(context, number, sides)
 
 
 def peer_reset(context: FaultContext, fault: Fault, number: int) -> Co[None]:
-    """``part`` of the placers have the streams that they opened reset; ``extra``: seconds between two times, 0: once."""
+    """Reset the streams that a share ``part`` of the placers opened, every ``extra`` seconds, or once if ``extra`` is
+    0."""
     until = context.loop.now() + fault.len_s * 1000.0
     while True:
         for name in _pick_sides(context, fault, number)[0]:
--- a/sprucepost/standin/key_group.py
+++ b/sprucepost/standin/key_group.py
@@ -23,7 +23,7 @@
         self._copies: dict[str, _Copy] = {}
 
     def has_copy(self, name: str, now: float) -> bool:
-        """Return whether there is a copy that a placer claims, or one that completed and whose window has not passed."""
+        """Return whether there is a copy that a placer claims, or a completed one whose window has not passed."""
         copy = self._copies.get(name)
         if copy is None:
             return False
--- a/sprucepost/standin/machine_types.py
+++ b/sprucepost/standin/machine_types.py
@@ -143,7 +143,8 @@
 
 @dataclass(frozen=True)
 class TaskUse:
-    """A task's use, its share of full service (None: full) and the machine's share of memory in use (None: not short)."""
+    """A task's use, its share of full service (None: full) and the machine's share of memory in use (None: not
+    short)."""
 
     attempt_id: AttemptId
     cores: float
--- a/sprucepost/standin/machines.py
+++ b/sprucepost/standin/machines.py
@@ -166,7 +166,8 @@
             link.expiry_timer = self.loop.call_later(SESSION_RESUME_MS, lambda: self._expire_session(link))
 
     def _expire_session(self, link: PlacerLink) -> None:
-        """End the session, as when it had no stream for too long; its tasks run on and are reported at the next attach."""
+        """End the session, as when it had no stream for too long; its tasks run on and are reported at the next
+        attach."""
         link.token = self.loop.token(8)
         link.session = Session()
 
--- a/sprucepost/standin/owner_link.py
+++ b/sprucepost/standin/owner_link.py
@@ -56,7 +56,8 @@
         source: str | None = None,
         keepalive_ms: float = KEEPALIVE_MS,
     ) -> None:
-        """``keepalive_ms``: idle time before a ping; a placer ends idle sessions that ping more often than every 10 s."""
+        """``keepalive_ms``: idle time before a ping; a placer ends idle sessions that ping more often than every 10
+        s."""
         self._options = Options(keepalive_ms=keepalive_ms, keepalive_timeout_ms=KEEPALIVE_MS)
         self.loop, self.scope, self.address, self.owner, self._source = loop, scope, address, owner, source
         self._on_frame, self._on_session, self._on_down = on_frame, on_session, on_down
--- a/sprucepost/standin/owners.py
+++ b/sprucepost/standin/owners.py
@@ -1,8 +1,9 @@
 """Simulated owners, which submit tasks, follow them and submit them again as real owners do.
 
 A task that is refused, lost or failed is submitted again until its time is over: after about ``again_ms`` or more, soon
-after a loss, and, if an attempt may have run and a second start could do harm, only after ``owner_wait_ms``. A task that
-turns out to run in the meantime is handed over instead. Each submission goes to a random placer of those that are up.
+after a loss, and, if an attempt may have run and a second start could do harm, only after ``owner_wait_ms``. A task
+that turns out to run in the meantime is handed over instead. Each submission goes to a random placer of those that are
+up.
 """
 
 from __future__ import annotations
@@ -319,8 +320,8 @@
             )
 
     def _attached(self, placer: int, resumed: bool) -> None:
-        """Handle an attach. A placer that does not know the session was restarted: its open submissions count as lost and
-        its placed tasks are handed over to it."""
+        """Handle an attach. A placer that does not know the session was restarted: its open submissions count as lost
+        and its placed tasks are handed over to it."""
         if resumed:
             return
         for wanted in self.tasks.values():
--- a/sprucepost/standin/scenario.py
+++ b/sprucepost/standin/scenario.py
@@ -1,4 +1,7 @@
-"""Scenario files: a cluster, its traffic, and faults by time. JSON with a schema; one seed makes one day of it."""
+"""Scenario files: a cluster, its traffic and the faults at their times, as JSON with a schema.
+
+A run of a scenario is called a day; all that is random in it derives from the scenario's seed.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 
 
 class Fault(Struct, forbid_unknown_fields=True, frozen=True):
-    """One trouble. What ``part``, ``size`` and ``extra`` mean stands by each kind in ``docs/scenarios.md``."""
+    """One fault. ``docs/scenarios.md`` says for each kind what ``part``, ``size`` and ``extra`` mean."""
 
     kind: FaultKind
     at_s: Seconds
@@ -33,7 +36,7 @@
 
 
 class FleetPlan(Struct, forbid_unknown_fields=True, frozen=True):
-    """Machines at the start, spread evenly over rooms and kinds; ``manners`` are fields of the machine model."""
+    """Machines at the start, spread evenly over zones and kinds; ``manners`` are fields of the machine model."""
 
     machines: Annotated[int, Meta(ge=1)]
     cells_per_zone: Annotated[int, Meta(ge=1)] = 2
@@ -41,7 +44,7 @@
 
 
 class Traffic(Struct, forbid_unknown_fields=True, frozen=True):
-    """New tasks a second over all services; ``shares`` by class; shapes are (cores, memory) pairs to draw from."""
+    """New tasks per second over all services; ``shares`` by class; shapes are (cores, memory) pairs to draw from."""
 
     rate_per_s: Annotated[float, Meta(gt=0)]
     services: Annotated[int, Meta(ge=1)]
@@ -52,7 +55,7 @@
 
 
 class Scenario(Struct, forbid_unknown_fields=True, frozen=True):
-    """A day."""
+    """A scenario: the cluster, its fleet and traffic, and the faults of one run."""
 
     name: str
     length_s: Annotated[float, Meta(gt=0)]
@@ -67,19 +70,21 @@
     same_ms: Seconds = 0.3
     cross_ms: Seconds = 1.0
     peers: Annotated[
-        bool, Meta(description="placers keep a view of the fleet; some of another fleet know their seeds")
+        bool,
+        Meta(description="placers keep a view of the fleet; placers of another fleet are configured with its seeds"),
     ] = False
     class_manners: dict[str, dict[str, Any]] = {}
 
     def problems(self) -> list[str]:
+        """Return what is wrong with the scenario, one line each."""
         found = [f"cluster.{line}" for line in self.cluster.problems()]
         classes = {cls.name for cls in self.cluster.classes}
         for key in ("shares", "shapes", "life_s"):
             named = set(getattr(self.traffic, key))
-            found += [f"traffic.{key}.{name}: no class has that name" for name in sorted(named - classes)]
+            found += [f"traffic.{key}.{name}: no class has this name" for name in sorted(named - classes)]
             if key != "shares":
                 found += [f"traffic.{key}.{name}: missing" for name in sorted(set(self.traffic.shares) - named)]
-        found += [f"class_manners.{name}: no class has that name" for name in sorted(set(self.class_manners) - classes)]
+        found += [f"class_manners.{name}: no class has this name" for name in sorted(set(self.class_manners) - classes)]
         for n, fault in enumerate(self.faults):
             if fault.zone is not None and fault.zone not in self.cluster.zones:
                 found.append(f"faults[{n}].zone: {fault.zone!r} is none of cluster.zones")
@@ -88,25 +93,25 @@
             if fault.kind in ("zone_cut", "one_way_cut") and fault.zone is None:
                 found.append(f"faults[{n}].zone: needed for a {fault.kind}")
             if fault.kind == "resize" and any(other.kind == "resize" for other in self.faults[:n]):
-                found.append(f"faults[{n}].kind: a day has one resize at most")
+                found.append(f"faults[{n}].kind: a scenario may have one resize at most")
             if fault.kind.startswith("peer_") and not (self.peers and self.placers > 1):
-                found.append(f"faults[{n}].kind: {fault.kind} needs peers, and two placers at the least")
+                found.append(f"faults[{n}].kind: {fault.kind} needs peers and at least two placers")
             if fault.at_s > self.length_s:
-                found.append(f"faults[{n}].at_s: after the end of the day")
+                found.append(f"faults[{n}].at_s: after the end of the scenario")
         return found
 
     def scaled(self, length_s: float) -> Scenario:
-        """The same day in another length: all times of faults shrink or grow with it."""
-        by = length_s / self.length_s
-        faults = [structs.replace(fault, at_s=fault.at_s * by, len_s=fault.len_s * by) for fault in self.faults]
+        """Return the scenario with another length; the times of all faults are scaled with it."""
+        factor = length_s / self.length_s
+        faults = [structs.replace(fault, at_s=fault.at_s * factor, len_s=fault.len_s * factor) for fault in self.faults]
         return structs.replace(self, length_s=length_s, faults=faults)
 
     def rng(self, purpose: str) -> _random.Random:
-        """A generator of the day's seed for one purpose, the same in every process."""
+        """Return a generator seeded by the scenario's seed and a purpose, the same in every process."""
         return _random.Random(f"{self.seed} {purpose}")
 
     def machine(self, number: int) -> dict[str, Any]:
-        """The model of machine ``number``: its place, its size, its manners."""
+        """Return the fields of machine ``number``'s model: its zone and cell, its size and its behaviour."""
         rng, cluster = self.rng(f"machine {number}"), self.cluster
         zone = cluster.zones[number % len(cluster.zones)]
         kind = cluster.kinds[number // len(cluster.zones) % len(cluster.kinds)]
@@ -132,13 +137,13 @@
         return values
 
     def services(self) -> list[dict[str, Any]]:
-        """The services of the day, with their shapes and lives."""
+        """Return the services with their shapes and mean lifetimes."""
         rng, traffic, found = self.rng("services"), self.traffic, []
         names = sorted(traffic.shares)
         weights = [traffic.shares[name] for name in names]
         tenants = [tenant.name for tenant in self.cluster.tenants]
         for n in range(traffic.services):
-            cls = names[n] if n < len(names) else rng.choices(names, weights)[0]  # each class has one at least
+            cls = names[n] if n < len(names) else rng.choices(names, weights)[0]  # each class has at least one
             cores, memory = rng.choice(traffic.shapes[cls])
             found.append(
                 {
--- a/sprucepost/standin/simulated_machine.py
+++ b/sprucepost/standin/simulated_machine.py
@@ -188,8 +188,8 @@
         self._schedule_admission(now)
 
     def _record_cold_offer(self, now: float) -> bool:
-        """Count an offer to a cold machine, and return whether the machine has failed. Beyond the load that it withstands it
-        fails and stays down."""
+        """Count an offer to a cold machine, and return whether the machine has failed. Beyond the load that it
+        withstands it fails and stays down."""
         model = self.model
         if not self.started or now >= self.started + model.warm_ms:
             return False
@@ -242,7 +242,8 @@
         return Reason.NO_CORES if over_cores > 0 else Reason.NO_MEMORY
 
     def _preempt(self, offer: Offer, cores: float, memory: float, now: float) -> bool:
-        """Preempt tasks of lower priority, the lowest and largest first, if that frees enough; return whether it did."""
+        """Preempt tasks of lower priority, the lowest and largest first, if that frees enough; return whether it
+        did."""
         lower = [task for task in self.tasks.values() if task.offer.cls.priority < offer.cls.priority]
         lower.sort(key=lambda task: (task.offer.cls.priority, -task.offer.cores, task.offer.attempt_id))
         chosen: list[Task] = []
--- a/tests/placer/test_path.py
+++ b/tests/placer/test_path.py
@@ -183,7 +183,7 @@
         yield from world.ready(placer, 2)
         for pipe in list(world.tap.connections):
             if pipe.target == "m1":
-                pipe.near.pause()  # the placer's own send buffer fills
+                pipe.client_side.pause()  # the placer's own send buffer fills
                 pipe.up.source.resume = lambda: None  # type: ignore[method-assign]
         slowest = 0.0
         for n in range(30):
