--- a/sprucepost/standin/machines.py
+++ b/sprucepost/standin/machines.py
@@ -49,7 +49,7 @@
         self.model = SimulatedMachine(
             model, pool.loop.rng(), self._handle_event, lambda cls: pool.key_group(cls, model)
         )
-        self.incarnation = 0
+        self.machine_incarnation = 0
         self.links: dict[int, PlacerLink] = {}
         self.answer_loss = 0.0
         self.lost_answers = 0
@@ -66,7 +66,7 @@
     # Start and crash
 
     def _open(self) -> None:
-        self.incarnation = int.from_bytes(self.loop.token(7), "big")
+        self.machine_incarnation = int.from_bytes(self.loop.token(7), "big")
         self.server = Server(
             self.loop, self.pool.scope, {PATH: Method(attach=self._attach)}, Options(keepalive_ms=5000)
         )
@@ -146,7 +146,7 @@
         call.on_done = lambda status: self._stream_ended(link, call)
         reply = Frame(load=self._load(), ack=link.session.ack())
         attached = reply.attached
-        attached.machine, attached.life, attached.session = self.model.model.name, self.incarnation, link.token
+        attached.machine, attached.life, attached.session = self.model.model.name, self.machine_incarnation, link.token
         attached.started_ms = self.model.started
         attached.resumed, attached.last_seen, attached.resume_ms = (
             resumed,
--- a/tests/standin/test_recording_proxy.py
+++ b/tests/standin/test_recording_proxy.py
@@ -1,4 +1,4 @@
-"""The tap's end."""
+"""Stop of the recording proxy."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.wire.support import wait_for
 
 
-def test_a_stopped_tap_records_and_relays_nothing_more() -> None:
-    """Its file is closed then; bytes that still waited to be passed on ended its process with a write to a closed file."""
+def test_a_stopped_proxy_records_and_forwards_nothing_more() -> None:
+    """Data that still waited to be forwarded was written to the closed capture file, which ended the process."""
 
     def body(world: World) -> Co[Any]:
         world.machine("m0")
--- a/tests/standin/test_scenario_generator.py
+++ b/tests/standin/test_scenario_generator.py
@@ -1,4 +1,4 @@
-"""Drawn days: one seed is one day, every day can be played, and over many days every kind of fault is met."""
+"""Generated scenarios: a seed gives one scenario, every scenario is valid, many contain every kind of fault."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.placing.support import VirtualLoop
 
 
-def test_a_seed_is_one_day_and_another_seed_another() -> None:
+def test_a_seed_gives_one_scenario_and_other_seeds_give_others() -> None:
     assert (
         generate_scenario(5) == generate_scenario(5)
         and generate_scenario(5) != generate_scenario(6)
@@ -30,7 +30,7 @@
     )
 
 
-def test_every_drawn_day_can_be_played_and_written_down() -> None:
+def test_every_generated_scenario_is_valid_and_can_be_stored() -> None:
     for seed in range(200):
         day = generate_scenario(seed)
         assert day.problems() == []
@@ -41,17 +41,17 @@
         assert all(0 < fault.at_s < day.length_s for fault in day.faults)
 
 
-def test_over_many_days_every_kind_is_met_and_most_days_differ_in_kinds() -> None:
+def test_many_scenarios_contain_every_fault_kind_and_differ_in_kinds() -> None:
     assert set(FAULT_RANGES) | set(PEER_FAULT_RANGES) == set(get_args(FaultKind))
     days = [count_kinds(generate_scenario(seed).faults) for seed in range(150)]
-    met = Counter(kind for day in days for kind in day)
-    assert set(met) == set(FAULT_RANGES) and min(met.values()) >= 5
+    kind_counts = Counter(kind for day in days for kind in day)
+    assert set(kind_counts) == set(FAULT_RANGES) and min(kind_counts.values()) >= 5
     assert len({tuple(day) for day in days}) > 140
     assert sum(bool(set(day) & set(COLD_START_FAULTS)) for day in days) > 90
 
 
-class Stage:
-    """Writes down what the fault injector does, and what is not undone."""
+class FakeFleet:
+    """Fleet control that records the fault injector's actions and which of them are not undone."""
 
     def __init__(self) -> None:
         self.conditions: set[str] = set()
@@ -60,32 +60,34 @@
         self.stalled: set[int] = set()
         self.limited: set[int] = set()
         self.clocks: dict[int, float] = {}
-        self.twins: set[int] = set()
-        self.lie = self.listless = False
-        self.orders: Counter[str] = Counter()
+        self.duplicates: set[int] = set()
+        self.serves_wrong_list = self.list_down = False
+        self.order_counts: Counter[str] = Counter()
 
     def order_machines(self, order: str, /, **arguments: Any) -> Co[Any]:
-        self.orders[order] += 1
+        self.order_counts[order] += 1
         machine = arguments.get("machine", "")
         if order in ("crash", "mute"):
             self.down.add(machine)
         elif order == "up":
-            assert machine in self.down, f"{machine} is started while it runs: its tasks would go without a new life"
+            assert machine in self.down, (
+                f"{machine} is restarted while it runs: its tasks would vanish without a new incarnation"
+            )
             self.down.discard(machine)
         return {}
         yield
 
     def order_list(self, order: str, /, **arguments: Any) -> Co[Any]:
-        self.orders[order] += 1
+        self.order_counts[order] += 1
         if order in ("lie", "truth"):
-            self.lie = order == "lie"
+            self.serves_wrong_list = order == "lie"
         elif order == "down":
-            self.listless = arguments["down"]
+            self.list_down = arguments["down"]
         return {}
         yield
 
     def order_proxy(self, order: str, /, **arguments: Any) -> Co[Any]:
-        self.orders[order] += 1
+        self.order_counts[order] += 1
         if order == "set":
             self.conditions.add(arguments["name"])
         elif order == "lift":
@@ -94,7 +96,7 @@
         yield
 
     def order_owners(self, order: str, /, **arguments: Any) -> Co[Any]:
-        self.orders[order] += 1
+        self.order_counts[order] += 1
         return {}
         yield
 
@@ -124,12 +126,12 @@
         self.clocks[number] = by_ms
 
     def start_duplicate(self, number: int) -> Co[None]:
-        self.twins.add(number)
+        self.duplicates.add(number)
         return
         yield
 
     def stop_duplicate(self, number: int) -> None:
-        self.twins.discard(number)
+        self.duplicates.discard(number)
 
     def resize(self, size: int, lead_ms: float, overlap_ms: float, notified: int = 0) -> Co[None]:
         assert size > 4
@@ -139,33 +141,33 @@
     def record_event(self, what: str, **more: Any) -> None: ...
 
 
-def play(day: Scenario) -> Stage:
-    loop, stage = VirtualLoop(), Stage()
+def play(day: Scenario) -> FakeFleet:
+    loop, fleet = VirtualLoop(), FakeFleet()
 
     def main(scope: Scope) -> Co[None]:
-        injector = FaultInjector(loop, day, stage)
+        injector = FaultInjector(loop, day, fleet)
         yield from injector.setup()
         injector.play(scope)
         yield from injector.wait_until_lifted()
 
     loop.run(lambda: in_scope(main))
-    return stage
+    return fleet
 
 
-def whole(stage: Stage) -> bool:
-    gone = stage.conditions or stage.stalled or stage.limited or stage.twins or any(stage.clocks.values())
-    return not gone and not stage.lie and not stage.listless and stage.placers == {0, 1, 2, 3}
+def is_restored(fleet: FakeFleet) -> bool:
+    active = fleet.conditions or fleet.stalled or fleet.limited or fleet.duplicates or any(fleet.clocks.values())
+    return not active and not fleet.serves_wrong_list and not fleet.list_down and fleet.placers == {0, 1, 2, 3}
 
 
 @pytest.mark.parametrize("kind", sorted({**FAULT_RANGES, **PEER_FAULT_RANGES}))
 def test_each_kind_of_fault_is_lifted_again(kind: str) -> None:
     day = msgspec.structs.replace(generate_scenario(3), placers=4, peers=True)
     fault = Fault(kind, 1.0, 4.0, 0.5, 2.0, 1.0, day.cluster.zones[0])  # type: ignore[arg-type]
-    stage = play(msgspec.structs.replace(day, faults=[fault]))
-    assert whole(stage)
+    fleet = play(msgspec.structs.replace(day, faults=[fault]))
+    assert is_restored(fleet)
 
 
-def test_whole_drawn_days_leave_nothing_behind_however_their_faults_overlap() -> None:
+def test_all_faults_of_generated_scenarios_are_lifted_however_they_overlap() -> None:
     for seed in range(60):
-        stage = play(msgspec.structs.replace(generate_scenario(seed, peers=seed % 2 == 1), placers=4))
-        assert whole(stage), f"seed {seed}"
+        fleet = play(msgspec.structs.replace(generate_scenario(seed, peers=seed % 2 == 1), placers=4))
+        assert is_restored(fleet), f"seed {seed}"
