--- a/sprucepost/standin/list_service.py
+++ b/sprucepost/standin/list_service.py
@@ -104,7 +104,7 @@
         )
         for call in list(self._watchers):
             if call.full:
-                call.finish(RpcError(Code.RESOURCE_EXHAUSTED, "watcher reads too slowly"))
+                call.finish(RpcError(Code.RESOURCE_EXHAUSTED, "reads too slowly"))
             else:
                 call.send(data)
 
--- a/sprucepost/standin/machines.py
+++ b/sprucepost/standin/machines.py
@@ -114,7 +114,7 @@
     def _receive_hello(self, call: ServerCall, data: bytes) -> None:
         frame = _parse(data)
         if frame.WhichOneof("body") != "hello":
-            call.finish(RpcError(Code.INVALID_ARGUMENT, "the first frame must be a hello"))
+            call.finish(RpcError(Code.INVALID_ARGUMENT, "hello must come first"))
             return
         hello, link = frame.hello, self.links.get(frame.hello.number)
         if self.model.state is m.MachineState.DOWN or self.model.fallen:
@@ -130,7 +130,7 @@
         resumed = link is not None and hello.incarnation == link.incarnation and hello.session == link.token
         if link is not None and link.call is not None:
             old, link.call = link.call, None
-            old.finish(RpcError(Code.ABORTED, "replaced by another stream of this session"))
+            old.finish(RpcError(Code.ABORTED, "another stream has taken its place"))
         if link is None or not resumed:
             link = self.links[hello.number] = PlacerLink(hello.number, hello.incarnation, self.loop.token(8))
         if link.expiry_timer is not None:
--- a/sprucepost/standin/orders.py
+++ b/sprucepost/standin/orders.py
@@ -27,7 +27,7 @@
 
     def _do(self, order: pb.Order, call: ServerCall) -> Co[pb.Done]:
         if order.what not in self._handlers:
-            raise RpcError(Code.NOT_FOUND, f"unknown order {order.what!r}")
+            raise RpcError(Code.NOT_FOUND, f"no order {order.what!r}")
         try:
             result = self._handlers[order.what](**json.loads(order.arguments or "{}"))
         except (TypeError, ValueError, KeyError) as error:
