--- a/sprucepost/cli/load.py
+++ b/sprucepost/cli/load.py
@@ -31,7 +31,7 @@
         self.status = status
 
 
-def _asks_of(plan: Plan) -> list[TaskArrival]:
+def _arrivals_of(plan: Plan) -> list[TaskArrival]:
     if not isinstance(plan.arrivals, Replay):
         return list(task_arrivals(plan))
     try:
@@ -46,7 +46,7 @@
     Sides without a common placer run at the same time, so that both see the same host load; sides that share a placer
     run one after the other.
     """
-    prepared = [(name, addresses, plan, _asks_of(plan)) for name, addresses, plan in sides]
+    prepared = [(name, addresses, plan, _arrivals_of(plan)) for name, addresses, plan in sides]
     disjoint = len({address for _, addresses, _ in sides for address in addresses}) == sum(len(a) for _, a, _ in sides)
     groups = [prepared] if disjoint else [[side] for side in prepared]
     figures: dict[str, dict[str, Any]] = {}
@@ -55,7 +55,10 @@
 
         def main(scope: Scope, group: Any = group, loop: EpollLoop = loop) -> Co[list[LoadResult]]:
             runs = [LoadRun(loop, scope, addresses, plan, name) for name, addresses, plan, _ in group]
-            jobs = [scope.spawn(run.execute(what), name) for run, (name, _, _, what) in zip(runs, group, strict=True)]
+            jobs = [
+                scope.spawn(run.execute(arrivals), name)
+                for run, (name, _, _, arrivals) in zip(runs, group, strict=True)
+            ]
             while not all(job.done for job in jobs):
                 yield from sleep(20.0)
             found = [job.take() for job in jobs]
--- a/sprucepost/cli/main.py
+++ b/sprucepost/cli/main.py
@@ -619,7 +619,7 @@
         if plan is not None:
             first = read(plan, Plan)
         elif task_class is None or rate is None:
-            raise SettingsError(["load: --plan, or both --class and --rate, are required"])
+            raise SettingsError(["load: --plan, or --class and --rate, are required"])
         else:
             first = Plan(
                 Poisson(rate, [Surge(*one) for one in burst]), [Class(task_class, 1.0, cores, memory, left_ms, aim_ms)],
