--- a/sprucepost/cli/fleet.py
+++ b/sprucepost/cli/fleet.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from sprucepost.loop import Address, Co, Loop, sleep
-from sprucepost.standin.orders import order
+from sprucepost.standin.orders import send_order
 from sprucepost.standin.scenario import Scenario
 from sprucepost.wire.client import ClientConnection, open_client
 
@@ -113,9 +113,9 @@
         ports = {name: process.announcement() for name, process in self.processes.items()}
         yield from self._connect("tap", ports["tap"]["control"])
         yield from self._connect("list", ports["list"]["control"])
-        self._list_port = (yield from self.tap("add", name="list", target=f"127.0.0.1:{ports['list']['listen']}"))[
-            "port"
-        ]
+        self._list_port = (
+            yield from self.order_proxy("add", name="list", target=f"127.0.0.1:{ports['list']['listen']}")
+        )["port"]
         machines = {
             "cluster": self._cluster, "report_to": f"127.0.0.1:{ports['list']['listen']}",
             "manners": scenario.class_manners, "seed": scenario.seed,
@@ -127,28 +127,28 @@
             self._spawn_placer(number)
         if scenario.peers:
             for number in range(FOREIGN_PLACERS):
-                yield from self.tap("name", ip=f"127.0.4.{number + 1}", name=f"stranger-{number}")
+                yield from self.order_proxy("name", ip=f"127.0.4.{number + 1}", name=f"stranger-{number}")
                 self._spawn_foreign_placer(number)
         yield from self._connect("machines", self.processes["machines"].announcement()["control"])
         addresses = []
         for number in range(scenario.placers):
             yield from self._record_ports(number)
             addresses.append((yield from self._add_proxy_port(number)))
-        yield from self.tap("name", ip="127.0.2.1", name="owners")
+        yield from self.order_proxy("name", ip="127.0.2.1", name="owners")
         self._proxy_addresses = addresses
 
     def _register_placer(self, number: int) -> Co[None]:
         """Register a placer at the proxy and, where it keeps a view, add a port that others know before it listens."""
         ip, name = f"127.0.1.{number + 1}", f"placer-{number}"
-        yield from self.tap("name", ip=ip, name=name, zone=self.zone_of(number))
+        yield from self.order_proxy("name", ip=ip, name=name, zone=self.zone_of(number))
         if self.scenario.peers:
-            proxy = yield from self.tap("add", name=name, target="127.0.0.1:1", zone=self.zone_of(number))
+            proxy = yield from self.order_proxy("add", name=name, target="127.0.0.1:1", zone=self.zone_of(number))
             self._peer_addresses[number] = f"127.0.0.1:{proxy['port']}"
 
     def _add_proxy_port(self, number: int) -> Co[str]:
         """Point the proxy at the placer's current port; return the proxy's address."""
         target = f"127.0.0.1:{self._placer_ports[number]}"
-        proxy = yield from self.tap("add", name=f"placer-{number}", target=target, zone=self.zone_of(number))
+        proxy = yield from self.order_proxy("add", name=f"placer-{number}", target=target, zone=self.zone_of(number))
         return f"127.0.0.1:{proxy['port']}"
 
     def start_owners(self) -> Co[None]:
@@ -217,29 +217,29 @@
 
     # Control of the simulated peers, the proxy and the placers
 
-    def field(self, what: str, /, **arguments: Any) -> Co[Any]:
-        return (yield from order(self._control["machines"], what, **arguments))
+    def order_machines(self, what: str, /, **arguments: Any) -> Co[Any]:
+        return (yield from send_order(self._control["machines"], what, **arguments))
 
-    def listing(self, what: str, /, **arguments: Any) -> Co[Any]:
-        return (yield from order(self._control["list"], what, **arguments))
+    def order_list(self, what: str, /, **arguments: Any) -> Co[Any]:
+        return (yield from send_order(self._control["list"], what, **arguments))
 
-    def tap(self, what: str, /, **arguments: Any) -> Co[Any]:
-        return (yield from order(self._control["tap"], what, **arguments))
+    def order_proxy(self, what: str, /, **arguments: Any) -> Co[Any]:
+        return (yield from send_order(self._control["tap"], what, **arguments))
 
-    def owners(self, what: str, /, **arguments: Any) -> Co[Any]:
-        return (yield from order(self._control["owners"], what, **arguments))
+    def order_owners(self, what: str, /, **arguments: Any) -> Co[Any]:
+        return (yield from send_order(self._control["owners"], what, **arguments))
 
     def add_machine(self, model: dict[str, Any], cold: bool) -> Co[None]:
         """Add a machine behind the proxy and have it announced to the list."""
         name = model["name"]
-        port = (yield from self.field("add", model=model, cold=cold))["port"]
-        proxy = yield from self.tap("add", name=name, target=f"127.0.0.1:{port}", zone=model["zone"])
-        yield from self.field("announce", machine=name, address=f"127.0.0.1:{proxy['port']}")
+        port = (yield from self.order_machines("add", model=model, cold=cold))["port"]
+        proxy = yield from self.order_proxy("add", name=name, target=f"127.0.0.1:{port}", zone=model["zone"])
+        yield from self.order_machines("announce", machine=name, address=f"127.0.0.1:{proxy['port']}")
 
     def kill_placer(self, number: int) -> None:
         """End a placer by SIGKILL."""
         name = f"placer-{number}"
-        self.note("placer_killed", placer=name)
+        self.record_event("placer_killed", placer=name)
         process = self.processes.pop(name, None)  # None where it has already ended
         if process is not None:
             process.stop(signal.SIGKILL)
@@ -258,7 +258,7 @@
         self._starting.discard(process.name)
         self._signal(process, signal.SIGUSR2)  # signals that were held back while it had no handlers
         self._signal(process, signal.SIGHUP)
-        self.note("placer_started", placer=f"placer-{number}")
+        self.record_event("placer_started", placer=f"placer-{number}")
 
     def _signal(self, process: Process | None, signal_number: int) -> None:
         """Send a signal to a placer, unless it has no handler for it yet."""
@@ -276,13 +276,13 @@
         name = f"placer-{number}"
         process = self.processes.get(name)
         if process is not None:
-            self.note("placer_stopped" if stalled else "placer_continued", placer=name)
+            self.record_event("placer_stopped" if stalled else "placer_continued", placer=name)
             process.stop(signal.SIGSTOP if stalled else signal.SIGCONT)
 
     def term_placer(self, number: int) -> None:
         """Send SIGTERM to a placer without waiting for its end."""
         name = f"placer-{number}"
-        self.note("placer_asked_to_stop", placer=name)
+        self.record_event("placer_asked_to_stop", placer=name)
         self.processes[name].stop(signal.SIGTERM)
         self._stopping.add(name)
 
@@ -305,23 +305,23 @@
         (self.folder / f"{name}.clock").write_text(f"{by_ms}\n")
         self._signal(self.processes.get(name), signal.SIGUSR2)
 
-    def start_twin(self, number: int) -> Co[None]:
+    def start_duplicate(self, number: int) -> Co[None]:
         """Start a second process with the number of a placer."""
         name, ip = f"twin-{number}", f"127.0.3.{number + 1}"
         if name in self.processes:
             return
-        yield from self.tap("name", ip=ip, name=name, zone=self.zone_of(number))
+        yield from self.order_proxy("name", ip=ip, name=name, zone=self.zone_of(number))
         self._spawn_placer(number, name, ip)
         yield from self._wait_for_announcement(self.processes[name])
 
-    def stop_twin(self, number: int) -> None:
+    def stop_duplicate(self, number: int) -> None:
         """Send SIGTERM to the second process with the number of a placer."""
         process = self.processes.get(f"twin-{number}")
         if process is not None:
             process.stop(signal.SIGTERM)
             self._stopping.add(process.name)
 
-    def resize(self, size: int, lead_ms: float, overlap_ms: float, told: int = 0) -> Co[None]:
+    def resize(self, size: int, lead_ms: float, overlap_ms: float, notified: int = 0) -> Co[None]:
         """Change the number of placers by an announced generation; ``told``: how many are notified of it, 0 for all."""
         before, self._size = self._size, size
         self._generation = {
@@ -335,7 +335,7 @@
             path.with_suffix(".new").write_text(json.dumps(raw, indent=1))
             path.with_suffix(".new").replace(path)
         running = [number for number in range(before) if f"placer-{number}" in self.processes]
-        for number in running[: told or None]:
+        for number in running[: notified or None]:
             self._signal(self.processes.get(f"placer-{number}"), signal.SIGHUP)
         yield from sleep(lead_ms)
         for number in range(before, size):
@@ -343,8 +343,8 @@
             self._spawn_placer(number)
             yield from self._wait_for_announcement(self.processes[f"placer-{number}"])
             yield from self._record_ports(number)
-            self.note("placer_started", placer=f"placer-{number}")
-            yield from self.owners("placer", address=(yield from self._add_proxy_port(number)))
+            self.record_event("placer_started", placer=f"placer-{number}")
+            yield from self.order_owners("placer", address=(yield from self._add_proxy_port(number)))
 
     def views(self) -> list[str]:
         """Return the digest of each running placer's view, or why it cannot be read."""
@@ -355,7 +355,7 @@
                 found.append(_view_digest(self.processes[f"placer-{number}"].http))
         return found
 
-    def note(self, what: str, **more: Any) -> None:
+    def record_event(self, what: str, **more: Any) -> None:
         """Record an event of the run."""
         self._note(what, more)
 
--- a/sprucepost/cli/search.py
+++ b/sprucepost/cli/search.py
@@ -22,8 +22,8 @@
 
 from sprucepost.cli.tables import problems, table
 from sprucepost.rules.record import RESULT, SCENARIO
-from sprucepost.standin.drawing import draw, kinds_of
 from sprucepost.standin.scenario import Fault, Scenario
+from sprucepost.standin.scenario_generator import count_kinds, generate_scenario
 
 DAYS = "days.jsonl"
 OVERRUN_S = 120.0  # a day that takes longer than its length by more than this counts as failed
@@ -59,7 +59,7 @@
 
 def outcome(day: Day) -> dict[str, Any]:
     """Return the result of a day whose process has ended: ``good``, ``bad`` with the failed checks, or ``failed``."""
-    found: dict[str, Any] = {"seed": day.seed, "faults": kinds_of(day.scenario.faults)}
+    found: dict[str, Any] = {"seed": day.seed, "faults": count_kinds(day.scenario.faults)}
     result = day.folder / RESULT
     if day.child.returncode not in (0, 1) or not result.exists():
         output = (day.folder / "printed.txt").read_text(errors="replace").strip().splitlines()
@@ -244,4 +244,4 @@
 
 def random_scenarios(length_s: float, peers: bool = False) -> Callable[[int], Scenario]:
     """Return a function that generates the scenario of a seed."""
-    return lambda seed: draw(seed, length_s, peers)
+    return lambda seed: generate_scenario(seed, length_s, peers)
--- a/tests/load/test_run.py
+++ b/tests/load/test_run.py
@@ -9,8 +9,8 @@
 from sprucepost.load.plan import Class, Plan, Poisson
 from sprucepost.load.run import LoadRun
 from sprucepost.loop import Co
-from sprucepost.standin.tap import Condition
-from tests.placer.support import World, play
+from sprucepost.standin.recording_proxy import LinkCondition
+from tests.placer.support import World, run_in_world
 from tests.wire.support import wait_for
 
 
@@ -28,7 +28,7 @@
         found = yield from LoadRun(world.loop, world.scope, [placer.grpc_address], what).execute(task_arrivals(what))
         return found.figures(1.0)
 
-    figures = play(body)
+    figures = run_in_world(body)
     # One machine looks at one offer at a time, so some may be refused; none is without its one answer.
     assert figures["due"] > 150 and figures["unanswered"] == 0
     assert sum(figures["outcomes"].values()) == figures["due"] and figures["outcomes"]["placed"] > 50
@@ -47,12 +47,12 @@
 
         def asked_in_silence() -> Iterator[TaskArrival]:
             # Taken once every link is up, and before the first ask leaves: no moment between that a busy machine misses.
-            world.tap.set("silence", Condition(target="placer-0", hold=True))
+            world.tap.set_condition("silence", LinkCondition(target="placer-0", hold=True))
             yield from [ask] * 3
 
         return (yield from run.execute(asked_in_silence())).figures(1.0)
 
-    figures = play(body)
+    figures = run_in_world(body)
     assert figures["unanswered"] == 3 and figures["answered_ms"]["p50"] >= 699
 
 
@@ -65,11 +65,11 @@
         what = plan(100.0, 1.5, 3, owners=1)
         job = world.scope.spawn(LoadRun(world.loop, world.scope, [front], what).execute(task_arrivals(what)), "load")
         yield from wait_for(lambda: placer.engine.ledger.outcomes)
-        world.tap.set("stall", Condition(target="placer-0", hold=True))
-        world.loop.call_later(500.0, lambda: world.tap.set("stall", None))
+        world.tap.set_condition("stall", LinkCondition(target="placer-0", hold=True))
+        world.loop.call_later(500.0, lambda: world.tap.set_condition("stall", None))
         yield from wait_for(lambda: job.done, 8000)
         return job.take().figures(1.5)
 
-    figures = play(body)
+    figures = run_in_world(body)
     # A third of the asks were due in the stall; a closed loop would have counted one of them.
     assert figures["answered_ms"]["p90"] > 150 and figures["unanswered"] == 0
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -13,8 +13,8 @@
 import pytest
 
 from sprucepost.cli import search as s
-from sprucepost.standin.drawing import draw, kinds_of
 from sprucepost.standin.scenario import Scenario
+from sprucepost.standin.scenario_generator import count_kinds, generate_scenario
 
 
 def fake_runs(monkeypatch: pytest.MonkeyPatch, verdict: Any) -> list[int]:
@@ -27,7 +27,7 @@
             folder.mkdir(parents=True, exist_ok=True)
             broken = verdict(scenario)
             result = {
-                "seed": seed, "faults": kinds_of(scenario.faults), "verdict": "bad" if broken else "good",
+                "seed": seed, "faults": count_kinds(scenario.faults), "verdict": "bad" if broken else "good",
                 "wrong": ["rule broken"] if broken else [], "broken": broken, "asked": 10, "checked": 100, "undecided": 1,
                 "first": [],
             }  # fmt: skip
@@ -61,7 +61,7 @@
 
 
 def test_failed_run_is_neither_good_nor_skipped_by_the_next_search(tmp_path: Path) -> None:
-    day = SimpleNamespace(seed=1, scenario=draw(1), folder=tmp_path, child=SimpleNamespace(returncode=3))
+    day = SimpleNamespace(seed=1, scenario=generate_scenario(1), folder=tmp_path, child=SimpleNamespace(returncode=3))
     (tmp_path / "printed.txt").write_text("sprucepost: placer-1 ended with status 1\n")
     result = s.outcome(day)  # type: ignore[arg-type]
     assert result["verdict"] == "failed" and result["wrong"] == ["sprucepost: placer-1 ended with status 1"]
@@ -70,7 +70,7 @@
 
 
 def test_shrink_keeps_the_faults_that_fail_only_together(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    day = next(draw(seed) for seed in range(1000) if len(draw(seed).faults) >= 8)
+    day = next(generate_scenario(seed) for seed in range(1000) if len(generate_scenario(seed).faults) >= 8)
     needed = [day.faults[1], day.faults[6]]
 
     def verdict(scenario: Scenario) -> dict[str, int]:
