--- a/sprucepost/scale/hollow/platform.py
+++ b/sprucepost/scale/hollow/platform.py
@@ -21,7 +21,7 @@
 from sprucepost.placer.daemon import format_address, parse_address
 from sprucepost.scale import deployment
 from sprucepost.scale.hollow.settings import HostSpec, PlatformFile
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.orders import OrderService
 
 RUNNING_DELAY_MS = 30.0
 BULLETIN_INTERVAL_MS = 500.0
@@ -267,9 +267,9 @@
 
     # Orders
 
-    def orders(self) -> Orders:
+    def orders(self) -> OrderService:
         """The orders ``begin``: start set-ups and simulated tasks; ``status``: counts of set-ups and answers."""
-        return Orders({"begin": self._begin, "status": self._status})
+        return OrderService({"begin": self._begin, "status": self._status})
 
     def _begin(
         self,
--- a/sprucepost/scale/hollow/workers.py
+++ b/sprucepost/scale/hollow/workers.py
@@ -16,8 +16,8 @@
 from sprucepost.scale import deployment
 from sprucepost.scale.hollow.settings import WorkersFile
 from sprucepost.standin.machine_types import AttemptId, MachineModel, MachineState, Offer
-from sprucepost.standin.machines import Field, MachineHost, class_models
-from sprucepost.standin.orders import Orders
+from sprucepost.standin.machines import MachinePool, MachineServer, class_models
+from sprucepost.standin.orders import OrderService
 
 HOLLOW_PLACER_NUMBER = 1_000_000
 """Placer number of the tasks of hollow placers at a worker; no real placer has it."""
@@ -27,19 +27,19 @@
 IDLE_POLL_MS = 1000.0
 
 
-class ReportingField(Field):
+class ReportingField(MachinePool):
     """Reports a worker when its requested resources have changed, not each time that a task reports its use."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         self._reported_requests: dict[str, tuple[float, float]] = {}
 
-    def touched(self, host: MachineHost) -> None:
+    def on_activity(self, host: MachineServer) -> None:
         """Handle an event at a machine; called for each of them."""
         name, requested = host.model.model.name, host.model.requested()
         if self._reported_requests.get(name) != requested:
             self._reported_requests[name] = requested
-            self.changed(host)
+            self.mark_changed(host)
 
 
 class Workers:
@@ -53,9 +53,9 @@
         scope.spawn(self.field.report(), "reports")
         for fields in file.workers:
             host = self.field.add(MachineModel(**fields))
-            host.public = format_address(host.address)
-            self.field.changed(host)
-        self._hosts = list(self.field.hosts.values())
+            host.listed_address = format_address(host.address)
+            self.field.mark_changed(host)
+        self._hosts = list(self.field.machines.values())
         self._requests = count(1)
         self._starts_per_s = 0.0
         self._life_ms = 1.0
@@ -64,7 +64,7 @@
     @property
     def addresses(self) -> list[str]:
         """Addresses of the workers, in the order of the settings."""
-        return [host.public for host in self._hosts]
+        return [host.listed_address for host in self._hosts]
 
     # Tasks of hollow placers
 
@@ -76,7 +76,7 @@
             if rate:
                 self._offer(self._rng.choice(self._hosts))
 
-    def _offer(self, host: MachineHost) -> None:
+    def _offer(self, host: MachineServer) -> None:
         number = next(self._requests)
         shares = deployment.CLASS_SHARES
         name = self._rng.choices(list(shares), list(shares.values()))[0]
@@ -96,16 +96,16 @@
 
     # Restarts
 
-    def _restart(self, host: MachineHost) -> Co[None]:
+    def _restart(self, host: MachineServer) -> Co[None]:
         host.crash()
         yield from sleep(RESTART_DURATION_MS)
-        host.up(cold=True)
+        host.start(cold=True)
 
     # Orders
 
-    def orders(self) -> Orders:
+    def orders(self) -> OrderService:
         """The orders ``tasks``: start those of hollow placers; ``restart``: a worker; ``status``: number of tasks."""
-        return Orders({"tasks": self._tasks, "restart": self._restart_one, "status": self._status})
+        return OrderService({"tasks": self._tasks, "restart": self._restart_one, "status": self._status})
 
     def _tasks(self, starts_per_s: float, running: int, life_ms: float) -> dict[str, Any]:
         """Start ``running`` tasks at once and then new ones at the given rate.
