--- a/sprucepost/scale/calibration.py
+++ b/sprucepost/scale/calibration.py
@@ -14,7 +14,7 @@
 from sprucepost.scale.size import RunSize
 
 TOLERANCE = 0.1
-"""Largest accepted difference, as a share of the figure beside real companions."""
+"""Largest accepted difference, as a share of the figure beside real placers."""
 FIGURES = (
     "cpu_percent",
     "cpu_percent.peers",
@@ -36,10 +36,10 @@
 
     figure: str
     hollow: float
-    """Mean beside hollow companions."""
+    """Mean beside hollow placers."""
     real: float
     spread: float
-    """Standard deviation over the individual processes beside real companions."""
+    """Standard deviation over the individual processes beside real placers."""
 
     @property
     def difference(self) -> float:
@@ -64,7 +64,7 @@
 def calibrate(
     size: RunSize, repeats: int, options: RunOptions, report_progress: ReportProgress = print_progress
 ) -> tuple[Results, Results]:
-    """Measure beside hollow and beside real companions, alternating between them. Returns both results."""
+    """Measure beside hollow and beside real placers, alternating between them. Returns both results."""
     found: dict[bool, Results] = {}
     for repeat in range(repeats):
         for hollow in (True, False):
--- a/sprucepost/scale/fleet.py
+++ b/sprucepost/scale/fleet.py
@@ -238,7 +238,7 @@
         yield from self._all_announced(self.workers)
 
     def _location(self, number: int) -> tuple[str, str]:
-        """Host and room (failure domain) of a placer."""
+        """Host and room of a placer; its zone is the room."""
         return f"host{number // PLACERS_PER_HOST}", self._zones[number % len(self._zones)]
 
     def _start_members(self) -> Steps[None]:
--- a/sprucepost/scale/hollow/members.py
+++ b/sprucepost/scale/hollow/members.py
@@ -198,7 +198,7 @@
 def fleet_records(fleet: Sequence[KnownMember], instances: int) -> list[Record]:
     """Records of a settled fleet: each hollow member sees its ring successors and the hollow members that it succeeds.
 
-    Real members open their own streams once they know the fleet, and publish themselves whom they see.
+    Real members open their own streams once they know the fleet, and publish which members they see.
     """
     unconnected_records = {record.name: record for record in (record_of(known, instances) for known in fleet)}
     hollow = {member_name(known.number) for known in fleet if not known.real}
