--- a/sprucepost/scale/fits.py
+++ b/sprucepost/scale/fits.py
@@ -1,12 +1,13 @@
-"""How a measured figure grows with one variable: least squares over a few shapes, the shape chosen by AICc.
+"""Fits of how a measured figure grows with one variable: least squares over a few shapes, selected by AICc.
 
-Runs of one size are separate observations. A shape is left out where its growth would be negative: a figure that
-falls with the size is predicted as constant, which errs on the dear side.
+Runs of one size are separate observations. A shape whose growth coefficient is negative is rejected: a figure that
+falls with the size is predicted as constant, which overestimates the cost.
 
-AICc (Hurvich and Tsai, 1989) charges each further coefficient, the more the fewer observations there are. Growth that is
-faster than n log n is not a shape to predict with; :func:`grows_too_fast` looks for it, and what it finds is a fault.
+AICc (Hurvich and Tsai, 1989) penalizes each additional coefficient, more strongly the fewer observations there are.
+Growth faster than n log n is not used for predictions; :func:`grows_too_fast` detects it, and each case it reports is a
+defect.
 
-The largest measured size is predicted from the others first (:class:`HoldOut`); the error of that is the honest one.
+The largest measured size is also predicted from the smaller ones (:class:`HoldOut`); that error is out of sample.
 """
 
 from __future__ import annotations
@@ -20,38 +21,38 @@
 
 from sprucepost.scale.results import Results
 
-SIZES_LEAST = 4
-"""Measured sizes without which no shape is chosen."""
+MIN_SIZES = 4
+"""Number of distinct measured sizes that a fit requires."""
 
-RUNS_LEAST = 2
-"""Runs of each size, on average, without which no shape is chosen."""
+MIN_RUNS_PER_SIZE = 2
+"""Mean number of runs of each size that a fit requires."""
 
-FARTHEST = 4.0
-"""Times the largest measured size: predictions beyond that are marked."""
+MAX_EXTRAPOLATION_FACTOR = 4.0
+"""Multiple of the largest measured size beyond which predictions are marked."""
 
-ERROR_LEAST = 0.1
-"""No prediction is said to be better than that: what runs of one size differ by on a quiet machine."""
+MIN_STATED_ERROR = 0.1
+"""Smallest relative error stated for a prediction: runs of one size differ by this much on a quiet machine."""
 
-RESOLUTION = 1e-3
-"""Share of a figure's mean below which residuals tell nothing."""
+RESIDUAL_RESOLUTION = 1e-3
+"""Share of a figure's mean below which residuals carry no information."""
 
-SUPPORTED = 2.0
-"""Difference in AICc up to which the worse model has substantial support (Burnham and Anderson, 2002): noise on a constant
-isn't taken for growth, which would be carried far beyond the measured sizes."""
+SUPPORTED_AICC_DIFFERENCE = 2.0
+"""Difference in AICc up to which the worse model has substantial support (Burnham and Anderson, 2002). It keeps noise on a
+constant from being fitted as growth, which would be extrapolated far beyond the measured sizes."""
 
-DECISIVE = 6.0
-"""Difference in AICc from which the worse model has little support (Burnham and Anderson, 2002, say 4 to 7)."""
+DECISIVE_AICC_DIFFERENCE = 6.0
+"""Difference in AICc from which the worse model has little support (Burnham and Anderson, 2002, give 4 to 7)."""
 
-SQUARE_SHARE_LEAST = 0.1
-"""Share of the figure at the largest size that the square has to account for to be a finding."""
+MIN_QUADRATIC_SHARE = 0.1
+"""Smallest share of the figure at the largest size that the quadratic term must account for to be reported."""
 
 
 class FitsError(Exception):
-    """Why nothing can be fitted, in one plain line."""
+    """Nothing can be fitted; the message gives the reason in one line."""
 
 
 class Shape(StrEnum):
-    """How a figure grows; the value is what tables show."""
+    """How a figure grows; tables show the value."""
 
     CONSTANT = "constant"
     LOGARITHMIC = "log n"
@@ -66,7 +67,7 @@
     Shape.LINEAR: float,
     Shape.LINEARITHMIC: lambda size: size * math.log1p(size),
 }
-"""Of sizes that may be 0, therefore ``log(1 + n)``."""
+"""Growth term of each shape. Sizes may be 0, therefore ``log(1 + n)``."""
 
 
 class Observation(Struct, frozen=True):
@@ -77,18 +78,18 @@
 
 
 class Regression(Struct, frozen=True):
-    """Least squares of a sum of terms."""
+    """Result of a least-squares regression on a sum of terms."""
 
     coefficients: tuple[float, ...]
     """In the terms' order."""
     criterion: float
-    """AICc; the least is the best, infinite where there are too few observations for so many coefficients."""
+    """AICc; the lowest is the best, infinite where there are too few observations for the number of coefficients."""
     residual: float
     """Root mean square, in the figure's unit."""
 
 
 class Fit(Struct, frozen=True):
-    """``intercept + growth * term(size)``."""
+    """Fitted function ``intercept + growth * term(size)``."""
 
     shape: Shape
     intercept: float
@@ -112,14 +113,14 @@
 
     @property
     def error(self) -> float:
-        """Share of the measured value; positive: the prediction was too high."""
+        """Error as a share of the measured value; positive where the prediction was too high."""
         if self.measured == 0.0:
             return 0.0 if self.predicted == 0.0 else math.inf
         return (self.predicted - self.measured) / abs(self.measured)
 
 
 class Slope(Struct, frozen=True):
-    """One figure of one role over one variable."""
+    """Growth of one figure of one role with one variable."""
 
     role: str
     figure: str
@@ -128,7 +129,7 @@
     fit: Fit
     hold_out: HoldOut
     too_fast: bool
-    """It grows faster than n log n."""
+    """Whether it grows faster than n log n."""
 
     @property
     def largest(self) -> float:
@@ -137,13 +138,13 @@
 
     @property
     def error(self) -> float:
-        """Stated relative error: the worst of the hold-out's, of the runs' spread about the fit, and the least stated."""
+        """Stated relative error: the largest of the hold-out error, the spread of runs around the fit and the minimum."""
         spread = max(_relative(each.value, self.fit.at(each.size)) for each in self.observations)
-        return max(abs(self.hold_out.error), spread, ERROR_LEAST)
+        return max(abs(self.hold_out.error), spread, MIN_STATED_ERROR)
 
     def beyond(self, size: float) -> bool:
-        """Whether a prediction for that size is to be marked."""
-        return size > FARTHEST * self.largest
+        """Whether a prediction for that size extrapolates too far and is marked."""
+        return size > MAX_EXTRAPOLATION_FACTOR * self.largest
 
 
 def _relative(value: float, expected: float) -> float:
@@ -153,7 +154,7 @@
 
 
 def numpy() -> ModuleType:
-    """The numeric library. FitsError where it is not installed."""
+    """Import and return numpy. Raises FitsError where it is not installed."""
     try:
         import numpy as library
     except ImportError:
@@ -165,11 +166,11 @@
 
 
 def best_fit(observations: Sequence[Observation]) -> Fit:
-    """The shape with the least AICc, constant where that is nearly as good. FitsError where numpy is missing."""
-    fits = [_fitted(shape, observations) for shape in Shape]
+    """The shape with the lowest AICc, or constant where that is nearly as good. Raises FitsError without numpy."""
+    fits = [_fit_shape(shape, observations) for shape in Shape]
     best = min((fit for fit in fits if fit.growth >= 0.0), key=lambda fit: fit.criterion)
     constant = next(fit for fit in fits if fit.shape is Shape.CONSTANT)
-    return constant if constant.criterion - best.criterion < SUPPORTED else best
+    return constant if constant.criterion - best.criterion < SUPPORTED_AICC_DIFFERENCE else best
 
 
 def hold_out(observations: Sequence[Observation]) -> HoldOut:
@@ -180,31 +181,33 @@
 
 
 def grows_too_fast(observations: Sequence[Observation]) -> bool:
-    """Whether the square of the size explains the figure, and no sum of the shapes does.
+    """Whether the square of the size explains the figure and no sum of the slower shapes does.
 
-    Costs add up, so no coefficient may be negative here: a line below zero with n log n on top of it is as curved as a
-    square over the few sizes that can be measured.
+    Costs are additive, so no coefficient may be negative: over the few sizes that can be measured, n log n plus a
+    negative linear term is as curved as a square.
     """
     largest = max(each.size for each in observations)
-    squares = _possible([(_square,), (float, _square), (_constant, _square), (_constant, float, _square)], observations)
+    squares = _nonnegative_regressions(
+        [(_quadratic,), (float, _quadratic), (_constant, _quadratic), (_constant, float, _quadratic)], observations
+    )
     if not squares:
         return False
     best = min(squares, key=lambda regression: regression.criterion)
-    share = best.coefficients[-1] * _square(largest)
-    if share < SQUARE_SHARE_LEAST * abs(_mean_at(observations, largest)):
+    share = best.coefficients[-1] * _quadratic(largest)
+    if share < MIN_QUADRATIC_SHARE * abs(_mean_at(observations, largest)):
         return False
-    slower = _possible(_slower_sums(), observations)
-    return min(regression.criterion for regression in slower) - best.criterion > DECISIVE
+    slower = _nonnegative_regressions(_subquadratic_sums(), observations)
+    return min(regression.criterion for regression in slower) - best.criterion > DECISIVE_AICC_DIFFERENCE
 
 
-def _possible(sums: Sequence[tuple[Term, ...]], observations: Sequence[Observation]) -> list[Regression]:
-    """The regressions without a negative coefficient."""
+def _nonnegative_regressions(sums: Sequence[tuple[Term, ...]], observations: Sequence[Observation]) -> list[Regression]:
+    """Regressions on the given sums that have no negative coefficient."""
     found = [_least_squares(terms, observations) for terms in sums]
     return [regression for regression in found if min(regression.coefficients) >= 0.0]
 
 
-def _slower_sums() -> list[tuple[Term, ...]]:
-    """Sums of the shapes, with and without a constant."""
+def _subquadratic_sums() -> list[tuple[Term, ...]]:
+    """Sums of the shapes' terms, with and without a constant."""
     terms = list(_TERMS.values())
     sums: list[tuple[Term, ...]] = [(term,) for term in terms]
     sums.append((float, _TERMS[Shape.LINEARITHMIC]))
@@ -215,7 +218,7 @@
     return 1.0
 
 
-def _square(size: float) -> float:
+def _quadratic(size: float) -> float:
     return size * size
 
 
@@ -224,7 +227,7 @@
     return sum(values) / len(values)
 
 
-def _fitted(shape: Shape, observations: Sequence[Observation]) -> Fit:
+def _fit_shape(shape: Shape, observations: Sequence[Observation]) -> Fit:
     terms = (_constant, _TERMS[shape]) if shape in _TERMS else (_constant,)
     found = _least_squares(terms, observations)
     growth = found.coefficients[1] if shape in _TERMS else 0.0
@@ -238,7 +241,7 @@
     coefficients, *_ = library.linalg.lstsq(library.array(columns), values, rcond=None)
     residuals = values - library.array(columns) @ coefficients
     mean_square = float(residuals @ residuals) / len(observations)
-    floor = (RESOLUTION * float(abs(values).mean())) ** 2
+    floor = (RESIDUAL_RESOLUTION * float(abs(values).mean())) ** 2
     return Regression(
         tuple(float(each) for each in coefficients),
         _corrected_akaike(max(mean_square, floor), len(observations), len(terms) + 1),
@@ -261,7 +264,7 @@
 
 
 class Skipped(Struct, frozen=True):
-    """A series to which nothing was fitted, and why."""
+    """A series that was not fitted, with the reason."""
 
     role: str
     figure: str
@@ -270,18 +273,18 @@
 
 
 class Slopes(Struct, frozen=True):
-    """All series of one file of results."""
+    """Fits of all series of one results file."""
 
     fitted: tuple[Slope, ...]
     skipped: tuple[Skipped, ...]
 
     def of(self, role: str, figure: str) -> list[Slope]:
-        """Those of one figure of one role, one for each variable."""
+        """Slopes of one figure of one role, one for each variable."""
         return [slope for slope in self.fitted if (slope.role, slope.figure) == (role, figure)]
 
 
 def series(results: Results) -> dict[tuple[str, str, str], list[Observation]]:
-    """Observations by role, figure and variable: of each run the mean over the role's real processes."""
+    """Observations by role, figure and variable: for each run, the mean over the role's real processes."""
     found: dict[tuple[str, str, str], list[Observation]] = {}
     for point in results.points:
         values: dict[tuple[str, str], list[float]] = {}
@@ -295,7 +298,7 @@
 
 
 def slopes(results: Results) -> Slopes:
-    """Fit every series with enough sizes and runs. FitsError where numpy is missing."""
+    """Fit every series with enough sizes and runs. Raises FitsError where numpy is missing."""
     fitted, skipped = [], []
     for (role, figure, variable), observations in sorted(series(results).items()):
         why = _too_few(observations)
@@ -313,8 +316,8 @@
 
 def _too_few(observations: Sequence[Observation]) -> str:
     sizes = len({each.size for each in observations})
-    if sizes < SIZES_LEAST:
-        return f"{sizes} sizes, {SIZES_LEAST} are needed"
-    if len(observations) < RUNS_LEAST * sizes:
-        return f"{len(observations)} runs of {sizes} sizes, {RUNS_LEAST} of each are needed"
+    if sizes < MIN_SIZES:
+        return f"{sizes} sizes, {MIN_SIZES} are needed"
+    if len(observations) < MIN_RUNS_PER_SIZE * sizes:
+        return f"{len(observations)} runs of {sizes} sizes, {MIN_RUNS_PER_SIZE} of each are needed"
     return ""
--- a/sprucepost/scale/predictions.py
+++ b/sprucepost/scale/predictions.py
@@ -1,7 +1,8 @@
-"""What a fleet of the planned size costs each process, from the fits; headroom, and the size at which it first breaks.
+"""Predicted cost per process at the planned fleet size, headroom, and the size that first exceeds a budget.
 
-Variables are taken to add up: a figure at the plan is the figure at the base plus what each variable, moved alone, adds
-on its way from the base to the plan. What two variables cost together beyond that is not seen by runs that move one.
+The effects of variables are assumed to be additive: a figure at the planned size is the figure at the base size plus
+what each variable adds when it alone changes from its base to its planned value. Runs that change one variable at a time
+cannot show interactions between two variables.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 """Both directions."""
 CPU_CONTROL = "cpu_percent.control"
 BYTES_CONTROL = "bytes_per_s.control"
-"""All kinds of work but those in :data:`LOAD_KINDS`; this is what the plan's budgets bound."""
+"""All kinds of work except those in :data:`LOAD_KINDS`; the plan's budgets apply to this."""
 LOAD_KINDS = ("placements", "clients")
-"""Work that users ask for, as against control."""
+"""Work that users request, as opposed to control."""
 
 SMALLEST_FACTOR, FACTOR_STEP = 0.01, 0.01
-"""Shares of the plan that are looked at for the first one that breaks a budget."""
+"""First share of the plan, and step between shares, in the search for the first one that exceeds a budget."""
 
 RESOLUTION = {
     "cpu_percent": 0.1,
@@ -37,23 +38,23 @@
     "messages_in_per_s": 1.0,
     "descriptors": 3.0,
 }
-"""Differences too small to be told from a run's own unevenness. These are also the figures that are checked again."""
+"""Differences too small to distinguish from variation within a run. Only these figures are compared with new results."""
 
 
 class Target(Struct, frozen=True):
-    """The planned size and what a placer may spend there."""
+    """The planned size and the budget of a placer at that size."""
 
     name: str
     sizes: dict[str, float]
-    """By the names that results call their variables."""
+    """By variable name, as in results."""
     budget: dict[str, float]
-    """By figure, of one placer."""
+    """Budget of one placer, by figure."""
     budgeted: frozenset[str] = frozenset({"placer", "node"})
-    """Roles that the budget is for."""
+    """Roles to which the budget applies."""
 
 
 class Limit(StrEnum):
-    """Where a growing figure ends up."""
+    """Whether and where a figure exceeds its budget."""
 
     AT = "breaks"
     BELOW = "broken at every size"
@@ -61,18 +62,18 @@
 
 
 class Break(Struct, frozen=True):
-    """The share of the plan, all variables moved together, at which a budget is first exceeded."""
+    """The share of the plan, with all variables scaled together, at which a budget is first exceeded."""
 
     limit: Limit
     factor: float = math.nan
-    """Where ``limit`` is AT: that share of the plan. Where it is NONE: the largest share that was looked at."""
+    """Where ``limit`` is AT: that share of the plan. Where it is NONE: the largest share that was examined."""
     variable: str = ""
-    """What adds most there, and its size."""
+    """The variable that adds most at that share; ``size`` is its value there."""
     size: float = math.nan
 
 
 class Prediction(Struct, frozen=True):
-    """One figure of one role at the planned size; where a run at that size has measured it, that counts."""
+    """One figure of one role at the planned size; a measurement at that size takes precedence over the fit."""
 
     role: str
     figure: str
@@ -80,38 +81,38 @@
     """At the base size, as fitted."""
     at_plan: float
     error: float
-    """Absolute, in the figure's unit: the slopes' stated errors of what each says, as if independent."""
+    """Absolute, in the figure's unit: the slopes' stated errors, combined as if independent."""
     budget: float | None
     breaks: Break | None
     """None without a budget."""
     marked: tuple[str, ...]
-    """Variables that the plan moves more than four times beyond what was measured."""
+    """Variables whose planned size is more than four times the largest measured one."""
     unmeasured: tuple[str, ...]
-    """Variables of the plan that no slope of this figure covers."""
+    """Variables of the plan for which this figure has no slope."""
     measured: float | None = None
-    """In a run at the planned size."""
+    """Value measured in a run at the planned size."""
 
     @property
     def counts(self) -> float:
-        """What is known best of the figure at the planned size."""
+        """The best known value at the planned size: the measured one, else the predicted one."""
         return self.at_plan if self.measured is None else self.measured
 
     @property
     def headroom(self) -> float | None:
-        """Budget over the figure; below 1 it does not fit."""
+        """Budget divided by the figure; below 1 the budget is exceeded."""
         if self.budget is None:
             return None
         return self.budget / self.counts if self.counts > 0 else math.inf
 
     @property
     def refuted(self) -> bool:
-        """Whether the run at the planned size broke a budget that by the slopes holds there."""
+        """Whether a run at the planned size exceeded a budget that the slopes predict to hold there."""
         over = self.budget is not None and self.measured is not None and self.measured > self.budget
         return over and self.breaks is not None and self.breaks.limit is Limit.NONE
 
 
 class Comparison(Struct, frozen=True):
-    """A newly measured figure beside what the kept results predict."""
+    """A newly measured figure compared with the prediction of the kept results."""
 
     role: str
     figure: str
@@ -119,7 +120,7 @@
     size: float
     predicted: float
     allowed: float
-    """Absolute: the slope's stated error, or what no run can tell apart."""
+    """Absolute tolerance: the slope's stated error, but at least the figure's :data:`RESOLUTION`."""
     measured: float
 
     @property
@@ -137,18 +138,18 @@
 
 
 class Model(Struct, frozen=True):
-    """The slopes of one figure of one role, and the base that they share."""
+    """The slopes of one figure of one role, and their common base sizes."""
 
     slopes: tuple[Slope, ...]
     base: dict[str, float]
 
     def at(self, sizes: Mapping[str, float]) -> float:
-        """The figure where the variables have those sizes; one without a slope, or not given, counts for nothing."""
+        """The figure at those sizes; a variable that has no slope or is not given adds nothing."""
         return max(0.0, self.at_base + sum(self.added(slope, sizes) for slope in self.slopes))
 
     @property
     def at_base(self) -> float:
-        """Each slope has a say on the base; their mean is taken."""
+        """The figure at the base sizes: the mean of what the slopes predict."""
         return sum(slope.fit.at(self._base(slope)) for slope in self.slopes) / len(self.slopes)
 
     def added(self, slope: Slope, sizes: Mapping[str, float]) -> float:
@@ -156,7 +157,7 @@
         return slope.fit.at(sizes.get(slope.variable, self._base(slope))) - slope.fit.at(self._base(slope))
 
     def error(self, sizes: Mapping[str, float]) -> float:
-        """Absolute error at those sizes: a slope that adds nothing counts once, by the largest error at the base."""
+        """Absolute error at those sizes; where no slope adds anything, the largest stated error at the base."""
         moved = [(slope, self.added(slope, sizes)) for slope in self.slopes]
         parts = [slope.error * slope.fit.at(sizes[slope.variable]) for slope, added in moved if added]
         parts.append(max(slope.error for slope in self.slopes) * self.at_base if not parts else 0.0)
@@ -167,7 +168,7 @@
 
 
 def with_sums(results: Results) -> Results:
-    """The same results with the sums over directions and over the kinds of control, as far as their parts were measured."""
+    """The same results with sums over directions and over kinds of control added, where their parts were measured."""
 
     def summed(point: Point) -> Point:
         samples = (structs.replace(sample, figures=_summed(sample.figures)) for sample in point.samples)
@@ -200,8 +201,8 @@
     return {key: Model(tuple(each), dict(base)) for key, each in grouped.items()}
 
 
-_WHOLE_OF = {"cpu_percent": CPU_CONTROL, BYTES_PER_S: BYTES_CONTROL}
-"""Where control was not told apart, the whole is held against its budget: what fits as a whole fits."""
+_CONTROL_OF_TOTAL = {"cpu_percent": CPU_CONTROL, BYTES_PER_S: BYTES_CONTROL}
+"""Where control was not measured separately, the total is compared with its budget: control is at most the total."""
 
 
 def predictions(slopes: Slopes, base: Mapping[str, float], target: Target) -> list[Prediction]:
@@ -211,7 +212,7 @@
     for (role, figure), model in sorted(of_key.items()):
         covered = {slope.variable for slope in model.slopes}
         sizes = {variable: size for variable, size in target.sizes.items() if variable in covered}
-        part = _WHOLE_OF.get(figure, figure)
+        part = _CONTROL_OF_TOTAL.get(figure, figure)
         bounded = figure if (role, part) in of_key or figure in target.budget else part
         budget = target.budget.get(bounded) if role in target.budgeted else None
         found.append(
@@ -231,7 +232,10 @@
 
 
 def first_break(model: Model, sizes: Mapping[str, float], budget: float) -> Break:
-    """The least share of the plan at which the budget is exceeded; looked for as far as no variable needs a mark."""
+    """The smallest share of the plan at which the budget is exceeded.
+
+    The search ends where a variable would exceed four times its largest measured size, but not below the plan itself.
+    """
     largest = min(
         (4.0 * slope.largest / sizes[slope.variable] for slope in model.slopes if sizes.get(slope.variable)),
         default=1.0,
@@ -245,15 +249,15 @@
             continue
         if step == 0:
             return Break(Limit.BELOW)
-        dearest = max(model.slopes, key=lambda slope: model.added(slope, scaled))
-        return Break(Limit.AT, factor, dearest.variable, scaled.get(dearest.variable, math.nan))
+        costliest = max(model.slopes, key=lambda slope: model.added(slope, scaled))
+        return Break(Limit.AT, factor, costliest.variable, scaled.get(costliest.variable, math.nan))
     return Break(Limit.NONE, largest)
 
 
 def comparisons(of_key: Mapping[tuple[str, str], Model], measured: Results) -> list[Comparison]:
-    """New results beside the kept ones' predictions.
+    """Compare new results with the predictions of the kept ones.
 
-    Figures without a slope are not judged, nor are sizes beyond those that were measured for the kept results.
+    Figures without a slope are not compared, nor are sizes beyond those that were measured for the kept results.
     """
     found = []
     for (role, figure, variable), observations in sorted(series(measured).items()):
--- a/tests/scale/test_fits.py
+++ b/tests/scale/test_fits.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sprucepost.scale.fits import (
-    ERROR_LEAST,
+    MIN_STATED_ERROR,
     Observation,
     Shape,
     best_fit,
@@ -97,7 +97,7 @@
     assert {(s.role, s.figure, s.variable) for s in found.fitted} == {("placer", "cpu_percent", v) for v in SIZES}
     placers = next(slope for slope in found.fitted if slope.variable == "placers")
     assert len(placers.observations) == 12 and placers.fit.shape is Shape.LINEAR
-    assert placers.error >= ERROR_LEAST and placers.beyond(385) and not placers.beyond(384)
+    assert placers.error >= MIN_STATED_ERROR and placers.beyond(385) and not placers.beyond(384)
 
 
 @pytest.mark.parametrize(("sizes", "repeats"), [((12, 24, 48), 3), ((12, 24, 48, 96), 1)])
--- a/tests/scale/test_sweeps.py
+++ b/tests/scale/test_sweeps.py
@@ -6,7 +6,7 @@
 from msgspec import structs
 
 from sprucepost.scale import deployment
-from sprucepost.scale.fits import FARTHEST, SIZES_LEAST
+from sprucepost.scale.fits import MAX_EXTRAPOLATION_FACTOR, MIN_SIZES
 from sprucepost.scale.results import ResultsError
 from sprucepost.scale.size import VARIABLES
 from sprucepost.scale.sweeps import BASE, FULL, FULL_REPEATS, QUICK, measure_full, merged_results, planned_size
@@ -21,8 +21,8 @@
 
 @pytest.mark.parametrize("variable", sorted(FULL))
 def test_the_plan_is_close_enough_to_the_measured_sizes_for_predictions(variable: str) -> None:
-    assert len(FULL[variable]) >= SIZES_LEAST and FULL_REPEATS >= 3
-    assert target_of(size("two-years")).sizes[variable] <= FARTHEST * max(FULL[variable])
+    assert len(FULL[variable]) >= MIN_SIZES and FULL_REPEATS >= 3
+    assert target_of(size("two-years")).sizes[variable] <= MAX_EXTRAPOLATION_FACTOR * max(FULL[variable])
     assert getattr(BASE, variable) in FULL[variable]
 
 
