--- a/sprucepost/scale/__init__.py
+++ b/sprucepost/scale/__init__.py
@@ -1,1 +1,1 @@
-"""How the program's costs grow with the size of a fleet: a plan of that size, runs beside hollow processes, fits."""
+"""Measures how the program's costs grow with fleet size: plans of a size, runs beside hollow processes, and fits."""
--- a/sprucepost/scale/charts.py
+++ b/sprucepost/scale/charts.py
@@ -1,4 +1,4 @@
-"""Charts of measured figures and their fits: one HTML page with its tables."""
+"""Charts of measured figures and their fits, with tables, as one HTML page."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def report(run: KeptRun, target: Target, tables: list[Table]) -> str:
-    """The page of one run. ChartsUnavailable where matplotlib is missing."""
+    """HTML page of one run. Raises ChartsUnavailable where matplotlib is missing."""
     parts = [svg_element(_figure(slopes, target)) for slopes in _by_figure(run) if slopes]
     parts += [f"<h2>{table.name}</h2>" + html_table(table.head, table.rows) for table in tables if table.rows]
     return html_page(f"sprucepost scale, {run.results.version}", "".join(parts))
@@ -27,21 +27,21 @@
 
 
 def _figure(slopes: list[Slope], target: Target) -> Any:
-    """One chart for each variable: runs as dots, the fit as a line up to the plan, the budget as a dotted one."""
+    """One chart per variable: runs as dots, the fit as a line up to the planned size, the budget as a dotted line."""
     rows = -(-len(slopes) // COLUMNS)
     figure, axes = pyplot().subplots(rows, COLUMNS, figsize=(12, 3.2 * rows), squeeze=False)
     for each, slope in zip(axes.flat, slopes, strict=False):
         _chart(each, slope, target)
-    for spare in list(axes.flat)[len(slopes) :]:
-        spare.set_visible(False)
+    for unused in list(axes.flat)[len(slopes) :]:
+        unused.set_visible(False)
     figure.suptitle(f"{slopes[0].role}: {figure_name(slopes[0].figure)}")
     figure.tight_layout()
     return figure
 
 
 def _chart(axes: Any, slope: Slope, target: Target) -> None:
-    farthest = max(slope.largest, target.sizes.get(slope.variable, 0.0))
-    sizes = [farthest * n / CURVE_POINTS for n in range(CURVE_POINTS + 1)]
+    largest = max(slope.largest, target.sizes.get(slope.variable, 0.0))
+    sizes = [largest * n / CURVE_POINTS for n in range(CURVE_POINTS + 1)]
     axes.plot(
         [each.size for each in slope.observations], [each.value for each in slope.observations], "o", color=COLOURS[0]
     )
--- a/sprucepost/scale/demands.py
+++ b/sprucepost/scale/demands.py
@@ -1,4 +1,4 @@
-"""What a planned day demands, counted as met or missed, and what is missing first. Free of I/O.
+"""Demands of a planned day, counted as met or missed, and ranked by the harm of missing them. Performs no I/O.
 
 A run (or :mod:`sprucepost.scale.present`, from the plan alone) fills in :class:`Observed`; :func:`count` makes one
 :class:`Outcome` of each demand; :func:`rank` orders them.
@@ -9,17 +9,17 @@
 starts                 a task start of a class that is not urgent     later than the class's aim, or never
 urgent starts          a task start of the class with the least aim   the same
 gangs                  a gang                                         some of its tasks started late or never, or some
-                                                                      started where others didn't
+                                                                      started while others did not
 quotas                 a task start                                   made while its team had its quota running
 changes                a change at a process                          in force there later than the bound, or never
 processor, memory,     a process                                      above the budget
 bytes
-regions                a second of the year                           regions are apart and nothing tells them so
+regions                a second of the year                           regions are partitioned and nothing detects it
 ====================== ============================================== ==================================================
 
-Harm is told in three currencies, each as a share of what the whole day has, so that unlike demands can be compared:
-task starts, their worth (settings: ``work.classes``), and time (of tasks, or of processes, whichever the demand is
-about). The weights between them are an assumption; :mod:`sprucepost.scale.sensitivity` varies it.
+Harm is expressed in three measures, each as a share of the whole day's total, so that different demands can be compared:
+task starts, their worth (settings: ``work.classes``), and time (of tasks or of processes, depending on the demand).
+The weights between them are an assumption; :mod:`sprucepost.scale.sensitivity` varies it.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Demand(Enum):
-    """What the users ask of a planned day."""
+    """What users require of a planned day."""
 
     STARTS = "starts"
     URGENT_STARTS = "urgent starts"
@@ -47,18 +47,18 @@
 
 
 class Basis(Enum):
-    """What a count rests on."""
+    """Source of a count."""
 
     MEASURED = "measured"
     DERIVED = "derived from the plan"
     NOT_CARRIED = "not carried"
-    """No part of the program does it: every instance counts as missed."""
+    """The program does not implement it: every instance counts as missed."""
     OPEN = "not measured"
 
 
 @dataclass(frozen=True, slots=True)
 class Harm:
-    """What missed demands cost, as shares from 0 to 1 of the day's task starts, their worth, and time."""
+    """Cost of missed demands, as shares from 0 to 1 of the day's task starts, their worth, and time."""
 
     starts: float = 0.0
     worth: float = 0.0
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """One demand on one day; ``missed`` and ``harm`` are None where nothing tells."""
+    """One demand on one day; ``missed`` and ``harm`` are None where they are unknown."""
 
     demand: Demand
     demanded: float
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartsObserved:
-    """Task starts of one class."""
+    """Observed task starts of one class."""
 
     task_class: str
     started: int
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GangsObserved:
-    """Sums over the gangs that did not start whole and in time."""
+    """Totals over the gangs of which not all tasks started in time."""
 
     missed: float
     tasks: float
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotasObserved:
-    """Starts that were made while their team had its quota running, and the time of tasks beyond quotas."""
+    """Starts made while the team was already at its quota, and the run time of tasks beyond quotas."""
 
     starts: float
     worth: float
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangesObserved:
-    """Changes times processes that were late; what was placed by, and how long processes had, an old configuration."""
+    """Late changes (counted per process), the starts placed by an outdated configuration, and for how long it was used."""
 
     late: float
     starts: float
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessObserved:
-    """What one process used; None where it was not measured."""
+    """Resources that one process used; None where not measured."""
 
     cpu_percent: float | None = None
     memory_mib: float | None = None
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Observed:
-    """What a run saw of a plan's day. None: not observed."""
+    """What a run observed of a planned day; None where not observed."""
 
     basis: dict[Demand, Basis]
     starts: tuple[StartsObserved, ...] = ()
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Weights:
-    """How much a share of each currency counts."""
+    """Relative weight of each measure of harm."""
 
     starts: float = 1.0
     worth: float = 1.0
@@ -159,14 +159,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Ranked:
-    """An outcome and its score; ``score`` is None where nothing tells."""
+    """An outcome and its score; ``score`` is None where the harm is unknown."""
 
     outcome: Outcome
     score: float | None
 
 
 def count(plan: Plan, observed: Observed) -> tuple[Outcome, ...]:
-    """Each demand of the plan's day, met or missed, in the order of :class:`Demand`."""
+    """Count each demand of the planned day as met or missed, in the order of :class:`Demand`."""
     urgent = min(plan.size.work.classes, key=lambda each: each.aim_ms).name
     budgets, processes = plan.size.budgets, observed.processes
     counted = {
@@ -184,13 +184,13 @@
 
 
 def rank(outcomes: Iterable[Outcome], weights: Weights = EQUAL) -> tuple[Ranked, ...]:
-    """The worst first; what nothing tells about comes last."""
+    """Outcomes by descending score; those of unknown harm come last."""
     ranked = [Ranked(each, None if each.harm is None else weights.score(each.harm)) for each in outcomes]
     return tuple(sorted(ranked, key=lambda each: (each.score is None, -(each.score or 0.0), each.outcome.demand.value)))
 
 
 def first(outcomes: Iterable[Outcome], weights: Weights = EQUAL) -> Demand | None:
-    """The demand that is missing first; None where none is known to be missed."""
+    """The demand with the highest score; None where none is known to be missed."""
     top = rank(outcomes, weights)[0]
     return top.outcome.demand if top.score else None
 
@@ -208,7 +208,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Count:
-    """Instances of one demand; the latter two are None where nothing tells."""
+    """Instances of one demand; ``missed`` and ``harm`` are None where they are unknown."""
 
     demanded: float
     missed: float | None = None
@@ -225,15 +225,17 @@
     return Harm(starts / plan.tasks, worth / day_worth(plan), task_s / plan.task_seconds)
 
 
-def _starts(plan: Plan, observed: Sequence[StartsObserved], concerns: Callable[[str], bool]) -> _Count:
-    """Late starts of some classes. Counts of a run that is shorter than the day are scaled to the day's."""
+def _starts(plan: Plan, observed: Sequence[StartsObserved], selects: Callable[[str], bool]) -> _Count:
+    """Late starts of the selected classes. Counts of a run shorter than a day are scaled to the whole day."""
     worths = class_worths(plan)
-    asked = {name: sum(job.tasks for job in plan.jobs if job.task_class == name) for name in worths if concerns(name)}
-    seen = {each.task_class: each for each in observed if each.task_class in asked and each.started}
-    demanded = float(sum(asked.values()))
+    requested = {
+        name: sum(job.tasks for job in plan.jobs if job.task_class == name) for name in worths if selects(name)
+    }
+    seen = {each.task_class: each for each in observed if each.task_class in requested and each.started}
+    demanded = float(sum(requested.values()))
     if not seen:
         return _Count(demanded)
-    late = {name: asked[name] * each.late / each.started for name, each in seen.items()}
+    late = {name: requested[name] * each.late / each.started for name, each in seen.items()}
     missed = sum(late.values())
     worth = sum(late[name] * worths[name] for name in late)
     return _Count(demanded, missed, Harm(missed / plan.tasks, worth / day_worth(plan), missed / plan.tasks))
@@ -262,7 +264,7 @@
 
 
 def _budget(plan: Plan, budget: float, figures: Sequence[float | None]) -> _Count:
-    """Placers above a budget; time counts by how far above they are, twice the budget in full."""
+    """Placers above a budget. Time harm grows with the excess and reaches 1 at twice the budget."""
     demanded = float(plan.size.placers)
     over = [max(0.0, figure / budget - 1.0) for figure in figures if figure is not None]
     if not over:
@@ -272,11 +274,11 @@
 
 
 def _regions(plan: Plan, known: bool | None) -> _Count:
-    """Seconds of a year with regions apart; all that is asked meanwhile counts."""
-    apart_s = plan.size.disruptions.region_cuts_per_year * plan.size.disruptions.region_cut_s
+    """Seconds of a year in which regions are partitioned; all work requested in that time counts as harmed."""
+    partitioned_s = plan.size.disruptions.region_cuts_per_year * plan.size.disruptions.region_cut_s
     if known is None:
-        return _Count(apart_s)
+        return _Count(partitioned_s)
     if known:
-        return _Count(apart_s, 0.0, Harm())
-    share = apart_s / (YEAR_DAYS * DAY_S)
-    return _Count(apart_s, apart_s, Harm(share, share, share))
+        return _Count(partitioned_s, 0.0, Harm())
+    share = partitioned_s / (YEAR_DAYS * DAY_S)
+    return _Count(partitioned_s, partitioned_s, Harm(share, share, share))
--- a/sprucepost/scale/kept.py
+++ b/sprucepost/scale/kept.py
@@ -1,4 +1,4 @@
-"""The results that a checkout keeps: ``scale*.json`` in one folder, told apart by their names."""
+"""Results stored in the repository: the ``scale*.json`` files of one folder, distinguished by file name."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 class KeptRun(Struct, frozen=True):
-    """One file of results and what follows from it."""
+    """One results file, with the fits derived from it."""
 
     file: str
     results: Results
-    """With the sums."""
+    """Includes the sums that :func:`with_sums` adds."""
     slopes: Slopes
 
     def models(self) -> dict[tuple[str, str], Model]:
-        """By role and figure."""
+        """Models by role and figure."""
         return models(self.slopes, self.results.base)
 
     def predictions(self, target: Target) -> list[Prediction]:
@@ -44,12 +44,12 @@
         return predictions(self.slopes, self.results.base, target)
 
     def roles(self) -> set[str]:
-        """Roles that it has samples of."""
+        """Roles of which the run has samples."""
         return {sample.role for point in self.results.points for sample in point.samples}
 
 
 def means(results: Results) -> dict[tuple[str, str], float]:
-    """By role and figure, over all processes and runs."""
+    """Mean of each figure by role and figure, over all processes and runs."""
     values: dict[tuple[str, str], list[float]] = {}
     for point in results.points:
         for sample in point.samples:
@@ -59,14 +59,14 @@
 
 
 class Calibration(Struct, frozen=True):
-    """The same fleet with hollow and with real companions."""
+    """Results of the same fleet beside hollow and beside real processes."""
 
     hollow: Results
     real: Results
 
 
 class Kept(Struct, frozen=True):
-    """All of a folder."""
+    """All results in a folder."""
 
     runs: tuple[KeptRun, ...]
     state: StateFile | None
@@ -75,7 +75,7 @@
     """A run at the planned size itself."""
 
     def predictions(self, run: KeptRun, target: Target) -> list[Prediction]:
-        """Of a run, with what was measured at the planned size where that is the target's."""
+        """Predictions of a run, with values measured at the planned size where that size matches the target."""
         found = run.predictions(target)
         if self.at_plan is None or any(self.at_plan.base.get(name) != size for name, size in target.sizes.items()):
             return found
@@ -83,23 +83,23 @@
         return [structs.replace(each, measured=measured.get((each.role, each.figure))) for each in found]
 
     def run_of(self, role: str) -> KeptRun | None:
-        """The run that measured a role; the first by its file's name."""
+        """The run that measured a role; the first by file name."""
         return next((run for run in self.runs if role in run.roles()), None)
 
 
 def kept_run(path: Path) -> KeptRun:
-    """Read one file and fit it. ResultsError, FitsError."""
+    """Read one file and fit it. Raises ResultsError or FitsError."""
     results = with_sums(load(path))
     return KeptRun(path.name, results, slopes(results))
 
 
 def read_kept(folder: Path) -> Kept:
-    """Read all of a folder. ResultsError where there is nothing or a file cannot be read; FitsError without numpy."""
+    """Read all results in a folder. Raises ResultsError where it has none or one is unreadable, FitsError without numpy."""
     paths = sorted(folder.glob(RUN_PATTERN))
     if not paths:
         raise ResultsError(f"{folder}: no {RUN_PATTERN}")
-    apart = {STATE_FILE, AT_PLAN_FILE, *CALIBRATION_FILES}
-    runs = tuple(kept_run(path) for path in paths if path.name not in apart)
+    special_files = {STATE_FILE, AT_PLAN_FILE, *CALIBRATION_FILES}
+    runs = tuple(kept_run(path) for path in paths if path.name not in special_files)
     state = folder / STATE_FILE
     hollow, real = (folder / name for name in CALIBRATION_FILES)
     at_plan = folder / AT_PLAN_FILE
@@ -113,8 +113,8 @@
 
 
 def compared(kept: Kept, measured: Results) -> list[Comparison]:
-    """New results beside the predictions of every kept run.
+    """Compare new results with the predictions of every kept run.
 
-    Processor times are compared as they were measured, so a machine of another speed shows as rows that do not hold.
+    Processor times are compared as measured, so on a machine of a different speed these comparisons do not hold.
     """
     return [each for run in kept.runs for each in comparisons(run.models(), measured)]
--- a/sprucepost/scale/page.py
+++ b/sprucepost/scale/page.py
@@ -1,4 +1,4 @@
-"""``docs/CAPACITY.md``: tables between markers, written from kept results; whether page and results agree.
+"""Tables in ``docs/CAPACITY.md``: writes them between markers from kept results and checks that they agree.
 
 <!-- table: NAME -->
 | written | by the command |
@@ -16,7 +16,7 @@
 
 
 def markdown(table: Table) -> str:
-    """Its lines, with a newline after each."""
+    """The table as Markdown lines, each with a trailing newline."""
     if not table.rows:
         return "Not measured.\n"
     lines = [table.head, tuple("---" for _ in table.head), *table.rows]
@@ -24,7 +24,7 @@
 
 
 def filled(page: str, tables: Sequence[Table]) -> str:
-    """The page with those tables; what stands between other markers stays."""
+    """The page with those tables filled in; text between other markers is unchanged."""
     texts = {table.name: markdown(table) for table in tables}
 
     def block(found: re.Match[str]) -> str:
@@ -35,7 +35,7 @@
 
 
 def problems(page: str, tables: Sequence[Table]) -> list[str]:
-    """Where the page does not say what the results say, a line each."""
+    """Differences between the page and the results, one line each."""
     found = {match["name"]: match["body"] for match in _BLOCK.finditer(page)}
     texts = {table.name: markdown(table) for table in tables}
     lines = [f"no markers for the table {name}" for name in texts if name not in found]
--- a/sprucepost/scale/plan.py
+++ b/sprucepost/scale/plan.py
@@ -1,7 +1,7 @@
-"""A day of a fleet, drawn from its size and a seed: where everything stands, what is asked, changed and broken.
+"""One generated day of a fleet: topology, jobs, configuration changes and disruptions, from its size and a seed.
 
-The same size, seed and day draw the same plan. Each subject has a stream of random numbers of its own, so that a
-special day differs from the ordinary one of that seed only in what makes it special. Moments are seconds from midnight.
+The same size, seed and kind of day give the same plan. Each subject has its own random stream, so that a special day
+differs from the ordinary day of the same seed only in what defines it. Times are seconds from midnight.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from sprucepost.scale.settings import DAY_S, FleetSize
 
 LIFE_SIGMA = 1.0
-"""Of the lognormal distribution of how long jobs run: most are short, a few last for hours."""
+"""Sigma of the lognormal distribution of job run times: most are short, a few last for hours."""
 LONGEST_JOB = 20
-"""Tasks of a job that is no gang, at most, as a multiple of their mean."""
+"""Most tasks of a job that is not a gang, as a multiple of the mean of such jobs."""
 FIT_STEPS = 20
-"""Halvings of the interval in which the scale of run times is sought."""
+"""Bisection steps in the search for the scale of run times."""
 LONGEST_MEAN_LIFE_S = DAY_S
 HOUR_S = 3600.0
 MINUTE_S = 60.0
@@ -32,11 +32,11 @@
 
     ORDINARY = "ordinary"
     DOMINANT_TEAM = "dominant-team"
-    """One team asks for most of the jobs."""
+    """One team submits most of the jobs."""
     RACK = "rack"
-    """A rack goes while machines are being restarted."""
+    """A rack fails while machines are being restarted."""
     ZONE = "zone"
-    """A zone goes at the peak."""
+    """A zone fails at the peak."""
     REGION_CUT = "region-cut"
     """The first region is cut off from the others at the peak, and both sides change configuration meanwhile."""
 
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a process stands; ``rack`` is unique within the fleet."""
+    """Location of a process; ``rack`` is unique within the fleet."""
 
     region: str
     zone: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """Tasks that are asked for at one moment."""
+    """Tasks that are submitted together; each runs for ``life_s`` seconds."""
 
     at_s: float
     team: int
@@ -79,14 +79,14 @@
     at_s: float
     placer: int
     team: int | None
-    """Whose setting it is; None where it concerns everybody."""
+    """The team whose setting changes; None where the change applies to the whole fleet."""
     reloadable: bool
-    """Whether a running placer takes it; else only a restart does."""
+    """Whether a running placer can reload it; otherwise it needs a restart."""
 
 
 @dataclass(frozen=True, slots=True)
 class Disruption:
-    """``workers`` are away, or on the far side of a cut, from ``at_s`` for ``length_s``."""
+    """``workers`` are down, or on the far side of a partition, from ``at_s`` for ``length_s`` seconds."""
 
     at_s: float
     length_s: float
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One drawn day. Workers, placers and teams are numbered from 0 by their index."""
+    """One generated day. Workers, placers and teams are identified by their index from 0."""
 
     size: FleetSize
     seed: int
@@ -105,30 +105,30 @@
     workers: tuple[Place, ...]
     placers: tuple[Place, ...]
     quotas: tuple[int, ...]
-    """Tasks that each team may have running."""
+    """Most tasks that each team may have running."""
     jobs: tuple[Job, ...]
     changes: tuple[Change, ...]
     disruptions: tuple[Disruption, ...]
 
     @cached_property
     def tasks(self) -> int:
-        """Task starts of the day."""
+        """Number of task starts in the day."""
         return sum(job.tasks for job in self.jobs)
 
     @cached_property
     def task_seconds(self) -> float:
-        """Seconds that all tasks of the day run."""
+        """Total run time of all tasks of the day, in seconds."""
         return sum(job.tasks * job.life_s for job in self.jobs)
 
 
 @dataclass(frozen=True, slots=True)
 class PressedRates:
-    """Rates of a pressed run, in events a second.
+    """Event rates of a time-compressed (pressed) run, in events per second.
 
-    Pressed are the events whose handling is measured as a cost for each one: changes of configuration, restarts and
-    failures. Task starts come at the peak's own rate, and heartbeats, aims, time-outs and the bound on changes keep
-    their durations: pressing those would measure another program. A figure for each pressed event is multiplied by the
-    rate of the day, not of the run.
+    Only events whose handling is measured as a cost per event are compressed: configuration changes, restarts and
+    failures. Task starts come at the unchanged peak rate, and heartbeats, aims, time-outs and the bound on changes keep
+    their durations: compressing those would measure a different program. The cost of each compressed event is multiplied
+    by the rate of the day, not of the run.
     """
 
     press: float
@@ -139,7 +139,7 @@
 
 
 def pressed_rates(size: FleetSize, press: float = HOUR_S / MINUTE_S) -> PressedRates:
-    """The rates of a run that presses ``press`` seconds of the day into one."""
+    """Rates of a run that compresses ``press`` seconds of the day into one second."""
     return PressedRates(
         press=press,
         task_starts=size.work.peak_starts_per_s,
@@ -150,7 +150,7 @@
 
 
 def draw(size: FleetSize, seed: int, day: Day = Day.ORDINARY) -> Plan:
-    """The plan of one day."""
+    """Generate the plan of one day."""
     workers = _places(size, size.workers, size.workers_per_rack)
     shares = team_shares(size, day)
     jobs = _jobs(size, seed, shares)
@@ -168,18 +168,18 @@
 
 
 def running_peak(jobs: Iterable[Job]) -> int:
-    """The most tasks that run at a time."""
+    """Largest number of tasks that run at the same time."""
     return max(level for _, level in running_course(jobs))
 
 
 def running_course(jobs: Iterable[Job]) -> list[tuple[float, int]]:
-    """How many tasks run from each moment on, in order. What runs past midnight counts at the day's beginning: the day is
-    one of many alike."""
+    """Number of running tasks from each time on, in order. Tasks that run past midnight count at the beginning of the day,
+    as if identical days followed each other."""
     return _course((job.at_s, job.life_s, job.tasks) for job in jobs)
 
 
 def _course(spans: Iterable[tuple[float, float, int]]) -> list[tuple[float, int]]:
-    """The same of moments, lengths and tasks."""
+    """As :func:`running_course`, from start times, durations and task counts."""
     steps: list[tuple[float, int]] = []
     carried = 0
     for at_s, length_s, tasks in spans:
@@ -202,7 +202,7 @@
 
 
 def _places(size: FleetSize, count: int, per_rack: int) -> tuple[Place, ...]:
-    """As many in each zone, one more in the first where they don't divide."""
+    """Places spread evenly over zones; the first zones get one more where the count does not divide evenly."""
     places = []
     for n in range(count):
         region, zone = size.zones[n % len(size.zones)]
@@ -212,7 +212,10 @@
 
 
 def _quotas(size: FleetSize, seed: int, shares: Sequence[float]) -> tuple[int, ...]:
-    """A multiple of what a team holds at the peak, half of that for a few; every team may start one largest gang."""
+    """Quota of each team: a multiple of its running tasks at the peak, or half of those tasks for over-asking teams.
+
+    Every team may run at least one gang of the largest size.
+    """
     rng = Rng(f"quotas {seed}")
     over_asking = set(rng.sample(range(len(shares)), round(size.teams.over_asking * len(shares))))
     quotas = []
@@ -240,8 +243,8 @@
 
 
 def _job_size(size: FleetSize, rng: Rng) -> tuple[int, bool]:
-    """Tasks of one job, and whether it is a gang. Gangs are drawn evenly on a logarithmic scale; other jobs fill up to
-    the mean of all."""
+    """Number of tasks of one job, and whether it is a gang. Gang sizes are uniform on a logarithmic scale; the sizes of
+    other jobs give the configured mean over all jobs."""
     work = size.work
     gang = rng.random() < work.gang_share
     if gang:
@@ -254,7 +257,7 @@
 
 
 def _single_mean(size: FleetSize) -> float:
-    """Tasks of a job that is no gang, mean: what the mean of all leaves for them."""
+    """Mean number of tasks of a job that is not a gang, derived from the mean over all jobs."""
     work = size.work
     if work.gang_share >= 1.0:
         return 1.0
@@ -264,7 +267,7 @@
 
 
 def _peak_jobs(drawn: Sequence[tuple[int, bool]], tasks: float) -> int:
-    """How many of the first jobs together ask for ``tasks``."""
+    """Number of leading jobs that together have at least ``tasks`` tasks."""
     total = 0
     for number, (size, _) in enumerate(drawn):
         if total >= tasks:
@@ -278,7 +281,7 @@
 
 
 def _moment(size: FleetSize, rng: Rng) -> float:
-    """A moment of the day; more around the peak hour."""
+    """Random time of the day, denser around the peak hour."""
     swing = size.work.daily_swing
     while True:
         at_s = rng.uniform(0.0, DAY_S)
@@ -288,7 +291,7 @@
 
 
 def _scaled_lives(jobs: Sequence[Job], running: int) -> tuple[Job, ...]:
-    """The jobs, their run times scaled so that at most ``running`` tasks run at a time."""
+    """The jobs, with run times scaled so that at most ``running`` tasks run at the same time."""
 
     def fits(mean_s: float) -> bool:
         spans = ((job.at_s, min(DAY_S, job.life_s * mean_s), job.tasks) for job in jobs)
@@ -299,7 +302,7 @@
 
 
 def _greatest(holds: Callable[[float], bool], most: float) -> float:
-    """The greatest number up to ``most`` for which a condition holds that ends at some number."""
+    """The greatest number up to ``most`` that meets a monotonic condition (true below some threshold), by bisection."""
     low, high = 0.0, most
     for _ in range(FIT_STEPS):
         middle = (low + high) / 2
@@ -322,7 +325,7 @@
 
 
 def _changes_during_cut(size: FleetSize, rng: Rng) -> list[Change]:
-    """One more on each side, so that every such day has some."""
+    """One additional change in each region, so that every day with a partition has some during it."""
     start, length = size.work.peak_hour * HOUR_S, size.disruptions.region_cut_s
     places = _places(size, size.placers, size.workers_per_rack)
     found = []
@@ -354,7 +357,7 @@
 def _of_single_workers(
     size: FleetSize, rng: Rng, kind: DisruptionKind, per_day: float, mean_s: float
 ) -> list[Disruption]:
-    """As many as the rate says, a fraction by chance, evenly over the day."""
+    """Disruptions at the given rate, uniform over the day; the fractional part is rounded at random."""
     count = int(per_day) + (rng.random() < per_day % 1.0)
     found = []
     for _ in range(count):
--- a/sprucepost/scale/planned.py
+++ b/sprucepost/scale/planned.py
@@ -1,6 +1,6 @@
-"""Tables that follow from the planned size itself: what each failure takes away, and what a drawn day is not given.
+"""Tables derived from the planned size itself: what each failure removes, and which demands of a day are not met.
 
-The second takes what one placer costs from the kept runs where they have measured it.
+The demands table takes the cost of one placer from the kept runs where they have measured it.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 
 def control_zones(size: FleetSize) -> dict[str, int]:
-    """Control machines by zone, handed out in turn."""
+    """Number of control machines by zone, assigned round-robin."""
     zones = [zone for _, zone in size.zones]
     machines = size.budgets.control_machines
     return {zone: machines // len(zones) + (n < machines % len(zones)) for n, zone in enumerate(zones)}
 
 
 def days_table(size: FleetSize) -> Table:
-    """A row for each kind of failure. Workers, placers and tasks are taken as even over zones."""
+    """A row for each kind of failure, assuming that workers, placers and tasks are spread evenly over zones."""
     head = (
         "what goes",
         "how often",
@@ -45,20 +45,20 @@
         "control machines",
         COMMAND_COLUMN,
     )
-    fails = size.disruptions
+    rates = size.disruptions
     zones, zone_machines = len(size.zones), max(control_zones(size).values())
     smaller = min(size.regions, key=lambda region: len(region.zones))
-    apart = len(smaller.zones) / zones
-    apart_machines = sum(control_zones(size)[zone] for zone in smaller.zones)
+    cut_share = len(smaller.zones) / zones
+    cut_machines = sum(control_zones(size)[zone] for zone in smaller.zones)
     rack = size.workers_per_rack / size.workers
     rows = (
-        ("a worker", f"{number(fails.failures_per_day)} a day", fails.failure_s, 1.0 / size.workers, 0.0, 0),
-        ("a worker, replaced", f"{number(fails.restarts_per_day)} a day", fails.restart_s, 1.0 / size.workers, 0.0, 0),
-        ("a rack", _yearly(fails.rack_outages_per_year), fails.rack_outage_s, rack, 0.0, 0),
-        ("a zone", _yearly(fails.zone_outages_per_year), fails.zone_outage_s, 1.0 / zones, 1.0 / zones, zone_machines),
+        ("a worker", f"{number(rates.failures_per_day)} a day", rates.failure_s, 1.0 / size.workers, 0.0, 0),
+        ("a worker, replaced", f"{number(rates.restarts_per_day)} a day", rates.restart_s, 1.0 / size.workers, 0.0, 0),
+        ("a rack", _yearly(rates.rack_outages_per_year), rates.rack_outage_s, rack, 0.0, 0),
+        ("a zone", _yearly(rates.zone_outages_per_year), rates.zone_outage_s, 1.0 / zones, 1.0 / zones, zone_machines),
         (
-            f"the link to region {smaller.name}", _yearly(fails.region_cuts_per_year), fails.region_cut_s, apart, apart,
-            apart_machines,
+            f"the link to region {smaller.name}", _yearly(rates.region_cuts_per_year), rates.region_cut_s, cut_share,
+            cut_share, cut_machines,
         ),
     )  # fmt: skip
     return Table("days", head, tuple(_row(size, *row) for row in rows))
@@ -87,7 +87,7 @@
 
 
 def demands_table(kept: Kept, size: FleetSize, target: Target) -> Table:
-    """What a drawn day asks for and is not given, the worst first."""
+    """Demands of a generated day and how far they are missed, the worst first."""
     head = ("demand", "of a day", "missed", "score", "known from", "why", COMMAND_COLUMN)
     plan = draw(size, PLAN_SEED)
     ranked = rank(count(plan, _with_costs(observe(plan), kept, target)))
@@ -107,7 +107,7 @@
 
 
 def _with_costs(observed: Observed, kept: Kept, target: Target) -> Observed:
-    """Costs of a placer at the plan as the kept runs predict them, in place of what is known from elsewhere."""
+    """Replace the observed costs of a placer by those that the kept runs give for the planned size."""
     run = kept.run_of("placer")
     if run is None:
         return observed
--- a/sprucepost/scale/present.py
+++ b/sprucepost/scale/present.py
@@ -1,16 +1,18 @@
-"""What the program carries today of a planned day, as far as plan and code tell without a run. Free of I/O.
-
-What no part of the program does is counted as missed in full (:attr:`Basis.NOT_CARRIED`). Where something that exists
-can be made to serve, how well it serves is an assumption and stands in :class:`Assumptions`, with its source.
-
-- Changes: no process hears of another's change. A running placer takes five keys at SIGHUP (``settings.reload``), each
-  process by its own file; all other keys need a restart of every placer. ``fleet roll`` restarts the placers of one machine.
-- Gangs: a request is one task. Neither front has a word for tasks that start together, nor does the module hold room for
-  some until the others have theirs.
-- Quotas: a placer multiplies its own traffic by the number of placers (``scheduler._effective_worth``) and lowers the worth
-  of a team that is surely above its quota; nothing refuses or holds such a task, so every start beyond a quota happens.
-- Regions: a member of the view names its host and its room; nothing names a region.
-- Starts, memory and bytes at this size: to be measured. Nothing is said about them here.
+"""What the current program supports of a planned day, derived from plan and code without a run. Performs no I/O.
+
+Demands that the program does not implement are counted as missed in full (:attr:`Basis.NOT_CARRIED`). Where an existing
+mechanism can be used instead, how well it works is an assumption, listed in :class:`Assumptions`.
+
+- Changes: no process is notified of another's change. A running placer reloads five keys at SIGHUP
+  (``settings.reload``), each process from its own file; all other keys need a restart of every placer. ``fleet roll``
+  restarts the placers of one machine.
+- Gangs: a request is one task. Neither front has a message for tasks that start together, nor does the decision module
+  reserve capacity for some until the others have theirs.
+- Quotas: a placer multiplies its own traffic by the number of placers (``scheduler._effective_worth``) and lowers the
+  worth of a team that is certainly above its quota; nothing rejects or delays such a task, so every start beyond a quota
+  happens.
+- Regions: a member of the view names its host and its capacity; nothing names a region.
+- Starts, memory and bytes at this size need a measurement and are not estimated here.
 """
 
 from __future__ import annotations
@@ -34,35 +36,35 @@
 from sprucepost.scale.settings import DAY_S
 
 ROLL_S_PER_PROCESS = 54.0 / 350.0
-"""A measured roll of 350 placers on one machine (docs/results/fleet-350.json): the quickest way to a new setting."""
+"""From a rolling restart of 350 placers on one machine (docs/results/fleet-350.json): the fastest way to apply a setting."""
 HAND_S_PER_PROCESS = 10.0
-"""An operator writes one file on one machine and sends one signal: an assumption, and a short time for that."""
+"""An operator writes one file on one machine and sends one signal; an assumption on the short side."""
 QUIET_VIEW_CPU_PERCENT = 1.79
-"""100 placers with a view on eight cores (docs/results.md); not measured at 300."""
+"""CPU of a placer among 100 with a view, on eight cores (docs/results.md); not measured at 300."""
 PROCESS_SAMPLES = 10
-"""Processes get a change one after the other; so many of them, evenly spaced, stand for all."""
+"""Number of evenly spaced processes that represent all; processes get a change one after the other."""
 
 
 @dataclass(frozen=True, slots=True)
 class Assumptions:
-    """How well what exists can be made to serve."""
+    """How well existing mechanisms can be made to serve."""
 
     rollout_s_per_process: float | None = None
-    """Each process gets a change this long after the one before it, one change after the other; None: no process gets
-    it by anything that the program does."""
+    """Each process gets a change this many seconds after the previous one, and changes are rolled out one after the other.
+    None: the program delivers changes to no process."""
     member_late: float | None = None
-    """Probability that one task of a gang starts late or never, each by itself; None: no gang counts as whole."""
+    """Probability that one task of a gang starts late or never, independently; None: no gang counts as complete."""
     stale_effect: float = 1.0
-    """Share of what is placed by an old configuration that the new one would have had otherwise."""
+    """Share of the placements by an outdated configuration that the new one would have made differently."""
     cpu_percent: float | None = QUIET_VIEW_CPU_PERCENT
 
 
 STRICT = Assumptions()
-"""What is not carried is missed."""
+"""Every demand that the program does not implement counts as missed."""
 
 
 def observe(plan: Plan, assumptions: Assumptions = STRICT) -> Observed:
-    """The plan's day with the program as it is."""
+    """Observations of the planned day with the current program."""
     processes = () if assumptions.cpu_percent is None else (ProcessObserved(cpu_percent=assumptions.cpu_percent),)
     return Observed(
         basis={
@@ -92,7 +94,7 @@
 
 
 def gangs(plan: Plan, member_late: float | None) -> GangsObserved:
-    """Gangs that are not whole, where each member starts or not by itself."""
+    """Incomplete gangs, where each member starts in time or not independently of the others."""
     worths = class_worths(plan)
     missed = tasks = worth = task_s = 0.0
     for job in plan.jobs:
@@ -107,7 +109,7 @@
 
 
 def quotas(plan: Plan) -> QuotasObserved:
-    """Starts beyond quotas, and the time that tasks beyond quotas run, where nothing holds them back."""
+    """Starts beyond quotas and the run time of those tasks, where nothing delays them."""
     worths = class_worths(plan)
     by_team: dict[int, list[Job]] = {}
     for job in plan.jobs:
@@ -122,7 +124,7 @@
 
 
 def _beyond(jobs: Sequence[Job], quota: int) -> list[tuple[Job, int]]:
-    """The tasks of each job that start while their team's quota is taken. The day begins with nothing running."""
+    """The tasks of each job that start while their team's quota is used up. The day begins with nothing running."""
     found = []
     running: list[tuple[float, int]] = []  # end, tasks
     for job in jobs:
@@ -136,8 +138,8 @@
 
 
 def unseen_excess(quota: int, held: float, placers: int) -> float:
-    """Probability that a placer does not take a team for above its quota, of which all placers together hold ``held`` tasks
-    of one core. A placer holds a Poisson number of them, and its rule is ``scheduler._effective_worth``'s."""
+    """Probability that a placer does not recognize a team as above its quota, where all placers together hold ``held``
+    one-core tasks of it. The number per placer is Poisson distributed; the rule is ``scheduler._effective_worth``'s."""
     mean = held / placers
     unseen, chance, number = 0.0, math.exp(-mean), 0
     while (number - 2 * math.sqrt(number)) * placers <= quota:
@@ -148,7 +150,7 @@
 
 
 def changes(plan: Plan, rollout_s_per_process: float | None, stale_effect: float = 1.0) -> ChangesObserved:
-    """What happens by an old configuration until each process has had each change, times ``stale_effect``."""
+    """Effects of outdated configuration until each process has received each change, times ``stale_effect``."""
     processes = plan.size.processes
     bound_s = plan.size.changes.in_force_ms / 1000.0
     begun = _rollouts(plan, rollout_s_per_process)
@@ -170,7 +172,7 @@
 
 
 def _rollouts(plan: Plan, s_per_process: float | None) -> list[float]:
-    """When each change begins to be rolled out: after the one before it has been."""
+    """When the rollout of each change begins: after the previous one has finished."""
     free_s, begun = 0.0, []
     for change in plan.changes:
         at_s = max(change.at_s, free_s)
@@ -180,7 +182,7 @@
 
 
 def _covered(windows: Sequence[tuple[float, float]]) -> float:
-    """Seconds that lie in any of the windows."""
+    """Total length of the union of the windows, in seconds."""
     return sum(end - start for start, end in _merged(windows))
 
 
@@ -215,7 +217,7 @@
 
 
 def _lookup(windows: Sequence[tuple[float, float]]) -> Callable[[float], bool]:
-    """Whether a moment lies in any of the windows."""
+    """Return a function that tells whether a time lies in any of the windows."""
     merged = _merged(windows)
     begins = [start for start, _ in merged]
 
--- a/sprucepost/scale/sensitivity.py
+++ b/sprucepost/scale/sensitivity.py
@@ -1,7 +1,7 @@
-"""Whether the ranking's first place hangs on one assumption: each is moved alone, then those of the counting together.
+"""Sensitivity of the top-ranked demand: varies each assumption alone, then those of the counting together.
 
-What is moved: the weights of the currencies, what the plan draws (shares that the users' figures leave open), and how
-well what exists can be made to serve (:class:`sprucepost.scale.present.Assumptions`).
+The assumptions are the weights of the measures of harm, the parameters of the plan (shares that the users' figures leave
+open), and how well existing mechanisms can be made to serve (:class:`sprucepost.scale.present.Assumptions`).
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One assumption moved, and the two that come first then."""
+    """One varied assumption, and the two demands that then rank highest."""
 
     assumption: str
     value: str
@@ -47,13 +47,13 @@
 
     @property
     def margin(self) -> float:
-        """How many times the score of the second the first has."""
+        """Ratio of the first demand's score to the second's."""
         low = self.second.score or 0.0
         return (self.first.score or 0.0) / low if low else float("inf")
 
 
 def cases(size: FleetSize, seed: int) -> Iterator[Case]:
-    """One assumption moved at a time; the first case is with none moved."""
+    """Vary one assumption at a time; the first case is the unchanged one."""
     plan = draw(size, seed)
     strict = count(plan, observe(plan))
     for name, weights in WEIGHTS.items():
@@ -68,8 +68,8 @@
 
 
 def together(size: FleetSize, seed: int) -> dict[str, Counter[Demand]]:
-    """How often each demand comes first over all weights and ways of counting at a time, by how changes are rolled out
-    and how likely a member of a gang is late."""
+    """How often each demand ranks first over all combinations of weights and stale effects, by how changes are rolled out
+    and how likely a gang member is late."""
     plan = draw(size, seed)
     firsts: dict[str, Counter[Demand]] = {}
     for (rollout, s_per_process), (late, member_late) in product(ROLLOUTS.items(), MEMBERS_LATE.items()):
@@ -93,7 +93,7 @@
 
 
 def _sizes(size: FleetSize) -> Iterator[tuple[str, str, FleetSize]]:
-    """The same users' figures with another share or shape where they leave it open."""
+    """Sizes with one parameter changed that the users' figures leave open."""
     for part, key, values in (
         ("work", "gang_share", (0.02, 0.3)),
         ("work", "tasks_per_job", (3.0, 30.0)),
--- a/sprucepost/scale/settings.py
+++ b/sprucepost/scale/settings.py
@@ -1,8 +1,8 @@
-"""The size of a fleet as one JSON file: what its users plan for, what they allow for control, and what fails how often.
+"""Settings that describe the size of a fleet, as one JSON file: planned load, control budgets and failure rates.
 
-``deploy/scale/two-years.json`` is the size the project is designed for, ``deploy/scale/small.json`` the one CI draws.
-Rates are of the whole fleet. What a plan needs beyond the users' figures (shares, shapes) is a key of its own, so that
-no assumption stands in the code.
+``deploy/scale/two-years.json`` is the size the project is designed for, ``deploy/scale/small.json`` the one used in CI.
+Rates are of the whole fleet. What a plan needs beyond the users' figures (shares, shapes) has its own key, so that no
+assumption is hidden in the code.
 """
 
 from __future__ import annotations
@@ -122,16 +122,16 @@
 
     @property
     def zones(self) -> list[tuple[str, str]]:
-        """Region and zone, in the file's order."""
+        """Pairs of region and zone names, in the order of the file."""
         return [(region.name, zone) for region in self.regions for zone in region.zones]
 
     @property
     def processes(self) -> int:
-        """Those that must follow each change of configuration: all placers, and one on each control machine."""
+        """Number of processes that must apply each configuration change: all placers, and one per control machine."""
         return self.placers + self.budgets.control_machines
 
     def problems(self) -> list[str]:
-        """Combinations that cannot be, one line each, with the key's path."""
+        """Invalid combinations of values, one line each, with the key's path."""
         found = []
         for key, names in (
             ("regions", [region.name for region in self.regions]),
--- a/sprucepost/scale/tables.py
+++ b/sprucepost/scale/tables.py
@@ -1,4 +1,4 @@
-"""The tables of a scale run: for a terminal, and for ``docs/CAPACITY.md``. What was not measured says so."""
+"""Tables of scale results for a terminal and for ``docs/CAPACITY.md``. Missing measurements are marked as such."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 NOT_MEASURED = "not measured"
 COMMAND_COLUMN = "command"
 SHARE_SHOWN = 0.05
-"""Of a figure at the plan: what adds less is not in the table of growth."""
+"""Share of a figure at the plan below which a variable's contribution is left out of the growth table."""
 FLEET_TIMES = ("start_p99_ms", "start_worst_ms", "change_in_force")
-"""Beginnings of the names of a fleet's figures that are times."""
+"""Name prefixes of the fleet's figures that are times."""
 BUDGETED = (CPU_CONTROL, "memory_mib", BYTES_CONTROL)
 WHOLE = ("cpu_percent", "bytes_per_s")
-"""What the budgeted figures are parts of."""
+"""Totals of which the budgeted figures are parts."""
 
 
 class Table(Struct, frozen=True):
-    """Text by rows; ``name`` is that of its markers on the page."""
+    """Rows of text; ``name`` is the name in the table's markers on the page."""
 
     name: str
     head: tuple[str, ...]
@@ -44,7 +44,7 @@
 
 
 def all_tables(kept: Kept, target: Target) -> list[Table]:
-    """Every table of the page, in its order."""
+    """All tables of the page that follow from kept results, in page order."""
     tables = [
         roles_table(kept, target),
         budgets_table(kept, target),
@@ -88,7 +88,7 @@
 
 
 def _command(kept: Kept, run: KeptRun, shown: Iterable[Prediction]) -> str:
-    """What gave a row: the sweep, and the run at the planned size where that has measured some of it."""
+    """Commands that produced a row: the sweep, and the run at the planned size where it measured some of the row."""
     both = kept.at_plan is not None and any(each.measured is not None for each in shown)
     return f"`{run.results.command}`" + (f", `{kept.at_plan.command}`" if both and kept.at_plan else "")
 
@@ -110,7 +110,7 @@
 
 
 def predicted_text(prediction: Prediction) -> str:
-    """A prediction with its error, marked where it goes too far."""
+    """A prediction with its error, marked where it extrapolates too far."""
     mark = " \N{DAGGER}" if prediction.marked else ""
     return f"{number(prediction.at_plan)} \N{PLUS-MINUS SIGN} {number(prediction.error)}{mark}"
 
@@ -140,7 +140,7 @@
 
 
 def break_text(prediction: Prediction) -> str:
-    """Where a budget is first exceeded, in words."""
+    """Text that says where a budget is first exceeded."""
     where = prediction.breaks
     if where is None:
         return "-"
@@ -157,7 +157,7 @@
 
 
 def budgets_table(kept: Kept, target: Target) -> Table:
-    """Each budget of each role that has one: as measured at the base, and at the planned size."""
+    """Each budget of each role that has one, with the figure at the base and at the planned size."""
     costs = ("at the base", "predicted", "measured at the plan", "budget", "headroom", "first breaks at")
     head = ("role", "figure", *costs, COMMAND_COLUMN)
     rows = []
@@ -176,7 +176,7 @@
 
 
 def at_plan_table(kept: Kept, measured: Results) -> Table:
-    """A run at the planned size beside what the slopes predict for it, all variables at once."""
+    """A run at the planned size compared with the slopes' predictions for it, with all variables changed at once."""
     head = ("role", "figure", "predicted", "measured", "difference", "within the stated error", COMMAND_COLUMN)
     rows = []
     for each in (each for run in kept.runs for each in run_comparisons(run, measured)):
@@ -191,7 +191,7 @@
 
 
 def run_comparisons(run: KeptRun, measured: Results) -> list[Comparison]:
-    """Budgeted figures, and what they are held against, at the sizes of a run that is larger than all that were fitted."""
+    """Compare budgeted figures and their totals with a run larger than all fitted ones, at that run's sizes."""
     found = []
     values = means(measured)
     for (role, figure), model in sorted(run.models().items()):
@@ -206,7 +206,7 @@
 
 
 def state_table(kept: Kept, target: Target) -> Table:
-    """Entries that each role holds at the planned size, and what one takes."""
+    """State entries that each role holds at the planned size, and the size of one entry."""
     head = ("role", "entry", "entries at the plan", "encoded, B", "in memory, B", "in memory, all", COMMAND_COLUMN)
     if kept.state is None:
         return Table("state", head, ())
@@ -232,7 +232,7 @@
 
 
 def growth_table(kept: Kept, target: Target) -> Table:
-    """What adds to a budgeted figure on the way from the base to the plan."""
+    """Variables that increase a budgeted figure between the base size and the plan."""
     head = ("role", "figure", "grows with", "as", "measured up to", "plan", "adds", "hold-out error", COMMAND_COLUMN)
     rows = []
     for run in kept.runs:
@@ -288,7 +288,7 @@
 
 
 def starts_table(kept: Kept) -> Table:
-    """What the whole fleet showed: times from start to running and of changes, over all runs of a file. No prediction."""
+    """Start and change times measured over the whole fleet, for all runs of a file. Contains no predictions."""
     head = ("figure", "events", "median of the runs", "worst", "with", "load average then", COMMAND_COLUMN)
     rows = []
     for results in [run.results for run in kept.runs] + ([kept.at_plan] if kept.at_plan is not None else []):
@@ -307,13 +307,13 @@
 
 
 def _events(point: Point, name: str) -> float:
-    """How many events a time is taken over."""
+    """Number of events from which a time was computed."""
     task_class = name.partition(".")[2]
     return point.fleet.get(f"started.{task_class}" if task_class else "changes_in_force", 0.0)
 
 
 def slopes_table(run: KeptRun) -> Table:
-    """Every slope of a run, for a terminal."""
+    """Slopes of a run that are not constant, for a terminal."""
     head = ("role", "figure", "variable", "shape", "sizes", "hold-out", "stated error")
     rows = tuple(
         (
@@ -332,7 +332,7 @@
 
 
 def calibration_table(calibration: Calibration) -> Table:
-    """The real neighbours' figures beside hollow and beside real companions."""
+    """Figures of the same real placers beside hollow and beside real processes."""
     head = ("figure", "beside real", "deviation", "beside hollow", "difference", "within 10 %", COMMAND_COLUMN)
     rows = tuple(
         (
@@ -344,11 +344,11 @@
     return Table("calibration", head, rows)
 
 
-# Words and numbers
+# Text and number formats
 
 
 def number(value: float) -> str:
-    """Three digits, without an exponent."""
+    """Format with three significant digits, without an exponent."""
     if math.isnan(value):
         return "-"
     if math.isinf(value):
@@ -361,19 +361,19 @@
 
 
 def percent(share: float) -> str:
-    """A signed share as whole per cent."""
+    """Format a signed share as a whole percentage."""
     return "-" if not math.isfinite(share) else f"{100.0 * share:+.0f} %"
 
 
 def figure_name(figure: str) -> str:
-    """A figure for readers: ``cpu_percent.control`` as ``cpu (control)``."""
+    """Readable name of a figure: ``cpu_percent.control`` as ``cpu (control)``."""
     stem, _, kind = figure.partition(".")
     name = stem.removesuffix("_percent").removesuffix("_mib").removesuffix("_per_s").replace("_", " ")
     return f"{name} ({kind})" if kind else name
 
 
 def commands(tables: Iterable[Table]) -> list[str]:
-    """The cells that name commands."""
+    """The cells of the command column of all tables."""
     return [
         row[table.head.index(COMMAND_COLUMN)] for table in tables for row in table.rows if COMMAND_COLUMN in table.head
     ]
--- a/sprucepost/scale/target.py
+++ b/sprucepost/scale/target.py
@@ -1,4 +1,4 @@
-"""The planned fleet in the terms of predictions: sizes by the names of a run's variables, budgets by figure."""
+"""Converts the planned fleet size to a prediction target: sizes by variable name, budgets by figure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def target_of(size: FleetSize) -> Target:
-    """The target that a settings file states."""
+    """The prediction target of a fleet size."""
     return Target(
         size.name,
         {
--- a/tests/scale/generated.py
+++ b/tests/scale/generated.py
@@ -1,4 +1,4 @@
-"""Results as a scale run would keep them, drawn from known growth with noise: what the fits have to find again."""
+"""Synthetic scale results with known growth and noise, which the fits must recover."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sprucepost.scale.results import FORMAT, Point, Results, Sample
 
 Growth = Callable[[float], float]
-"""What one variable adds to a figure at a size, from 0 at its base."""
+"""What one variable adds to a figure at a given size; 0 at its base."""
 
 BASE = {"placers": 24.0, "workers": 24.0, "teams": 4.0}
 SIZES = {"placers": (12, 24, 48, 96), "workers": (24, 50, 100, 200), "teams": (4, 8, 16, 32)}
--- a/tests/scale/test_demands.py
+++ b/tests/scale/test_demands.py
@@ -1,4 +1,4 @@
-"""What a planned day demands: counts, harm, the order, and what the present program carries of it."""
+"""Demands of a planned day: counts, harm, ranking, and what the current program supports."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_fits.py
+++ b/tests/scale/test_fits.py
@@ -1,4 +1,4 @@
-"""Fits find the growth that generated results were drawn from, and what grows with the square."""
+"""Fits recover the growth of generated results and detect quadratic growth."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_plan.py
+++ b/tests/scale/test_plan.py
@@ -1,4 +1,4 @@
-"""A drawn day: the same by its seed, within the size's bounds, at its rates."""
+"""Generated days are reproducible by seed, stay within the size's bounds and have its rates."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_predictions.py
+++ b/tests/scale/test_predictions.py
@@ -1,4 +1,4 @@
-"""Predictions for a planned size, budgets, marks, and what new results contradict."""
+"""Predictions for a planned size: budgets, extrapolation marks, and contradictions by new results."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def deviations(kept: Results, measured: Results) -> list[Comparison]:
-    """What does not hold of the predictions."""
+    """Comparisons that do not hold."""
     return [each for each in comparisons(models(slopes(kept), kept.base), measured) if not each.holds]
 
 
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_twice_the_processor_time_is_told_and_nothing_else(seed: int) -> None:
-    """Also of a program that is as it was, on a machine half as fast: processor times are compared as measured."""
+    """Processor times are compared as measured, so an unchanged program on a machine half as fast is reported too."""
     kept, points = generated(FIGURES, seed), []
     for point in generated(FIGURES, 50 + seed).points:
         samples = tuple(
--- a/tests/scale/test_settings.py
+++ b/tests/scale/test_settings.py
@@ -1,4 +1,4 @@
-"""The size of a fleet as a file: what stands in the issue's, and what is refused."""
+"""Fleet size settings: the values of the shipped file, and files that are rejected."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_tables.py
+++ b/tests/scale/test_tables.py
@@ -1,4 +1,4 @@
-"""Tables from kept results, the page that holds them, and the commands around both."""
+"""Tables from kept results, the page that contains them, and the commands that write and check both."""
 
 from __future__ import annotations
 
@@ -158,7 +158,7 @@
 
 
 def test_what_was_measured_at_the_planned_size_counts_before_the_prediction(folder: Path) -> None:
-    """Memory that holds at the plan by the slopes, and was measured twice above its budget there."""
+    """Memory is predicted to be within its budget at the plan, but was measured there at twice the budget."""
     at_plan = generated({"memory_mib": (256.0, {})}, 9)
     results.save(structs.replace(at_plan, base=dict(TARGET.sizes)), folder / "scale-at-plan.json")
     budgets = next(each for each in all_tables(read_kept(folder), TARGET) if each.name == "budgets")
