--- a/tests/scale/test_demands.py
+++ b/tests/scale/test_demands.py
@@ -44,14 +44,14 @@
     return Plan(drawn.size, 0, Day.ORDINARY, drawn.workers, drawn.placers, (quota,) * 12, jobs, changed, ())
 
 
-def test_what_was_not_observed_is_open_and_ranked_last() -> None:
+def test_unobserved_demands_are_open_and_ranked_last() -> None:
     outcomes = count(plan(), Observed(basis={}))
     assert [each.demand for each in outcomes] == list(Demand)
     assert all(each.basis is Basis.OPEN and each.missed is None and each.harm is None for each in outcomes)
     assert all(each.score is None for each in rank(outcomes)) and first(outcomes) is None
 
 
-def test_a_day_on_which_all_is_met_has_nothing_that_is_missing_first() -> None:
+def test_a_day_that_meets_every_demand_has_no_first_missed_demand() -> None:
     met = Observed(
         basis={},
         starts=tuple(StartsObserved(each.name, 100, 0) for each in size().work.classes),
@@ -74,7 +74,7 @@
     assert math.isclose(harm_of(urgent).worth, 5 * tasks / 2 / day_worth(plan()))
 
 
-def test_a_broken_budget_counts_by_how_far_it_is_broken() -> None:
+def test_an_exceeded_budget_counts_by_its_excess() -> None:
     processes = (ProcessObserved(1.7, 64, None), ProcessObserved(2.55, 512, None))
     found = by_demand(count(plan(), Observed(basis={}, processes=processes)))
     assert math.isclose(harm_of(found[Demand.PROCESSOR]).time, 0.25)
@@ -82,7 +82,7 @@
     assert found[Demand.BYTES].basis is Basis.OPEN
 
 
-def test_weights_decide_between_currencies() -> None:
+def test_weights_decide_between_measures_of_harm() -> None:
     outcomes = (
         Outcome(Demand.GANGS, 1, 1, Harm(starts=0.5), Basis.DERIVED),
         Outcome(Demand.QUOTAS, 1, 1, Harm(time=0.3), Basis.DERIVED),
@@ -91,7 +91,7 @@
     assert rank(outcomes, Weights(1, 1, 2))[0].score == 0.15
 
 
-def test_a_change_is_late_by_its_place_in_the_rollout() -> None:
+def test_lateness_of_a_change_depends_on_the_position_in_the_rollout() -> None:
     """Fifteen processes a second apart: a tenth of them each, at 0.75 s, 2.25 s, 3.75 s and so on."""
     jobs = (Job(100.0, 0, "batch", 10, False, 60.0),)
     late = changes(hand_made(jobs, (Change(99.0, 0, None, False),)), 1.0)
@@ -99,7 +99,7 @@
     assert math.isclose(late.process_s, 15 * 7.5)
 
 
-def test_a_change_concerns_its_team_and_waits_for_the_one_before() -> None:
+def test_a_change_affects_its_team_and_waits_for_the_previous_one() -> None:
     jobs = (Job(100.0, 1, "batch", 10, False, 60.0), Job(102.0, 2, "batch", 1, False, 60.0))
     changed = (Change(99.0, 0, 2, True), Change(99.0, 0, 3, True))
     assert math.isclose(changes(hand_made(jobs, changed), 1.0).starts, 0.8)
@@ -111,7 +111,7 @@
     assert math.isclose(one_after_the_other, 15 * (15 + 7.5))
 
 
-def test_gangs_are_whole_only_if_each_member_starts() -> None:
+def test_gangs_are_complete_only_if_each_member_starts() -> None:
     jobs = (Job(1.0, 0, "batch", 2, True, 10.0), Job(2.0, 0, "batch", 50, False, 10.0))
     found = gangs(hand_made(jobs), 0.5)
     assert (found.missed, found.tasks, found.task_s) == (0.75, 1.5, 15.0)
@@ -128,13 +128,13 @@
     assert quotas(hand_made(jobs)) == QuotasObserved(2, 4, 20.0)
 
 
-def test_a_placer_among_hundreds_hardly_sees_a_team_above_its_quota() -> None:
+def test_a_placer_among_hundreds_rarely_detects_a_team_above_its_quota() -> None:
     assert unseen_excess(64, 128, 300) > 0.99
     assert unseen_excess(64, 6400, 300) < 0.05 and unseen_excess(64, 6400, 1) == 0.0
     assert all(0 <= unseen_excess(quota, held, 9) <= 1 for quota in (1, 50) for held in (0.0, 1.0, 500.0))
 
 
-def test_what_nothing_carries_is_missed_in_full_and_said_so() -> None:
+def test_unimplemented_demands_are_missed_in_full_and_marked() -> None:
     found = by_demand(count(plan(), observe(plan())))
     for demand in (Demand.GANGS, Demand.CHANGES, Demand.REGIONS):
         assert found[demand].basis is Basis.NOT_CARRIED and found[demand].missed == found[demand].demanded
@@ -154,7 +154,7 @@
             assert all(-1e-9 <= share <= 1 + 1e-9 for share in (harm.starts, harm.worth, harm.time))
 
 
-def test_the_sensitivity_moves_each_assumption_and_is_the_same_again() -> None:
+def test_sensitivity_varies_each_assumption_and_is_reproducible() -> None:
     found = list(cases(size(), 1))
     assert found == list(cases(size(), 1))
     moved = {case.assumption for case in found}
--- a/tests/scale/test_fits.py
+++ b/tests/scale/test_fits.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("shape", [Shape.CONSTANT, Shape.LOGARITHMIC, Shape.LINEAR])
-def test_the_shape_is_found_again(shape: Shape) -> None:
+def test_the_generating_shape_is_recovered(shape: Shape) -> None:
     found = [best_fit(observed(GROWTHS[shape], seed)).shape for seed in range(100)]
     assert found.count(shape) >= 90
 
@@ -69,18 +69,18 @@
 
 
 @pytest.mark.parametrize("shape", list(Shape))
-def test_allowed_growth_is_no_finding(shape: Shape) -> None:
+def test_allowed_growth_is_not_reported(shape: Shape) -> None:
     found = [grows_too_fast(observed(GROWTHS[shape], seed)) for seed in range(200)]
     assert sum(found) <= 2
 
 
-def test_a_figure_that_falls_and_levels_off_is_no_finding() -> None:
+def test_a_figure_that_falls_and_levels_off_is_not_reported() -> None:
     """A share of a fixed load: fewer tasks for each placer, the more placers there are."""
     found = [grows_too_fast(observed(lambda n: 600.0 / n - 8.0, seed, noise=0.05)) for seed in range(200)]
     assert sum(found) == 0
 
 
-def test_growth_with_the_square_is_found() -> None:
+def test_quadratic_growth_is_detected() -> None:
     found = [grows_too_fast(observed(lambda n: 0.1 * n + 0.01 * n * n, seed)) for seed in range(100)]
     assert sum(found) >= 95
 
@@ -108,7 +108,7 @@
     assert "needed" in found.skipped[0].why
 
 
-def test_without_numpy_one_plain_line_is_told() -> None:
+def test_without_numpy_the_error_is_one_line() -> None:
     program = (
         "import sys; sys.modules['numpy'] = None\n"
         "from sprucepost.scale.fits import FitsError, Observation, best_fit\n"
--- a/tests/scale/test_plan.py
+++ b/tests/scale/test_plan.py
@@ -17,7 +17,7 @@
 SEEDS = range(1, 9)
 
 
-def test_one_seed_draws_one_day_and_another_a_different_one() -> None:
+def test_a_seed_reproduces_its_day_and_another_seed_differs() -> None:
     assert draw(size(), 3) == draw(size(), 3)
     assert draw(size(), 3).jobs != draw(size(), 4).jobs
 
@@ -79,7 +79,7 @@
     assert set(Counter(place.rack for place in found.workers).values()) == {20}
 
 
-def test_a_few_teams_ask_for_most() -> None:
+def test_a_few_teams_submit_most_jobs() -> None:
     asked = Counter(job.team for job in plan(name="two-years").jobs)
     assert sum(count for _, count in asked.most_common(23)) > 0.6 * 16_000
 
@@ -93,7 +93,7 @@
     assert all(each.quotas == plan(seed).quotas for seed, each in zip(SEEDS, dominant, strict=True))
 
 
-def test_most_is_asked_around_the_peak_hour() -> None:
+def test_most_jobs_are_submitted_around_the_peak_hour() -> None:
     for seed in SEEDS:
         near = sum(abs(job.at_s / 3600.0 - 14.0) < 6.0 for job in plan(seed).jobs)
         assert near > 0.65 * len(plan(seed).jobs)
@@ -103,7 +103,7 @@
     "day, kind, count",
     [(Day.RACK, DisruptionKind.RACK, 5), (Day.ZONE, DisruptionKind.ZONE, 10)],
 )
-def test_a_group_goes_at_the_peak_while_machines_restart(day: Day, kind: DisruptionKind, count: int) -> None:
+def test_a_rack_or_zone_fails_at_the_peak_while_machines_restart(day: Day, kind: DisruptionKind, count: int) -> None:
     for seed in SEEDS:
         (group,) = [each for each in plan(seed, day).disruptions if each.kind is kind]
         assert group.at_s == 14 * 3600.0 and len(group.workers) == count
@@ -113,7 +113,7 @@
         assert tuple(others) == plan(seed).disruptions
 
 
-def test_both_sides_of_a_cut_change_configuration() -> None:
+def test_both_sides_of_a_partition_change_configuration() -> None:
     for seed in SEEDS:
         cut_day = plan(seed, Day.REGION_CUT)
         (cut,) = [each for each in cut_day.disruptions if each.kind is DisruptionKind.REGION_CUT]
@@ -122,7 +122,7 @@
         assert {cut_day.workers[worker].region for worker in cut.workers} == {"north"}
 
 
-def test_a_fraction_of_an_outage_a_day_comes_as_often_as_it_says() -> None:
+def test_fractional_daily_rates_occur_at_their_rate() -> None:
     rates = msgspec.structs.replace(size().disruptions, failures_per_day=0.3, restarts_per_day=0)
     work = msgspec.structs.replace(size().work, jobs_per_day=20, peak_s=1, peak_starts_per_s=1)
     rare = msgspec.structs.replace(size(), disruptions=rates, work=work)
@@ -130,7 +130,7 @@
     assert set(days) == {0, 1} and 0.23 < sum(days) / len(days) < 0.37
 
 
-def test_pressed_rates_press_what_happens_and_not_how_long_it_takes() -> None:
+def test_pressed_rates_scale_events_and_not_durations() -> None:
     rates = pressed_rates(size("two-years"))
     assert rates.press == 60.0 and rates.task_starts == 65
     assert math.isclose(rates.changes * 60.0, 640 / 24) and math.isclose(rates.restarts * 60.0, 370 / 24)
--- a/tests/scale/test_predictions.py
+++ b/tests/scale/test_predictions.py
@@ -48,14 +48,14 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_variables_add_up_from_the_base(seed: int) -> None:
+def test_effects_of_variables_are_additive_from_the_base(seed: int) -> None:
     found = predicted(generated(FIGURES, seed), "cpu_percent")
     assert found.base == pytest.approx(0.8, rel=0.05)
     assert found.at_plan == pytest.approx(0.8 + 0.004 * 276 + 0.001 * 976, rel=0.15)
     assert found.error > 0.0 and found.budget is None and found.breaks is None
 
 
-def test_what_is_far_beyond_the_measured_sizes_is_marked() -> None:
+def test_far_extrapolations_are_marked() -> None:
     found = predicted(generated(FIGURES, 1), "cpu_percent")
     assert found.marked == ("workers",)  # 1,000 of 200 measured; 300 placers of 96 are not
 
@@ -90,7 +90,7 @@
     assert sample[BYTES_CONTROL] == sample["bytes_out_per_s.list"] + sample["bytes_in_per_s.list"]
 
 
-def test_the_whole_is_held_against_the_budget_of_control_where_that_was_not_told_apart() -> None:
+def test_the_total_is_compared_with_the_control_budget_where_control_was_not_measured() -> None:
     apart: dict[str, tuple[float, dict[str, Growth]]] = {"cpu_percent": (3.0, {}), "cpu_percent.peers": (1.0, {})}
     budget = {CPU_CONTROL: 1.7}
     for figures, bounded in ((apart, [CPU_CONTROL]), ({"cpu_percent": (3.0, {})}, ["cpu_percent"])):
@@ -99,7 +99,7 @@
         assert [each.figure for each in found if each.budget is not None] == bounded
 
 
-def test_a_variable_that_was_not_moved_is_named() -> None:
+def test_an_unmeasured_variable_is_named() -> None:
     results = generated(FIGURES, 1)
     found = predictions(slopes(results), results.base, Target("other", {**PLAN, "regions": 2.0}, {}))
     assert all(each.unmeasured == ("regions",) for each in found)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_planted_cost_with_the_square_of_the_fleet_is_found(seed: int) -> None:
+def test_a_planted_quadratic_cost_is_detected(seed: int) -> None:
     honest, slow = generated(FIGURES, seed), planted(generated(FIGURES, 200 + seed), 1e-4)
     assert too_fast(slopes(honest).fitted) == []
     assert too_fast(slopes(slow).fitted) == ["placer cpu_percent grows faster than n log n with placers"]
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_twice_the_processor_time_is_told_and_nothing_else(seed: int) -> None:
+def test_doubled_processor_time_is_the_only_contradiction(seed: int) -> None:
     """Processor times are compared as measured, so an unchanged program on a machine half as fast is reported too."""
     kept, points = generated(FIGURES, seed), []
     for point in generated(FIGURES, 50 + seed).points:
--- a/tests/scale/test_settings.py
+++ b/tests/scale/test_settings.py
@@ -63,7 +63,7 @@
     assert lines(raw) == [f"f: {line}"]
 
 
-def test_a_peak_that_is_most_of_the_day_is_refused() -> None:
+def test_a_peak_that_is_most_of_the_day_is_rejected() -> None:
     raw = msgspec.to_builtins(size())
     raw["work"].update(jobs_per_day=10, peak_starts_per_s=20)
     assert lines(raw) == ["f: work.peak_starts_per_s: the peak alone would be over half of a day's 80 tasks"]
--- a/tests/scale/test_tables.py
+++ b/tests/scale/test_tables.py
@@ -107,48 +107,48 @@
     assert status == 0, text
 
 
-def test_a_page_that_was_edited_by_hand_is_told(folder: Path) -> None:
+def test_a_page_edited_by_hand_is_reported(folder: Path) -> None:
     page = folder / "page.md"
     page.write_text(page.read_text().replace("`generated`", "`other`", 1))
     status, text = check(folder)
     assert status == 1 and "the table roles is not what the results say" in text
 
 
-def test_a_page_without_a_table_is_told(folder: Path) -> None:
+def test_a_page_without_a_table_is_reported(folder: Path) -> None:
     page = folder / "page.md"
     page.write_text(page.read_text().replace("<!-- table: growth -->", ""))
     status, text = check(folder)
     assert status == 1 and "no markers for the table growth" in text
 
 
-def test_a_row_without_a_command_is_told() -> None:
+def test_a_row_without_a_command_is_reported() -> None:
     table = Table("roles", ("role", COMMAND_COLUMN), (("placer", "-"), ("node", "`sprucepost scale run`")))
     page = filled("<!-- table: roles -->\n<!-- end of roles -->", [table])
     assert problems(page, [table]) == ["the row placer of roles names no command"]
 
 
-def test_what_stands_outside_the_markers_stays() -> None:
+def test_text_outside_the_markers_is_unchanged() -> None:
     table = Table("roles", ("role", COMMAND_COLUMN), (("a|b", "`x`"),))
     page = "before\n<!-- table: roles -->\nold\n<!-- end of roles -->\nafter\n"
     assert filled(page, [table]) == f"before\n<!-- table: roles -->\n{markdown(table)}<!-- end of roles -->\nafter\n"
     assert "a\\|b" in markdown(table)
 
 
-def test_growth_with_the_square_fails_the_check(folder: Path) -> None:
+def test_quadratic_growth_fails_the_check(folder: Path) -> None:
     results.save(planted(generated(FIGURES, 4), 1e-4), folder / "scale.json")
     assert write(folder)[0] == 0
     status, text = check(folder)
     assert status == 1 and "cpu_percent grows faster than n log n with placers" in text
 
 
-def test_a_planted_slowdown_is_found_by_new_measurements(folder: Path) -> None:
+def test_a_planted_slowdown_is_detected_by_new_measurements(folder: Path) -> None:
     kept = Kept((kept_run(folder / "scale.json"),), None, None)
     honest, slow = generated(FIGURES, 50, repeats=1), planted(generated(FIGURES, 50, repeats=1), 1e-4)
     assert all(each.holds for each in compared(kept, honest))
     assert {(each.figure, each.size) for each in compared(kept, slow) if not each.holds} >= {("cpu_percent", 96.0)}
 
 
-def test_a_run_at_the_planned_size_is_held_against_what_the_slopes_say(folder: Path) -> None:
+def test_a_run_at_the_planned_size_is_compared_with_the_predictions(folder: Path) -> None:
     """The same figures as at the base, at a size at which they should have grown: most do not agree."""
     measured = structs.replace(generated(FIGURES, 9), base={**BASE, "placers": 300.0, "workers": 800.0})
     results.save(measured, folder / "scale-at-plan.json")
@@ -157,7 +157,7 @@
     assert holds["cpu (control)"] == holds["cpu"] == "no" and all(row[-1] == "`generated`" for row in table.rows)
 
 
-def test_what_was_measured_at_the_planned_size_counts_before_the_prediction(folder: Path) -> None:
+def test_a_measurement_at_the_planned_size_takes_precedence(folder: Path) -> None:
     """Memory is predicted to be within its budget at the plan, but was measured there at twice the budget."""
     at_plan = generated({"memory_mib": (256.0, {})}, 9)
     results.save(structs.replace(at_plan, base=dict(TARGET.sizes)), folder / "scale-at-plan.json")
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("broken", ["no file", "not JSON", "another format"])
-def test_results_that_cannot_be_read_are_one_plain_line(tmp_path: Path, broken: str) -> None:
+def test_unreadable_results_are_reported_in_one_line(tmp_path: Path, broken: str) -> None:
     path = tmp_path / "scale.json"
     if broken == "not JSON":
         path.write_text("{")
@@ -198,12 +198,12 @@
     assert status == 2 and text.startswith("sprucepost: ") and text.count("\n") == 1
 
 
-def test_a_folder_without_results_is_one_plain_line(tmp_path: Path) -> None:
+def test_a_folder_without_results_is_reported_in_one_line(tmp_path: Path) -> None:
     status, text = run("check", "--folder", str(tmp_path), "--page", str(tmp_path / "page.md"))
     assert status == 2 and RUN_PATTERN in text and text.count("\n") == 1
 
 
-def test_without_numpy_the_command_tells_it_in_one_line(folder: Path) -> None:
+def test_without_numpy_the_command_reports_it_in_one_line(folder: Path) -> None:
     program = "import sys; sys.modules['numpy'] = None; from sprucepost.cli.main import main; main()"
     command = [sys.executable, "-c", program, "scale", "tables", str(folder / "scale.json"), "--plan", str(PLAN)]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
@@ -240,7 +240,7 @@
     assert table.rows == (("start p99 ms.urgent", "15", "30", "90", place, "90", "`generated`"),)
 
 
-def test_control_machines_are_handed_out_to_zones_in_turn() -> None:
+def test_control_machines_are_assigned_to_zones_round_robin() -> None:
     assert list(control_zones(size("two-years")).values()) == [2, 1, 1, 1, 1]
 
 
@@ -249,7 +249,7 @@
     assert zone[3:7] == ("200", "900", "60", "2")
 
 
-def test_the_page_of_this_checkout_says_what_its_results_say() -> None:
+def test_the_committed_page_matches_its_results() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "sprucepost", "scale", "check"], cwd=ROOT, capture_output=True, text=True, check=False
     )
@@ -267,7 +267,7 @@
 
 
 @pytest.mark.parametrize(("per_square", "status"), [(0.0, 0), (1e-4, 1)])
-def test_quick_tells_the_rows_that_do_not_hold(
+def test_quick_reports_the_rows_that_do_not_hold(
     folder: Path, monkeypatch: pytest.MonkeyPatch, per_square: float, status: int
 ) -> None:
     """0 where every prediction holds; 1 with the rows of a planted cost that grows with the square of the fleet."""
