--- a/tests/scale/test_fits.py
+++ b/tests/scale/test_fits.py
@@ -1,4 +1,4 @@
-"""Fits find the growth that generated results were drawn from, and what grows with the square."""
+"""Fits recover the growth of generated results and detect quadratic growth."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from sprucepost.scale.fits import (
-    ERROR_LEAST,
+    MIN_STATED_ERROR,
     Observation,
     Shape,
     best_fit,
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("shape", [Shape.CONSTANT, Shape.LOGARITHMIC, Shape.LINEAR])
-def test_the_shape_is_found_again(shape: Shape) -> None:
+def test_the_generating_shape_is_recovered(shape: Shape) -> None:
     found = [best_fit(observed(GROWTHS[shape], seed)).shape for seed in range(100)]
     assert found.count(shape) >= 90
 
@@ -69,18 +69,18 @@
 
 
 @pytest.mark.parametrize("shape", list(Shape))
-def test_allowed_growth_is_no_finding(shape: Shape) -> None:
+def test_allowed_growth_is_not_reported(shape: Shape) -> None:
     found = [grows_too_fast(observed(GROWTHS[shape], seed)) for seed in range(200)]
     assert sum(found) <= 2
 
 
-def test_a_figure_that_falls_and_levels_off_is_no_finding() -> None:
+def test_a_figure_that_falls_and_levels_off_is_not_reported() -> None:
     """A share of a fixed load: fewer tasks for each placer, the more placers there are."""
     found = [grows_too_fast(observed(lambda n: 600.0 / n - 8.0, seed, noise=0.05)) for seed in range(200)]
     assert sum(found) == 0
 
 
-def test_growth_with_the_square_is_found() -> None:
+def test_quadratic_growth_is_detected() -> None:
     found = [grows_too_fast(observed(lambda n: 0.1 * n + 0.01 * n * n, seed)) for seed in range(100)]
     assert sum(found) >= 95
 
@@ -97,7 +97,7 @@
     assert {(s.role, s.figure, s.variable) for s in found.fitted} == {("placer", "cpu_percent", v) for v in SIZES}
     placers = next(slope for slope in found.fitted if slope.variable == "placers")
     assert len(placers.observations) == 12 and placers.fit.shape is Shape.LINEAR
-    assert placers.error >= ERROR_LEAST and placers.beyond(385) and not placers.beyond(384)
+    assert placers.error >= MIN_STATED_ERROR and placers.beyond(385) and not placers.beyond(384)
 
 
 @pytest.mark.parametrize(("sizes", "repeats"), [((12, 24, 48), 3), ((12, 24, 48, 96), 1)])
@@ -108,7 +108,7 @@
     assert "needed" in found.skipped[0].why
 
 
-def test_without_numpy_one_plain_line_is_told() -> None:
+def test_without_numpy_the_error_is_one_line() -> None:
     program = (
         "import sys; sys.modules['numpy'] = None\n"
         "from sprucepost.scale.fits import FitsError, Observation, best_fit\n"
