--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every target sets up what it needs: a fresh clone, Python 3.11 and a package index are enough.
+# Every target installs what it needs: a fresh clone, Python 3.11 and a package index are sufficient.
 VENV ?= .venv-dev
 PY := $(VENV)/bin/python
 READY := $(VENV)/.ready
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1,9 +1,9 @@
-"""Plant defects in the placer, one at a time, and count the drawn days until a checker catches each.
+"""Insert defects into the placer, one at a time, and count the random days until a checker catches each.
 
     python tools/mutants.py [NAME ...] [--jobs 6] [--days 30] [--seed N] [--out docs/results/mutants.json]
 
-A mutation is a piece of the placer's text and what stands there instead (``mutations.json`` beside this file), applied to a
-copy of the package; stand-ins and checkers in the copy are as they are here. Exit status 1 if one was not caught.
+A mutation replaces a piece of the placer's source text (see ``mutations.json`` in this folder) in a copy of the package;
+the simulated peers and the checkers in the copy are unchanged. Exit status 1 if a defect was not caught.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from sprucepost.cli.tables import table
 
 ROOT = Path(__file__).parent.parent
-VIEW = "V"
+VIEW = "V"  # in place of a rule's number: the defect is in the fleet's view
 MUTATIONS = Path(__file__).parent / "mutations.json"
 
 
 class Mutation(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """``rule``: what the defect is against, by number, or the fleet's view. ``old`` stands once in ``file``."""
+    """``rule``: number of the rule that the defect breaks, or ``VIEW``. ``old`` occurs exactly once in ``file``."""
 
     name: str
     rule: str
@@ -42,16 +42,16 @@
 
 
 def plant(mutation: Mutation, folder: Path) -> None:
-    """A copy of the package in ``folder``, with the defect; ValueError where its text is not found once."""
+    """Copy the package to ``folder`` with the defect; ValueError unless its text occurs exactly once."""
     text = (ROOT / mutation.file).read_text()
     if text.count(mutation.old) != 1:
-        raise ValueError(f"{mutation.name}: its text stands {text.count(mutation.old)} times in {mutation.file}")
+        raise ValueError(f"{mutation.name}: its text occurs {text.count(mutation.old)} times in {mutation.file}")
     shutil.copytree(ROOT / "sprucepost", folder / "sprucepost", ignore=shutil.ignore_patterns("__pycache__"))
     (folder / mutation.file).write_text(text.replace(mutation.old, mutation.new))
 
 
-def hunt(mutation: Mutation, seed: int, days: int, jobs: int) -> dict[str, Any]:
-    """Play days until one is bad."""
+def play_until_caught(mutation: Mutation, seed: int, days: int, jobs: int) -> dict[str, Any]:
+    """Play random days until one breaks a rule or ``days`` are over; return the row of results."""
     row: dict[str, Any] = {"name": mutation.name, "rule": mutation.rule, "days": 0, "caught": False}
     with tempfile.TemporaryDirectory(prefix="sprucepost-mutant-") as temporary:
         folder = Path(temporary)
@@ -76,14 +76,14 @@
 @click.argument("names", nargs=-1)
 @click.option("--jobs", type=click.IntRange(1), default=6, show_default=True)
 @click.option("--days", type=click.IntRange(1), default=30, show_default=True)
-@click.option("--seed", type=int, help="Of the first day; else by the date.")
+@click.option("--seed", type=int, help="Seed of the first day; by default the current time.")
 @click.option("--out", type=click.Path(path_type=Path), help="Add the rows to this file.")
 def main(names: tuple[str, ...], jobs: int, days: int, seed: int | None, out: Path | None) -> None:
-    """Plant defects and count the days until each is caught."""
+    """Insert defects and count the days until each is caught."""
     wanted = [mutation for mutation in mutations() if not names or mutation.name in names]
     rows = []
     for mutation in wanted:
-        row = hunt(mutation, int(time.time()) if seed is None else seed, days, jobs)
+        row = play_until_caught(mutation, int(time.time()) if seed is None else seed, days, jobs)
         rows.append(row)
         click.echo(json.dumps(row))
         if out is not None:
--- a/tools/proto.py
+++ b/tools/proto.py
@@ -1,4 +1,4 @@
-"""Generate the protobuf modules from ``proto/`` (and the interop messages); ``--check`` compares instead of writing."""
+"""Generate the protobuf modules from ``proto/`` and the interop messages; ``--check`` only compares them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from grpc_tools import protoc
 
 ROOT = Path(__file__).parent.parent
-SETS = (
+PROTO_SETS = (
     (ROOT / "proto", ROOT, sorted(str(path.relative_to(ROOT / "proto")) for path in (ROOT / "proto").rglob("*.proto"))),
     (ROOT / "tests" / "interop", ROOT / "tests" / "interop" / "pb", ["testing.proto"]),
 )
@@ -23,19 +23,19 @@
 
 def main() -> int:
     if "--check" not in sys.argv:
-        for source, target, names in SETS:
+        for source, target, names in PROTO_SETS:
             generate(source, target, names)
         return 0
     stale = []
-    for source, target, names in SETS:
+    for source, target, names in PROTO_SETS:
         with tempfile.TemporaryDirectory() as folder:
             generate(source, Path(folder), names)
-            for made in sorted(Path(folder).rglob("*_pb2.py*")):
-                kept = target / made.relative_to(folder)
-                if not kept.exists() or kept.read_bytes() != made.read_bytes():
-                    stale.append(str(kept.relative_to(ROOT)))
+            for generated in sorted(Path(folder).rglob("*_pb2.py*")):
+                committed = target / generated.relative_to(folder)
+                if not committed.exists() or committed.read_bytes() != generated.read_bytes():
+                    stale.append(str(committed.relative_to(ROOT)))
     for name in stale:
-        print(f"{name}: not what proto/ says; run make proto")
+        print(f"{name}: differs from the .proto files; run make proto")
     return bool(stale)
 
 
