--- a/benchmarks/view_rough.py
+++ b/benchmarks/view_rough.py
@@ -1,7 +1,8 @@
-"""Members of a view on rough links for long, in virtual time: ``python -m benchmarks.view_rough MEMBERS MINUTES SEED``.
+"""Run members of a view on unreliable links for a long virtual time.
 
-Words up to 200 ms late, each second a twentieth of all streams reset, every five seconds some member stands
-still for a second. Prints how often anybody told a living member as away (exit status 1 where somebody did).
+``python -m benchmarks.view_rough MEMBERS MINUTES SEED`` (20, 30, 1). Messages take up to 200 ms, a twentieth of all streams
+is reset each second, and every five seconds one member pauses for a second. Prints how often a member reported a living
+member as away (exit status 1 if one did).
 """
 
 from __future__ import annotations
@@ -26,25 +27,27 @@
         fleet.start(number)
     world.run(SETTLE_MS)
     until = SETTLE_MS + minutes * 60_000.0
-    resets = stops = 0
+    resets = pauses = 0
     while world.now < until:
         world.reset(0.05)
         resets += 1
         if resets % 5 == 0:
             world.pause(fleet.processes[rng.choice(list(fleet.numbers))], 1000.0)
-            stops += 1
+            pauses += 1
         world.run(world.now + 1000.0)
-    told = [
-        (round(moment), process.address, sorted(what.away))
+    false_reports = [
+        (round(moment), process.address, sorted(change.away))
         for process in fleet.living
-        for moment, what in process.notifications
-        if isinstance(what, ViewChanged) and what.away and moment > SETTLE_MS
+        for moment, change in process.notifications
+        if isinstance(change, ViewChanged) and change.away and moment > SETTLE_MS
     ]
     print(
-        f"{members} members, {minutes} minutes, seed {seed}: {resets} times 5 % of streams reset, {stops} stops of 1 s"
+        f"{members} members, {minutes} minutes, seed {seed}: {resets} times 5 % of streams reset, {pauses} pauses of 1 s"
     )
-    print(f"{len(told)} times somebody told a living member as away {told[:5]}; {world.messages_sent} words")
-    return 1 if told else 0
+    print(
+        f"{len(false_reports)} reports of a living member as away {false_reports[:5]}; {world.messages_sent} messages"
+    )
+    return 1 if false_reports else 0
 
 
 if __name__ == "__main__":
