--- a/benchmarks/bursts.py
+++ b/benchmarks/bursts.py
@@ -1,8 +1,8 @@
-"""Bursts at a bearable mean load: how many asks are refused, and how late the placed ones are.
+"""Measure bursts at a sustainable mean load: how many requests are refused, and how long the placed ones wait.
 
-``python -m benchmarks.bursts [--baseline DIR]``; writes ``docs/results/bursts.json``. One owner, one placer; the same bursts
-on a fresh placer, ten quiet seconds after an overload, and after a pause of the process (SIGSTOP for 4 s in the midst
-of work). ``--baseline``: another checkout whose placer goes through the same beside this one, in the same run.
+``python -m benchmarks.bursts [--baseline DIR]``; writes ``docs/results/bursts.json``. One owner and one placer; the same
+bursts on a fresh placer, ten idle seconds after an overload, and after a pause of the process (SIGSTOP for 4 s during
+work). ``--baseline``: another checkout whose placer is measured in the same way after this one, in the same run.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from sprucepost.v1 import placer_pb2 as pb
 from tests.placer.support import cluster
 
-SHAPES = ((100, 200.0), (500, 1000.0), (1000, 2000.0), (2000, 4000.0))  # asks, every ms
-LENGTH_MS = 8000.0
+BURSTS = ((100, 200.0), (500, 1000.0), (1000, 2000.0), (2000, 4000.0))  # requests in a burst, ms between bursts
+PHASE_LENGTH_MS = 8000.0
 ROOT = Path(__file__).parent.parent
 
 
 class Owner:
-    """Sends bursts and notes what becomes of each ask."""
+    """Sends bursts of requests and records the outcome of each."""
 
     def __init__(self, loop: EpollLoop, scope: Scope, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -98,8 +98,8 @@
 
         def shapes() -> Co[dict[str, Any]]:
             rows = {}
-            for size, every in SHAPES:
-                rows[f"{size} every {every:g} ms"] = yield from owner.play(size, every, LENGTH_MS)
+            for size, every in BURSTS:
+                rows[f"{size} every {every:g} ms"] = yield from owner.play(size, every, PHASE_LENGTH_MS)
                 yield from sleep(500.0)
             return rows
 
@@ -123,8 +123,8 @@
         loop.close()
 
 
-def version(checkout: Path) -> dict[str, Any]:
-    """All phases on a placer of that checkout."""
+def measure_checkout(checkout: Path) -> dict[str, Any]:
+    """Measure all phases on a placer of that checkout."""
     processes = []
 
     def start(folder: Path, *arguments: str) -> subprocess.Popen[str]:
@@ -156,9 +156,9 @@
     parser.add_argument("--baseline", type=Path)
     parser.add_argument("--out", type=Path, default=Path("docs/results/bursts.json"))
     arguments = parser.parse_args()
-    result = {"here": version(ROOT)}
+    result = {"here": measure_checkout(ROOT)}
     if arguments.baseline is not None:
-        result["baseline"] = version(arguments.baseline.resolve())
+        result["baseline"] = measure_checkout(arguments.baseline.resolve())
     rows = [
         [name, phase, shape, row["asked"], f"{row['refused_share']:.2%}", row["p50_ms"], row["p99_ms"], row["unanswered"]]
         for name, of in result.items() for phase, shapes in of.items() for shape, row in shapes.items()
--- a/benchmarks/configuration_fleet.py
+++ b/benchmarks/configuration_fleet.py
@@ -1,8 +1,8 @@
-"""Changes of the configuration at real placers, each a process: ``python -m benchmarks.configuration_fleet [SIZE ...]``.
+"""Change the configuration of placer processes: ``python -m benchmarks.configuration_fleet [SIZE ...]``.
 
-Changes are made one after another, each at a placer drawn at random. How long until a change is in force at each other
-placer is told by the placers' own log lines (one host, one clock), from the first line of that change. Processor time and
-bytes for a change are those of the changing phase less those of a quiet phase of the same length. Writes
+Changes are made one after another, each at a random placer. The placers' own log lines (one host, one clock) show how long
+a change takes to be in force at each other placer, counted from the first line of that change. CPU time and bytes for a
+change are those of the phase with changes minus those of an idle phase of the same length. Writes
 ``docs/results/configuration-fleet.json``.
 """
 
@@ -26,14 +26,14 @@
 from tests.peers.fleet import Fleet
 
 CHANGES = 40
-EVERY_S = 1.0  # between two changes
-LAST_S = 10.0  # for the last one to be everywhere; what is missing then is counted as missing
-TENANTS = 230  # of the plan for two years
+CHANGE_INTERVAL_S = 1.0  # between two changes
+LAST_CHANGE_WAIT_S = 10.0  # for the last change to reach all placers; log lines that are absent then count as missing
+TENANTS = 230  # as in the two-year plan
 OUT = Path("docs/results/configuration-fleet.json")
 
 
 def propose(fleet: Fleet, number: int, key: str, value: float) -> bool:
-    """One change at a placer; whether it was accepted."""
+    """Propose a change at a placer; return whether it was accepted."""
     edits = [pb.ConfigurationKeyEdit(key=key, value=json.dumps(value))]
     request = pb.ConfigurationProposal(edits=edits, author="benchmark").SerializeToString()
     receipt = pb.ConfigurationReceipt.FromString(call_placer(f"127.0.0.1:{fleet.ports[number]}", PROPOSE_PATH, request))
@@ -42,14 +42,14 @@
     return not receipt.refusal
 
 
-def used(fleet: Fleet) -> tuple[float, float]:
-    """Processor seconds and bytes said to others so far, over all placers."""
+def total_usage(fleet: Fleet) -> tuple[float, float]:
+    """Return the CPU seconds and the bytes sent to other placers so far, summed over all placers."""
     cpu = sum(cpu_s(process.pid) for process in fleet.processes.values())
     return cpu, sum(sent(fleet, number) for number in fleet.processes)
 
 
-def begin(fleet: Fleet) -> None:
-    """All see all, and have the fleet's first change."""
+def start_fleet(fleet: Fleet) -> None:
+    """Start the placers; wait until all see each other and have the fleet's first change."""
     fleet.start(*range(fleet.size), deployment=deployment())
     all_see(fleet, lambda shown: sum(m["condition"] == "here" for m in shown["members"]) == fleet.size, 180.0)
     for _ in range(60):
@@ -64,25 +64,27 @@
 
 
 def change(fleet: Fleet, rng: random.Random) -> int:
-    """One change after another; how many were accepted."""
+    """Make ``CHANGES`` changes one after another; return how many were accepted."""
     accepted = 0
     until = time.monotonic()
     for step in range(CHANGES):
         key = f"cluster.tenants[team-{rng.randrange(TENANTS)}].quota_cores"
         accepted += propose(fleet, rng.randrange(fleet.size), key, 200.0 + step)
-        until += EVERY_S
+        until += CHANGE_INTERVAL_S
         time.sleep(max(0.0, until - time.monotonic()))
     return accepted
 
 
 def delays(fleet: Fleet) -> tuple[list[float], list[float], int]:
-    """For each change and placer, and for each change at all of them: ms from the first log line of that change; and how
-    many of the placers' lines are missing."""
-    found: dict[tuple[int, str], list[float]] = {}  # two changes at one time may have one number
+    """Return the delays per change and placer, the delays per change until all placers have it, and the missing log lines.
+
+    Delays are in ms from the first log line of that change.
+    """
+    found: dict[tuple[int, str], list[float]] = {}  # concurrent changes may have the same number
     for number in fleet.processes:
         for line in fleet.logged(number, "configuration"):
             found.setdefault((line["number"], " ".join(line["keys"])), []).append(line["at_ms"])
-    first = min(found)  # the fleet's first change: not counted
+    first = min(found)  # the fleet's first change is not counted
     each, whole, missing = [], [], 0
     for times in (times for number, times in found.items() if number != first):
         began = min(times)
@@ -98,14 +100,14 @@
 
 def play(size: int, folder: Path) -> dict[str, Any]:
     with Fleet(folder, size, f"fleet{size}", configuration=ConfigurationOptions()) as fleet:
-        begin(fleet)
+        start_fleet(fleet)
         time.sleep(3.0)
-        start = used(fleet)
-        time.sleep(CHANGES * EVERY_S)
-        quiet = used(fleet)
+        start = total_usage(fleet)
+        time.sleep(CHANGES * CHANGE_INTERVAL_S)
+        quiet = total_usage(fleet)
         accepted = change(fleet, random.Random(size))
-        changed = used(fleet)
-        time.sleep(LAST_S)
+        changed = total_usage(fleet)
+        time.sleep(LAST_CHANGE_WAIT_S)
         each, whole, missing = delays(fleet)
     extra = [(changed[n] - quiet[n]) - (quiet[n] - start[n]) for n in range(2)]
     per = accepted * size
@@ -115,8 +117,8 @@
         "in_force_at_all_ms": {"p50": quantile(whole, 0.5), "worst": round(whole[-1], 1)},
         "cpu_ms_for_change_and_placer": round(1000.0 * extra[0] / per, 2),
         "bytes_for_change_and_placer": round(extra[1] / per),
-        "quiet_cpu_percent": round(100.0 * (quiet[0] - start[0]) / (CHANGES * EVERY_S) / size, 2),
-        "quiet_bytes_per_s": round((quiet[1] - start[1]) / (CHANGES * EVERY_S) / size),
+        "quiet_cpu_percent": round(100.0 * (quiet[0] - start[0]) / (CHANGES * CHANGE_INTERVAL_S) / size, 2),
+        "quiet_bytes_per_s": round((quiet[1] - start[1]) / (CHANGES * CHANGE_INTERVAL_S) / size),
     }  # fmt: skip
 
 
--- a/benchmarks/echo_servers.py
+++ b/benchmarks/echo_servers.py
@@ -1,4 +1,7 @@
-"""The echo servers that are compared, each run as ``python -m benchmarks.echo_servers KIND``; prints its port."""
+"""Echo servers on this project's wire and on grpc.aio, for comparison.
+
+Each is run as ``python -m benchmarks.echo_servers KIND`` and prints its port.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -1,4 +1,7 @@
-"""Memory and start of an idle placer process: ``python -m benchmarks.idle``; writes ``docs/results/idle.json``."""
+"""Measure memory and start time of an idle placer process.
+
+``python -m benchmarks.idle`` writes ``docs/results/idle.json``.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +19,12 @@
 from tests.placer.support import cluster
 
 RUNS = 7
-# Compiled code is kept, as where the program is installed; the first run makes it and is not counted.
+# Bytecode is cached, as in an installation; the first run writes the cache and is not counted.
 ENVIRONMENT = {key: value for key, value in os.environ.items() if key != "PYTHONDONTWRITEBYTECODE"}
 
 
-def one(file: Path) -> tuple[float, int]:
-    """Seconds until it listens, KiB resident a second later."""
+def measure_start(file: Path) -> tuple[float, int]:
+    """Return the seconds until a placer listens and its resident KiB measure_start second later."""
     began = time.monotonic()
     process = subprocess.Popen(
         [sys.executable, "-m", "sprucepost", "placer", str(file)],
@@ -42,8 +45,8 @@
         file = Path(folder) / "placer.json"
         placer = {"number": 0, "instances": 1, "zone": "room-a", "list": "127.0.0.1:9"}
         file.write_text(json.dumps({"cluster": msgspec.to_builtins(cluster()), "placer": placer}))
-        one(file)
-        runs = [one(file) for _ in range(RUNS)]
+        measure_start(file)
+        runs = [measure_start(file) for _ in range(RUNS)]
     result = {
         "start_s": round(statistics.median(run[0] for run in runs), 3),
         "resident_mib": round(statistics.median(run[1] for run in runs) / 1024, 1),
--- a/benchmarks/light.py
+++ b/benchmarks/light.py
@@ -1,7 +1,7 @@
-"""The lightest outside world: machines that accept at once, a fixed list, an owner that keeps so many tasks open.
+"""Minimal peers of a placer: machines that accept at once, a fixed list, an owner that keeps a number of tasks open.
 
-Run as ``python -m benchmarks.light NUMBER MACHINES``; prints its ports, then takes ``go ADDRESS OPEN SECONDS`` on standard
-input and prints a JSON line with what came back.
+Run as ``python -m benchmarks.light NUMBER MACHINES``; prints the list's port, then reads ``go ADDRESS OPEN SECONDS`` from
+standard input and prints a JSON line with the outcomes.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from sprucepost.wire.connection import Options
 from sprucepost.wire.server import Method, Server, ServerCall
 
-LIFE_MS = 100.0
+TASK_LIFE_MS = 100.0
 
 
 class LightMachine:
-    """Accepts each offer in the turn in which it arrives and ends the task after ``LIFE_MS``."""
+    """Accepts each offer in the loop turn in which it arrives and ends the task after ``TASK_LIFE_MS``."""
 
     def __init__(self, loop: Loop, name: str) -> None:
         self.loop, self.name = loop, name
@@ -54,7 +54,7 @@
                 load = machine_pb2.Load(free_cores=1000.0, free_memory=1000.0)
                 send(machine_pb2.FromMachine(**key, load=load, accepted=machine_pb2.Accepted()))
                 ended = machine_pb2.FromMachine(**key, load=load, ended=machine_pb2.TaskEnded())
-                self.loop.call_later(LIFE_MS, lambda: send(ended))
+                self.loop.call_later(TASK_LIFE_MS, lambda: send(ended))
 
         call.on_message = take
 
@@ -83,9 +83,9 @@
         ("127.0.0.1", 0)
     )
     print(json.dumps({"list": listing[1]}), flush=True)
-    if sys.argv[3:] == ["serve"]:  # machines and list alone, for others' load
+    if sys.argv[3:] == ["serve"]:  # only machines and list; other processes make the load
         yield from sleep(7_200_000)
-    line = sys.stdin.readline()  # nothing is open yet: it may block
+    line = sys.stdin.readline()  # may block, since nothing is open yet
     while line:
         _, address, opened, seconds = line.split()
         print(json.dumps((yield from drive(loop, scope, address, int(opened), float(seconds)))), flush=True)
@@ -94,7 +94,7 @@
 
 
 def drive(loop: Loop, scope: Scope, address: str, opened: int, seconds: float) -> Co[dict[str, Any]]:
-    """Keep ``opened`` tasks without an outcome for so long."""
+    """Keep ``opened`` tasks without an outcome for ``seconds``; return outcomes and latencies."""
     took: HdrHistogram = HdrHistogram(1, 60_000_000, 3)
     asked: dict[str, float] = {}
     counts = {"bound": 0, "refused": 0, "failed": 0}
