--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -1,10 +1,10 @@
-"""How fast a change is known everywhere, and what it costs.
+"""Measure how fast a configuration change reaches all members, and what it costs.
 
 ``python -m benchmarks.configuration_spread [MEMBERS] [CHANGES] [SEED]`` (350, 100, 1).
 
-350 members (two regions of five zones) on the view's rings, in virtual time: 5 to 50 ms a hop, 100 ms more between regions,
-heartbeats every 2 s. A quiet fleet, then a rough one in which at each change one in twenty streams breaks for 1 to 2 s. CPU
-time of one replica with a real deployment's settings and validator (230 tenants, 12 classes), on this machine.
+350 members (two regions, five zones) on the view's rings, in virtual time: 5 to 50 ms a hop, 100 ms more between regions,
+heartbeats every 2 s. First a fleet without faults, then one in which at each change one in twenty streams breaks for 1 to
+2 s. Also measures the CPU time of one replica with a real deployment's settings and validator (230 tenants, 12 classes).
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 from sprucepost.view.rings import ring_successors
 
 HOP_MS, BETWEEN_REGIONS_MS = (5.0, 50.0), 100.0
-BEAT_MS = 2000.0
+HEARTBEAT_MS = 2000.0
 BETWEEN_CHANGES_MS = 4000.0
 BROKEN_SHARE, BROKEN_MS = 0.05, (1000.0, 2000.0)
 CHANGES_A_DAY = 640
-LATE_PLACES = 150  # about as many as the horizon holds at the peak of a day
+LATE_PLACES = 150  # about as many changes as the history window holds at the peak of a day
 CHANGEABLE = ChangeableKeys(("cluster",))
-PLENTY = Limits(proposals_burst=1e9)
+UNLIMITED_PROPOSALS = Limits(proposals_burst=1e9)
 
 
 def deployment() -> dict[str, Value]:
-    """Settings of the size of the plan."""
+    """Return settings of the planned size."""
     shape = {"deadline_ms": 9000, "effect": "safe", "worth": 1.0, "late_worth": 0.1, "spread": "zone", "most": 3}
     document = {
         "zones": [f"z{n}" for n in range(5)],
@@ -69,7 +69,7 @@
 
 
 class Spread(EventQueue):
-    """Members and the streams between them; ``known`` has the moments at which a change came to each."""
+    """Members and the streams between them; ``known`` has the times at which each change reached each member."""
 
     def __init__(self, members: int, seed: int) -> None:
         super().__init__()
@@ -78,19 +78,19 @@
         self.region = {record.name: int(record.room in ("z3", "z4")) for record in records}
         self.replicas = {record.name: self._replica(record.name) for record in records}
         self.names = [record.name for record in records]
-        self.links: dict[tuple[str, str], float] = {}  # by direction: ms
+        self.links: dict[tuple[str, str], float] = {}  # latency in ms by direction
         self.broken: set[frozenset[str]] = set()
         self.known: dict[Position, dict[str, float]] = {}
-        self.messages = self.bytes = self.beats = 0
+        self.messages = self.bytes = self.heartbeats = 0
         self._last: dict[tuple[str, str], float] = {}
         for record in records:
             for other in ring_successors(record, records):
                 self._link(record.name, other)
         for name in self.names:
-            self.at(self.rng.uniform(0, BEAT_MS), lambda name=name: self._beat(name))  # type: ignore[misc]
+            self.at(self.rng.uniform(0, HEARTBEAT_MS), lambda name=name: self._send_heartbeats(name))  # type: ignore[misc]
 
     def _replica(self, name: str) -> ConfigurationReplica:
-        return ConfigurationReplica(name, {"cluster.a": 0}, lambda settings: [], CHANGEABLE, 0.0, PLENTY)
+        return ConfigurationReplica(name, {"cluster.a": 0}, lambda settings: [], CHANGEABLE, 0.0, UNLIMITED_PROPOSALS)
 
     def _link(self, one: str, other: str) -> None:
         latency = self.rng.uniform(*HOP_MS) + BETWEEN_REGIONS_MS * (self.region[one] != self.region[other])
@@ -98,51 +98,51 @@
 
     def connect_all(self) -> None:
         for one, other in list(self.links):
-            self.replicas[one].connected(self.now, self._ident(other))
+            self.replicas[one].connected(self.now, self._peer_number(other))
         for name in self.names:
-            self._carry(name)
+            self._deliver_outputs(name)
 
     def propose(self, name: str, key: str, value: Value) -> Position:
         proposal = Proposal((KeyEdit(key, value),), "ann")
         receipt = self.replicas[name].propose(self.now, proposal)
         assert receipt.position is not None, receipt.refusal
         self.known[receipt.position] = {name: self.now}
-        self._carry(name)
+        self._deliver_outputs(name)
         return receipt.position
 
-    def break_some(self) -> None:
-        """Streams that end now, with what is under way on them, and are there again after a while."""
+    def break_random_streams(self) -> None:
+        """Break random streams, with the messages in flight on them; they reconnect later."""
         for link in sorted({tuple(sorted(link)) for link in self.links}):
             pair = frozenset(link)
             if pair not in self.broken and self.rng.random() < BROKEN_SHARE:
                 self.broken.add(pair)
                 self._both_ends(pair, ConfigurationReplica.disconnected)
-                self.at(self.now + self.rng.uniform(*BROKEN_MS), lambda pair=pair: self._mend(pair))  # type: ignore[misc]
+                self.at(self.now + self.rng.uniform(*BROKEN_MS), lambda pair=pair: self._reconnect(pair))  # type: ignore[misc]
 
-    def _mend(self, pair: frozenset[str]) -> None:
+    def _reconnect(self, pair: frozenset[str]) -> None:
         self.broken.discard(pair)
         self._both_ends(pair, ConfigurationReplica.connected)
 
     def _both_ends(self, pair: frozenset[str], call: Callable[[ConfigurationReplica, float, int], None]) -> None:
         one, other = sorted(pair)
         for name, peer in ((one, other), (other, one)):
-            call(self.replicas[name], self.now, self._ident(peer))
-            self._carry(name)
+            call(self.replicas[name], self.now, self._peer_number(peer))
+            self._deliver_outputs(name)
 
-    def _ident(self, name: str) -> int:
+    def _peer_number(self, name: str) -> int:
         return int(name[1:])
 
-    def _beat(self, name: str) -> None:
+    def _send_heartbeats(self, name: str) -> None:
         replica = self.replicas[name]
         replica.tick(self.now)
         for one, other in self.links:
             if one == name:
-                self.beats += 1
+                self.heartbeats += 1
                 self._send(name, other, replica.digest)
-        self._carry(name)
-        self.at(self.now + BEAT_MS, lambda: self._beat(name))
+        self._deliver_outputs(name)
+        self.at(self.now + HEARTBEAT_MS, lambda: self._send_heartbeats(name))
 
-    def _carry(self, name: str) -> None:
+    def _deliver_outputs(self, name: str) -> None:
         for output in self.replicas[name].take_outputs():
             if isinstance(output, Send):
                 self.messages += 1
@@ -160,39 +160,44 @@
     def _arrive(self, sender: str, receiver: str, message: Message) -> None:
         if frozenset((sender, receiver)) in self.broken:
             return
-        self.replicas[receiver].received(self.now, self._ident(sender), message)
+        self.replicas[receiver].received(self.now, self._peer_number(sender), message)
         if isinstance(message, Changes):
             for change in message.changes:
                 self.known.get(change.position, {}).setdefault(receiver, self.now)
-        self._carry(receiver)
+        self._deliver_outputs(receiver)
 
 
-def spread(members: int, changes: int, seed: int, rough: bool) -> None:
+def spread(members: int, changes: int, seed: int, faulty: bool) -> None:
     fleet = Spread(members, seed)
     fleet.connect_all()
-    fleet.run(2 * BEAT_MS)
+    fleet.run(2 * HEARTBEAT_MS)
     first = fleet.propose("p0", "cluster.a", -1)
     fleet.run(fleet.now + 5000)
     del fleet.known[first]
     messages, size = fleet.messages, fleet.bytes
     for number in range(changes):
-        if rough:
-            fleet.break_some()
+        if faulty:
+            fleet.break_random_streams()
         fleet.propose(fleet.rng.choice(fleet.names), "cluster.a", number)
         fleet.run(fleet.now + BETWEEN_CHANGES_MS)
     fleet.run(fleet.now + 10_000)
     until_all, until_one = [], []
     for position, known in fleet.known.items():
-        assert len(known) == members, f"{position} is known to {len(known)}"
+        assert len(known) == members, f"{position} reached only {len(known)} members"
         began = min(known.values())
         until_all.append(max(known.values()) - began)
         until_one += [moment - began for moment in known.values()]
     versions = {replica.version for replica in fleet.replicas.values()}
     degree = len(fleet.links) / members
-    print(f"{members} members, {degree:.1f} streams each, {changes} changes, {'rough' if rough else 'quiet'}:")
-    print(f"  until a member has a change: p50 {_p(until_one, 50):.0f} ms, p99 {_p(until_one, 99):.0f} ms")
     print(
-        f"  until all have it: p50 {_p(until_all, 50):.0f} ms, p99 {_p(until_all, 99):.0f} ms, worst {max(until_all):.0f} ms"
+        f"{members} members, {degree:.1f} streams each, {changes} changes, {'streams break' if faulty else 'no faults'}:"
+    )
+    print(
+        f"  until a member has a change: p50 {_percentile(until_one, 50):.0f} ms, p99 {_percentile(until_one, 99):.0f} ms"
+    )
+    print(
+        f"  until all have it: p50 {_percentile(until_all, 50):.0f} ms, p99 {_percentile(until_all, 99):.0f} ms, "
+        f"worst {max(until_all):.0f} ms"
     )
     each = changes * members
     sent, size = (fleet.messages - messages) / each, (fleet.bytes - size) / each
@@ -200,7 +205,7 @@
     print(f"  versions at the end: {len(versions)}")
 
 
-def _p(values: list[float], percent: int) -> float:
+def _percentile(values: list[float], percent: int) -> float:
     return quantiles(values, n=100, method="inclusive")[percent - 1]
 
 
@@ -212,10 +217,10 @@
 
 
 def cost() -> None:
-    """CPU time at one member, with the real settings."""
+    """Print the CPU time of one replica with a real deployment's settings."""
     settings = deployment()
     changes = list(_changes(CHANGES_A_DAY))
-    replica = ConfigurationReplica("p1", settings, validator, CHANGEABLE, 0.0, PLENTY)
+    replica = ConfigurationReplica("p1", settings, validator, CHANGEABLE, 0.0, UNLIMITED_PROPOSALS)
     for peer in range(12):
         replica.connected(0.0, peer)
         replica.received(0.0, peer, Digest(0, 0))
@@ -231,7 +236,7 @@
     late = Change(Position(CHANGES_A_DAY - LATE_PLACES, "zz"), "bob", "", 0.0, (Edit("cluster.max_attempts", 4),))
     began = time.process_time()
     replica.received(0.0, 1, Changes((late,)))
-    print(f"  a change that comes {LATE_PLACES} places late: {(time.process_time() - began) * 1000:.0f} ms of CPU")
+    print(f"  a change that arrives {LATE_PLACES} places late: {(time.process_time() - began) * 1000:.0f} ms of CPU")
     digests = 12 * 1000
     began = time.process_time()
     for _ in range(digests):
@@ -240,15 +245,15 @@
         f"  a heartbeat's digest, out and in: {(time.process_time() - began) * 1e6 / digests:.1f} us of CPU, 16 bytes"
     )
     live = sum(change.size for change in changes)
-    print(f"  a day's changes as they are kept: {live} bytes")
+    print(f"  stored changes of a day: {live} bytes")
 
 
 def main() -> None:
     members = int(sys.argv[1]) if len(sys.argv) > 1 else 350
     changes = int(sys.argv[2]) if len(sys.argv) > 2 else 100
     seed = int(sys.argv[3]) if len(sys.argv) > 3 else 1
-    spread(members, changes, seed, rough=False)
-    spread(members, changes, seed, rough=True)
+    spread(members, changes, seed, faulty=False)
+    spread(members, changes, seed, faulty=True)
     cost()
 
 
--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -1,8 +1,8 @@
-"""A fleet of daemons on one machine: start, cold machine, load, roll, resize both ways, idle cost; judged from bytes.
+"""Run a fleet of placer daemons on one machine and check the recorded traffic against the rules.
 
-``python -m benchmarks.fleet_day --size 350 --small 88``; writes ``docs/results/fleet-SIZE.json``. Scaled by what one machine
-does: ``--machines`` stand-ins, owners in one process. The cold allowance is far below the number of placers, so that groups
-take turns.
+``python -m benchmarks.fleet_day --size 350 --small 88``; ``--out`` names the file of results. Covers start, cold machines,
+load, a roll, resizing up and down, and the cost of idle placers. Scaled to one machine: ``--machines`` simulated machines,
+and all owners in one process. The cold allowance is far below the number of placers, so that groups take turns.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from sprucepost.wire.client import ClientConnection, open_client
 from tests.placer.support import cluster
 
-CORES = 4.0  # small machines, so that a few of them are nearly full and a cold one is wanted
+CORES = 4.0  # of a machine; small, so that a few machines are nearly full and a cold one is needed
 
 
 def cpu_ticks(pid: int) -> int:
@@ -53,7 +53,7 @@
         self, size: int, small: int, machines: int, bears: float, rate: float, folder: Path, short: bool = False
     ) -> None:
         self.size, self.small, self.machines, self.rate, self.folder = size, small, machines, rate, folder
-        self.short = short  # without the idle figures, overlaps as short as they may be
+        self.short = short  # skip the idle figures and use the shortest overlaps
         self.cluster = cluster(
             kinds=[Kind("std", CORES, 64.0)],
             cold_bears=bears,
@@ -87,11 +87,11 @@
     def set_up(self) -> Runner:
         raw = msgspec.to_builtins(self.cluster)
         self.ports: dict[str, int] = {}
-        told = self.spawn("tap", "tap", {"capture": str(self.folder / record.CAPTURE)})
-        self.ports["tap"] = told["control"]
-        told = self.spawn("list", "list", {"late_ms": 200.0})
-        self.ports["list"] = told["control"]
-        report_to = f"127.0.0.1:{told['listen']}"
+        announced = self.spawn("tap", "tap", {"capture": str(self.folder / record.CAPTURE)})
+        self.ports["tap"] = announced["control"]
+        announced = self.spawn("list", "list", {"late_ms": 200.0})
+        self.ports["list"] = announced["control"]
+        report_to = f"127.0.0.1:{announced['listen']}"
         front = self.ask("tap", "add", name="list", target=report_to)["port"]
         manners = {cls.name: {"work_ms": 3.0} for cls in self.cluster.classes}
         self.ports["machines"] = self.spawn(
@@ -146,7 +146,7 @@
         print(f"{name}: {took:.1f} s", flush=True)
 
     def idle(self, pids: list[int]) -> None:
-        """What a placer without work costs."""
+        """Measure CPU and memory of placers without work."""
         before = {pid: cpu_ticks(pid) for pid in pids}
         time.sleep(10.0)
         idle = [(cpu_ticks(pid) - before[pid]) / os.sysconf("SC_CLK_TCK") / 10.0 for pid in pids]
@@ -155,8 +155,10 @@
         print("idle", self.result["idle_cpu_share"], "of a core each,", self.result["resident_mib"], "MiB", flush=True)
 
     def storm(self) -> None:
-        """Under load every connection of owners, machines and list is reset at once, and the list stays away for a moment,
-        so that all ask it together; then the same once more, in the midst of coming back."""
+        """Reset all connections of owners, machines and list at once, under load; repeat while the placers reconnect.
+
+        The list is unavailable meanwhile, so that all placers call it together afterwards.
+        """
         met = 0
         for _ in range(2):
             self.ask("list", "down", down=True)
@@ -176,7 +178,7 @@
                 self.idle([i.process.pid for i in runner.instances.values() if i.process is not None])
             self.owners(runner)
             time.sleep(3.0)
-            self.add_machine(self.machines, True)  # a cold machine that everybody sees
+            self.add_machine(self.machines, True)  # a cold machine that all placers see
             self.step("grow_s", 0, runner.resize(self.size, 4.0, 12.0 if self.short else 30.0))
             self.storm()
             self.add_machine(self.machines + 1, True)
--- a/benchmarks/list_storm.py
+++ b/benchmarks/list_storm.py
@@ -1,8 +1,8 @@
-"""Every placer's first list call at once, on a list that answers few a second: who gets it, when, with how many calls.
+"""Start all list watches at once on a list that answers few calls a second; measure when each gets the list.
 
 ``python -m benchmarks.list_storm [SIZE] [PER_S ...]`` (350; 40 and 15); writes ``docs/results/list-storm.json``. The watches
-are the placers' own, over sockets, in one process. The list works off calls in order, also those whose caller has
-given up: the worst kind of list for callers that are impatient.
+are the placers' own, over sockets, in one process. The list serves calls in order, including those whose caller has
+timed out, which is the worst case for callers with short timeouts.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from sprucepost.wire.server import Server
 
 
-def storm(loop: Loop, scope: Scope, size: int, per_s: float, again_ms: float, limit_ms: float) -> Co[dict[str, Any]]:
-    """``again_ms``: the pause of a watch whose call failed, half of it drawn, as the module does."""
+def storm(loop: Loop, scope: Scope, size: int, per_s: float, retry_ms: float, limit_ms: float) -> Co[dict[str, Any]]:
+    """Run one storm. ``retry_ms``: retry delay of a failed watch, of which half is random, as in the decision module."""
     listing = ListService(loop, lines_per_s=per_s * CALL_COST_ENTRIES, call_wait_ms=1e9)
     calls = ListService.__dict__["_admit"]
     counts = {"calls": 0, "open": 0, "most_open": 0}
@@ -46,9 +46,9 @@
     def watch(number: int) -> DiscoveryWatch:
         def failed(found: Any) -> None:
             if found.kind.name == "FAILED":
-                loop.call_later(again_ms * rng.uniform(0.5, 1.0), lambda: watches[number].start_watch())
+                loop.call_later(retry_ms * rng.uniform(0.5, 1.0), lambda: watches[number].start_watch())
 
-        def told(now_ms: float) -> None:
+        def on_list(now_ms: float) -> None:
             heard.setdefault(number, loop.now() - began)
 
         return DiscoveryWatch(
@@ -57,7 +57,7 @@
             WatchOptions(address, None, number, ("room-a",), ("std",)),
             failed,
             lambda machine, address: None,
-            told,
+            on_list,
         )
 
     watches += [watch(n) for n in range(size)]
@@ -75,16 +75,16 @@
 
 def main() -> None:
     size = int(sys.argv[1]) if len(sys.argv) > 1 else 350
-    found = [played(size, per_s) for per_s in [float(arg) for arg in sys.argv[2:]] or [40.0, 15.0]]
+    found = [run_storm(size, per_s) for per_s in [float(arg) for arg in sys.argv[2:]] or [40.0, 15.0]]
     print(json.dumps(found, indent=1))
     Path("docs/results/list-storm.json").write_text(json.dumps(found, indent=1) + "\n")
 
 
-def played(size: int, per_s: float, again_ms: float = 2000.0, limit_ms: float = 120_000.0) -> dict[str, Any]:
+def run_storm(size: int, per_s: float, retry_ms: float = 2000.0, limit_ms: float = 120_000.0) -> dict[str, Any]:
     loop = EpollLoop(1)
 
     def body(scope: Scope) -> Co[dict[str, Any]]:
-        found = yield from storm(loop, scope, size, per_s, again_ms, limit_ms)
+        found = yield from storm(loop, scope, size, per_s, retry_ms, limit_ms)
         scope.cancel()
         return found
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,8 +1,8 @@
-"""Months in minutes: ever new services, tasks, owners and machines, with the list present and lost.
+"""Simulate months of new services, tasks, owners and machines, with and without a list, and measure growth.
 
-``python -m benchmarks.soak --services 1000000``; writes ``docs/results/soak.json``. The module runs on simulated time, the
-ledger and admission beside it as the engine uses them. What counts is growth over the last half, and CPU for each request in
-the first and the last tenth.
+``python -m benchmarks.soak --services 1000000``; writes ``docs/results/soak.json``. The decision module runs on
+simulated time, with the ledger and admission control as the engine uses them. The results are the memory growth over the
+last half, and the CPU per request in the first and the last tenth.
 """
 
 from __future__ import annotations
@@ -31,24 +31,24 @@
 
 
 def soak(services: int, with_list: bool, seed: int = 1) -> dict[str, Any]:
-    """One task for each of ``services`` new services, twenty a second of simulated time."""
+    """Place one task for each of ``services`` new services, twenty per second of simulated time."""
     rng, now = random.Random(seed), 1e9
     config = settings(accepts_cores=4.0, accepts_memory=4.0, n_instances=20, report_counts=i.LoadBasis.USED)
     scheduler, ledger = Scheduler(config, seed), Ledger()
-    gate = Admission[int](0.0, 20_000, 400.0, 25.0, 1000.0)
+    admission = Admission[int](0.0, 20_000, 400.0, 25.0, 1000.0)
     fleet = [f"m{n}" for n in range(40)]
     first = scheduler.handle(now, [full_list(*(entry(name) for name in fleet))])
     timers = [(now + action.delay, action.name) for action in first if isinstance(action, i.SetTimer)]
     running: list[tuple[float, int, int]] = []
-    marks: dict[str, float] = {}
-    spent: list[float] = []
+    resident: dict[str, float] = {}
+    cpu_seconds: list[float] = []
     tenth = max(1, services // 10)
     began = time.process_time()
     for n in range(services):
         now += 50.0
         events: list[i.Event] = [i.TimerFired(name) for at, name in timers if at <= now]
         timers = [(at, name) for at, name in timers if at > now]
-        if with_list and n % 200 == 0:  # a machine is replaced, and the list tells
+        if with_list and n % 200 == 0:  # a machine is replaced, and the list reports it
             gone = fleet.pop(rng.randrange(len(fleet)))
             fleet.append(f"n{n}")
             entries = [entry(gone, state=i.MachineState.GONE)] + [entry(name) for name in fleet]
@@ -62,45 +62,45 @@
         owner = f"owner-{n}"
         taken = None
         ask = AdmissionRequest(owner, 1.0, 8000.0, 400.0, n % 7 == 0)
-        if not gate.decide(ask, now).why:
-            gate.enqueue(n, ask, now)
-            gate.dequeue(now)
+        if not admission.decide(ask, now).why:
+            admission.enqueue(n, ask, now)
+            admission.dequeue(now)
             taken = ledger.take(f"task-{n}", 0, f"service-{n}", now)
-            gate.open_tasks.opened(owner)
+            admission.open_tasks.opened(owner)
             events.append(i.TaskRequest(taken.request, 0, f"service-{n}", 0.5, 0.5, 8000.0, task=taken.name))
-        todo = scheduler.handle(now, events)
-        while todo:
-            more: list[i.Event] = []
-            for action in todo:
+        actions = scheduler.handle(now, events)
+        while actions:
+            answers: list[i.Event] = []
+            for action in actions:
                 if isinstance(action, i.SetTimer):
                     timers.append((now + action.delay, action.name))
                 elif isinstance(action, i.Offer):
-                    more.append(i.Accepted(action.request, 0, 5.0))
+                    answers.append(i.Accepted(action.request, 0, 5.0))
                     found = ledger.by_request(action.request)
                     assert found is not None
                     ledger.settle(found, Outcome.PLACED, now)
-                    gate.open_tasks.closed(f"owner-{found.name.removeprefix('task-')}")
+                    admission.open_tasks.closed(f"owner-{found.name.removeprefix('task-')}")
                     running.append((now + 4000.0, action.request, 0))
                 elif isinstance(action, (i.Refuse, i.Fail)):
                     found = ledger.by_request(action.request)
                     if found is not None and found.outcome is Outcome.OPEN:
                         ledger.settle(found, Outcome.REFUSED, now)
-                        gate.open_tasks.closed(f"owner-{found.name.removeprefix('task-')}")
-            todo = scheduler.handle(now, more) if more else []
+                        admission.open_tasks.closed(f"owner-{found.name.removeprefix('task-')}")
+            actions = scheduler.handle(now, answers) if answers else []
         if n % 1000 == 0:
             ledger.forget(now - 60_000.0)
         if (n + 1) % tenth == 0:
-            spent.append(time.process_time() - began)
+            cpu_seconds.append(time.process_time() - began)
             began = time.process_time()
         if n == services // 2:
-            marks["half_kib"] = resident_kib()
-    marks["end_kib"] = resident_kib()
+            resident["half_kib"] = resident_kib()
+    resident["end_kib"] = resident_kib()
     return {
         "services": services,
         "with_list": with_list,
-        "growth_in_last_half_mib": round((marks["end_kib"] - marks["half_kib"]) / 1024, 2),
-        "us_each_first_tenth": round(spent[0] / tenth * 1e6, 1),
-        "us_each_last_tenth": round(spent[-1] / tenth * 1e6, 1),
+        "growth_in_last_half_mib": round((resident["end_kib"] - resident["half_kib"]) / 1024, 2),
+        "us_each_first_tenth": round(cpu_seconds[0] / tenth * 1e6, 1),
+        "us_each_last_tenth": round(cpu_seconds[-1] / tenth * 1e6, 1),
         "longest_ledger": max(len(machine.pending_changes) for machine in scheduler.machines.values()),
         "machines_kept": len(scheduler.machines),
         "services_kept": len(scheduler.services),
--- a/benchmarks/stream_cpu.py
+++ b/benchmarks/stream_cpu.py
@@ -1,7 +1,7 @@
-"""Server CPU for each streamed message, ours beside grpc.aio, under the same client in one run.
+"""Compare the server CPU per streamed message with grpc.aio, under the same client in one run.
 
 ``python -m benchmarks.stream_cpu`` prints a table and writes ``docs/results/stream-cpu.json``. The rounds of both servers
-take turns, so that a machine that changes speed changes both; the ratio of the sums is what counts.
+alternate, so that a change in the machine's speed affects both; the result is the ratio of the mean costs.
 """
 
 from __future__ import annotations
@@ -16,32 +16,32 @@
 import grpc
 
 ROUNDS = 5
-SIZE = 120
+MESSAGE_BYTES = 120
 
 
 def cpu_s(pid: int) -> float:
-    """User and system seconds of a process."""
+    """Return the user and system CPU seconds of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 async def ping_pong(channel: grpc.aio.Channel, messages: int) -> None:
-    """One message out at a time: nothing to batch within a stream."""
+    """Send one message at a time, so that nothing can be batched within a stream."""
     call = channel.stream_stream("/b.B/Stream")()
     for _ in range(messages):
-        await call.write(bytes(SIZE))
+        await call.write(bytes(MESSAGE_BYTES))
         await call.read()
     await call.done_writing()
     await call.read()
 
 
 async def pipelined(channel: grpc.aio.Channel, messages: int) -> None:
-    """Writer and reader run apart, as offers and bindings do."""
+    """Write and read concurrently, as with offers and bindings."""
     call = channel.stream_stream("/b.B/Stream")()
 
     async def write() -> None:
         for _ in range(messages):
-            await call.write(bytes(SIZE))
+            await call.write(bytes(MESSAGE_BYTES))
         await call.done_writing()
 
     async def read() -> None:
@@ -54,7 +54,7 @@
 MODES = {"ping-pong, 32 streams": (ping_pong, 32, 250), "pipelined, 8 streams": (pipelined, 8, 2000)}
 
 
-async def round_of(port: int, pid: int, mode: str) -> float:
+async def run_round(port: int, pid: int, mode: str) -> float:
     body, streams, messages = MODES[mode]
     async with grpc.aio.insecure_channel(f"127.0.0.1:{port}") as channel:
         await ping_pong(channel, 10)
@@ -77,7 +77,7 @@
             cost: dict[str, list[float]] = {"ours": [], "aio": []}
             for _ in range(ROUNDS):
                 for kind, (process, port) in servers.items():
-                    cost[kind].append(asyncio.run(round_of(port, process.pid, mode)))
+                    cost[kind].append(asyncio.run(run_round(port, process.pid, mode)))
             mean = {kind: sum(values) / len(values) for kind, values in cost.items()}
             result[mode] = {
                 "ours_us": round(mean["ours"], 1),
--- a/benchmarks/whole_path.py
+++ b/benchmarks/whole_path.py
@@ -1,8 +1,9 @@
-"""Submit, decide, offer, accept, bind: what a placer process spends on a task, and what it adds in time.
+"""Measure CPU and latency of a placer per task, from submission to binding.
 
-``python -m benchmarks.whole_path [--profile] [--peers]``; writes ``docs/results/whole-path.json``. The figure is CPU: tasks
-settled for each second of the placer's own processor time, as the lightest outside world runs on other cores. The time added
-is compared with a unary echo on grpc.aio, under its own client, in the same run. ``--peers``: it sees five others.
+``python -m benchmarks.whole_path [--profile] [--peers]``; writes ``docs/results/whole-path.json``. The figure is tasks
+settled per second of the placer's own CPU time; the minimal peers (``benchmarks.light``) run on other cores. The added
+latency is compared with a unary echo on grpc.aio, under its own client, in the same run. ``--peers``: the placer has five
+others in its view.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
             file = Path(folder) / "placer.json"
             raw = msgspec.to_builtins(cluster(accepts_cores=100.0, accepts_memory=100.0, report_counts="asked"))
             placer = {"number": 0, "instances": 6, "zone": "room-a", "list": f"127.0.0.1:{lists[0]}", "seed": 1}
-            if "--peers" in sys.argv:  # the same placer, with five others in its view
+            if "--peers" in sys.argv:  # add five other placers to its view
                 ports = free_ports(6)
                 seeds = [f"127.0.0.1:{port}" for port in ports[:2]]
                 for number in range(1, 6):
@@ -76,7 +77,7 @@
             process = start(command)
             processes.append(process)
             address = line(process)["listen"]
-            time.sleep(5.0 if "--peers" in sys.argv else 1.0)  # until all see each other
+            time.sleep(5.0 if "--peers" in sys.argv else 1.0)  # until all placers see each other
             result: dict[str, object] = {}
             for name, active, opened in (("one at a time", 1, 1), ("64 open", 1, 64), ("2 x 100 open", 2, 100)):
                 before, began = cpu_s(process.pid), time.monotonic()
--- a/tests/placer/test_storms.py
+++ b/tests/placer/test_storms.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks.list_storm import played
+from benchmarks.list_storm import run_storm
 from sprucepost.loop import Co, sleep
 from sprucepost.placer import discovery
 from tests.placer.support import World, run_in_world, task
@@ -67,7 +67,7 @@
     """
     monkeypatch.setattr(discovery, "FIRST_UPDATE_TIMEOUT_MS", 400.0)
 
-    found = played(60, 30.0, 300.0, 12_000.0)
+    found = run_storm(60, 30.0, 300.0, 12_000.0)
     assert found["heard"] == 60 and found["most_calls_open"] <= 60 and found["calls"] <= 130
     monkeypatch.setattr(discovery, "SLOW_LIST_TIMEOUT_FACTOR", 1)  # the behaviour before
-    assert played(60, 30.0, 300.0, 8000.0)["heard"] < 60
+    assert run_storm(60, 30.0, 300.0, 8000.0)["heard"] < 60
