--- a/benchmarks/node_ready.py
+++ b/benchmarks/node_ready.py
@@ -1,23 +1,23 @@
-"""When a started `sprucepost node` is ready, and what that costs: ``python -m benchmarks.node_ready``.
+"""Measure when a started `sprucepost node` is ready, and its cost: ``python -m benchmarks.node_ready``.
 
-A placer is ready when it passes its first test, which is sent as soon as it takes a connection. For each condition the real
-program is started ten times with its hosts in ``known``, and measured until then: its CPU time, the times it gave the
-processor up to wait, and the real time. On a third of a core a start takes three times its CPU time and whatever it really
-waits; the waits it has do not depend on the machine, so they are counted and not timed. Writes
+A placer is ready when it passes its first test, which is sent as soon as it accepts a connection. For each condition the
+real program is started ten times with its hosts in ``known``, and measured until it is ready: its CPU time, its voluntary
+context switches (waits), and the elapsed time. On a third of a core a start takes three times its CPU time plus the time
+that it waits; the number of waits does not depend on the machine, so waits are counted and not timed. Writes
 ``docs/results/node-ready.json``.
 
 =============== ==================================================================
 condition       discovery
 =============== ==================================================================
-answers         answers at once, when it has something to tell
+answers         answers as soon as it has something to report
 late            answers after 3 s
-whole lists     tells the whole list anew in every answer
-silent          takes connections and answers nothing
+whole lists     sends the whole list again in every answer
+silent          accepts connections and never answers
 down            refuses connections
-unreachable     its system answers no dial
-reload          answers; SIGHUP comes when the process listens, and every 20 ms
-many lists      answers; what is known are fifty whole lists, one after the other
-idle crowd      answers; 300 idle clients dial all the time and come back the moment they are closed
+unreachable     its host does not answer connection attempts
+reload          answers; SIGHUP is sent when the process listens, and every 20 ms
+many lists      answers; its history is fifty whole lists in sequence
+idle crowd      answers; 300 idle clients keep connecting and reconnect as soon as they are closed
 thirty at once  answers; thirty processes are started together
 =============== ==================================================================
 """
@@ -48,22 +48,22 @@
 from tests.node.program import cpu_s
 from tests.node.test_descriptors import PROVEN, IdleClient
 
-CORE = 1 / 3  # the share of a core by which CPU time becomes time
-LIMIT_S = 10.0  # within which a restarted placer has to be ready
-LATE_MS, RELOAD_MS, AGAIN_MS, GIVE_UP_MS = 3000.0, 20.0, 2.0, 60_000.0
+CORE_SHARE = 1 / 3  # share of a core that the placer has; CPU time is divided by it
+LIMIT_S = 10.0  # time limit for a restarted placer to become ready
+LATE_MS, RELOAD_MS, DIAL_RETRY_MS, GIVE_UP_MS = 3000.0, 20.0, 2.0, 60_000.0
 STARTS, TOGETHER = 10, 30
 HOSTS = (400, 1000)
 CONDITIONS = (
     "answers", "late", "whole lists", "silent", "down", "unreachable", "reload", "many lists", "idle crowd", "thirty at once"
 )  # fmt: skip
 MANY_LISTS, IDLE_CLIENTS = 50, 300
-TEST = "7e" * 8
+TEST_MESSAGE_ID = "7e" * 8
 PORT = 2905
 
 
 @dataclass(frozen=True)
 class Start:
-    """One start until its first test was passed."""
+    """Measurements of one start, until the first test was passed."""
 
     cpu_s: float
     waits: int
@@ -71,7 +71,7 @@
 
 
 class Discovery(BulletinServer):
-    """``condition`` says how it treats a question."""
+    """A discovery service that treats requests as ``condition`` says."""
 
     condition = "answers"
 
@@ -92,7 +92,7 @@
 
 
 def discovery(platform: Platform, condition: str, hosts: int) -> Discovery:
-    """A discovery that behaves so and knows so many hosts."""
+    """Return a discovery service with that condition and number of hosts."""
     found = Discovery(platform)
     host = platform.host("s-0")
     found.tell(*(host.entry(uid=f"s-{n}", endpoint=f"127.1.{n // 250}.{n % 250 + 1}:9") for n in range(hosts)),
@@ -110,7 +110,7 @@
 
 @contextmanager
 def unreachable() -> Iterator[str]:
-    """An address that takes no connection: its backlog is full, and further dials are not answered."""
+    """Yield an address that accepts no connection: its backlog is full, so that further attempts are not answered."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -125,7 +125,7 @@
 
 
 def waits(pid: int) -> int:
-    """How often it has given up the processor by itself."""
+    """Return the number of voluntary context switches of a process."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("voluntary_ctxt_switches"))
 
@@ -133,7 +133,7 @@
 def start(
     platform: Platform, environment: dict[str, str], listen: tuple[str, int], condition: str, found: list[Start]
 ) -> Co[None]:
-    """Start the program, test it until it passes, and end it."""
+    """Start the program, measure until it passes its first test, and kill it."""
     began = platform.loop.now()
     with subprocess.Popen(
         [sys.executable, "-m", "sprucepost", "node"], env={**os.environ, **environment}, stdout=subprocess.DEVNULL
@@ -142,7 +142,7 @@
             link = yield from listening(platform, listen)
             if condition == "reload":
                 reload(platform, process)
-            link.transport.write(binary.encode(Kind.TEST, TEST, [(Code.CAUSE, b"\0")]))
+            link.transport.write(binary.encode(Kind.TEST, TEST_MESSAGE_ID, [(Code.CAUSE, b"\0")]))
             while not link.received:
                 yield from sleep(1.0)
                 if platform.loop.now() - began > GIVE_UP_MS or process.poll() is not None:
@@ -155,26 +155,26 @@
 
 
 def listening(platform: Platform, address: tuple[str, int]) -> Co[Link]:
-    """A connection to the program, as soon as it takes one."""
+    """Connect to the program as soon as it accepts connections."""
     task = yield from current()
     while True:
         try:
             transport = yield from connect(platform.loop, task, address, GIVE_UP_MS)
         except OSError:
-            yield from sleep(AGAIN_MS)
+            yield from sleep(DIAL_RETRY_MS)
             continue
         return Link(transport, binary.Decoder(), lambda link, message: None)
 
 
 def reload(platform: Platform, process: subprocess.Popen[bytes]) -> None:
-    """SIGHUP now, and again and again until the process has ended."""
+    """Send SIGHUP now and every ``RELOAD_MS`` until the process has ended."""
     if process.poll() is None:
         process.send_signal(signal.SIGHUP)
         platform.loop.call_later(RELOAD_MS, lambda: reload(platform, process))
 
 
 def condition_starts(condition: str, hosts: int, starts: int) -> list[Start]:
-    """All starts under one condition."""
+    """Measure all starts under one condition."""
     found: list[Start] = []
 
     def body(platform: Platform) -> Co[None]:
@@ -201,11 +201,11 @@
 
 
 def configured(platform: Platform, number: int, address: str) -> tuple[dict[str, str], tuple[str, int]]:
-    """A configuration of its own for one process: the environment that names it, and where that process will listen."""
+    """Write a separate configuration for one process; return its environment and the address at which it will listen."""
     folder = platform.folder
     platform.folder = folder / f"n{number}"
     platform.folder.mkdir(exist_ok=True)
-    listen = f"127.2.0.{number + 1}", PORT  # an address of its own: nobody else takes that port meanwhile
+    listen = f"127.2.0.{number + 1}", PORT  # a separate address, so that no other process can take the port
     environment = platform.environment(
         name=platform.folder.name,
         listen=f"{listen[0]}:{listen[1]}",
@@ -217,16 +217,16 @@
 
 
 def summary(starts: list[Start]) -> dict[str, float]:
-    """What is kept of one condition: seconds, on a third of a core unless they say otherwise."""
+    """Return the results of one condition; ``third_of_a_core_s_most`` is scaled to a third of a core."""
     cpu = [each.cpu_s for each in starts]
     return {
         "starts": len(starts),
         "cpu_s_median": round(statistics.median(cpu), 3),
         "cpu_s_most": round(max(cpu), 3),
-        "third_of_a_core_s_most": round(max(cpu) / CORE, 2),
+        "third_of_a_core_s_most": round(max(cpu) / CORE_SHARE, 2),
         "waits_most": max(each.waits for each in starts),
         "real_s_most": round(max(each.real_s for each in starts), 2),
-        "ready_within_limit": sum(max(each.cpu_s / CORE, each.real_s) <= LIMIT_S for each in starts),
+        "ready_within_limit": sum(max(each.cpu_s / CORE_SHARE, each.real_s) <= LIMIT_S for each in starts),
     }
 
 
--- a/benchmarks/node_setups.py
+++ b/benchmarks/node_setups.py
@@ -1,7 +1,7 @@
-"""What a set-up costs `sprucepost node`, and where: ``python -m benchmarks.node_setups``.
+"""Measure the CPU time of a set-up in `sprucepost node`, by file: ``python -m benchmarks.node_setups``.
 
-Ninety set-ups a second for half a minute, tasks of 5 s, twelve hosts, one owner. Twice: plain, for the process's own CPU
-time, and under the interpreter's profiler, for the shares of its parts. Writes ``docs/results/node-setups.json``.
+Ninety set-ups a second for half a minute, tasks of 5 s, twelve hosts, one owner. Runs twice: plainly, for the process's
+own CPU time, and under the interpreter's profiler, for the share of each file. Writes ``docs/results/node-setups.json``.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 RATE, SECONDS, LIFE_MS, HOSTS, SERVICES = 90, 30, 5000.0, 12, 60
 
 
-def one(command: list[str], folder: Path) -> dict[str, float]:
-    """CPU seconds and resident KiB of one placer that served the load."""
+def measure(command: list[str], folder: Path) -> dict[str, float]:
+    """Serve the load with one placer; return its CPU ms per set-up, its resident KiB and counts."""
     found: dict[str, float] = {}
 
     def body(platform: Platform) -> Co[None]:
@@ -82,11 +82,11 @@
 
 
 def _ignore(link: Link, message: object) -> None:
-    """The load does not wait for answers."""
+    """Ignore a message: the load does not wait for answers."""
 
 
 def shares(profile: Path) -> dict[str, float]:
-    """The part of the profiled time spent in each file itself, waiting left out."""
+    """Return the share of the profiled time spent in each file itself, without waiting and imports."""
     total: dict[str, float] = {}
     for (file, _, name), (_, _, own, _, _) in pstats.Stats(str(profile)).stats.items():  # type: ignore[attr-defined]
         if "poll" in name or "import" in file:
@@ -103,9 +103,9 @@
 
 def main() -> None:
     with tempfile.TemporaryDirectory() as plain, tempfile.TemporaryDirectory() as profiled:
-        report: dict[str, object] = dict(one([sys.executable, "-m", "sprucepost", "node"], Path(plain)))
+        report: dict[str, object] = dict(measure([sys.executable, "-m", "sprucepost", "node"], Path(plain)))
         file = Path(profiled) / "profile"
-        one([sys.executable, "-m", "cProfile", "-o", str(file), "-m", "sprucepost", "node"], Path(profiled))
+        measure([sys.executable, "-m", "cProfile", "-o", str(file), "-m", "sprucepost", "node"], Path(profiled))
         report["shares"] = shares(file)
     print(json.dumps(report, indent=1))
     Path("docs/results/node-setups.json").write_text(json.dumps(report, indent=1) + "\n")
--- a/benchmarks/pairs.py
+++ b/benchmarks/pairs.py
@@ -1,8 +1,8 @@
-"""The whole path of two versions at the same time, each on half of the processors, which they swap after each round.
+"""Compare the whole path of two versions, run concurrently on half of the processors each and then swapped.
 
-``python -m benchmarks.pairs --baseline DIR [--rounds 3]``; writes ``docs/results/whole-path-pairs.json``: what a task
-costs the placer's processor here, in what it costs there. One after the other two runs of one version differed fourfold on
-a host whose speed moves; side by side they meet the same host, and the swap takes out what differs between the halves.
+``python -m benchmarks.pairs --baseline DIR [--rounds 3]``; writes ``docs/results/whole-path-pairs.json``: the CPU time
+of a task here divided by that in the baseline. In sequence, two runs of one version differed fourfold on a host of varying
+speed; run concurrently they meet the same conditions, and the swap cancels differences between the halves.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 CASES = ("one at a time", "64 open", "2 x 100 open")
 
 
-def begin(checkout: Path, processors: set[int], *more: str) -> subprocess.Popen[bytes]:
+def start_benchmark(checkout: Path, processors: set[int], *more: str) -> subprocess.Popen[bytes]:
     return subprocess.Popen(
         [sys.executable, "-m", "benchmarks.whole_path", *more], cwd=checkout, stdout=subprocess.DEVNULL,
         preexec_fn=lambda: os.sched_setaffinity(0, processors),
@@ -31,8 +31,8 @@
 
 
 def pair(checkouts: list[Path], halves: list[set[int]], *more: str) -> list[dict[str, Any]]:
-    """What both wrote of one run beside one another; ``more`` goes to this checkout's side."""
-    processes = [begin(checkouts[0], halves[0], *more), begin(checkouts[1], halves[1])]
+    """Run both checkouts concurrently and return their results; ``more`` are arguments for the first one."""
+    processes = [start_benchmark(checkouts[0], halves[0], *more), start_benchmark(checkouts[1], halves[1])]
     for process in processes:
         if process.wait(120):
             raise SystemExit(f"whole_path ended with {process.returncode}")
@@ -42,19 +42,19 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--baseline", type=Path, required=True)
-    parser.add_argument("--rounds", type=int, default=3, help="of two pairs each")
+    parser.add_argument("--rounds", type=int, default=3, help="rounds of two pairs each")
     parser.add_argument("--out", type=Path, default=Path("docs/results/whole-path-pairs.json"))
-    parser.add_argument("--peers", action="store_true", help="this side keeps a view of five other placers")
+    parser.add_argument("--peers", action="store_true", help="the placer of this checkout has five others in its view")
     arguments = parser.parse_args()
     checkouts = [ROOT, arguments.baseline.resolve()]
     processors = sorted(os.sched_getaffinity(0))
     middle = len(processors) // 2
     if not middle:
-        raise SystemExit("pairs: needs two processors at least")
+        raise SystemExit("pairs: needs at least two processors")
     halves = [set(processors[:middle]), set(processors[middle:])]
-    kept = [
+    original_files = [
         (checkout / FILE, (checkout / FILE).read_bytes()) for checkout in checkouts
-    ]  # a pair is no result of its own
+    ]  # restored afterwards: a run of a pair is not a whole-path result
     ratios: dict[str, list[float]] = {name: [] for name in CASES}
     try:
         for _ in range(arguments.rounds):
@@ -63,7 +63,7 @@
                 for name in CASES:
                     ratios[name].append(here[name]["cpu_us_each"] / there[name]["cpu_us_each"])
     finally:
-        for path, data in kept:
+        for path, data in original_files:
             path.write_bytes(data)
     mean = {name: math.exp(sum(map(math.log, found)) / len(found)) for name, found in ratios.items()}
     rows = [[name, f"{mean[name]:.2f}", *(f"{ratio:.2f}" for ratio in ratios[name])] for name in CASES]
--- a/benchmarks/scale_calibration.py
+++ b/benchmarks/scale_calibration.py
@@ -1,6 +1,6 @@
-"""Real neighbours beside hollow and beside real companions: ``python -m benchmarks.scale_calibration [PLACERS]``.
+"""Compare measured placers among hollow and among real peers: ``python -m benchmarks.scale_calibration [PLACERS]``.
 
-Writes ``docs/results/scale-calibration-hollow.json`` and ``docs/results/scale-calibration-real.json``; exit status 1 where a
+Writes ``docs/results/scale-calibration-hollow.json`` and ``docs/results/scale-calibration-real.json``; exit status 1 if a
 figure differs by more than a tenth.
 """
 
@@ -19,9 +19,9 @@
 from sprucepost.scale.runner import RunOptions
 from sprucepost.scale.size import RunSize
 
-STARTS_PER_S_OF_A_PLACER = 0.2  # as in the plan: 65 starts a second over 350 placers
-TASKS_OF_A_PLACER = 4
-REAL_PLACERS = 8  # that are measured: what each of them is asked for is drawn, and differs much
+STARTS_PER_S_PER_PLACER = 0.2  # as in the plan: 65 starts a second for 350 placers
+TASKS_PER_PLACER = 4
+REAL_PLACERS = 8  # measured placers; several, since the random load of each differs much
 
 
 def main() -> int:
@@ -35,8 +35,8 @@
     size = replace(
         RunSize(),
         placers=placers,
-        starts_per_s=STARTS_PER_S_OF_A_PLACER * placers,
-        running_tasks=TASKS_OF_A_PLACER * placers,
+        starts_per_s=STARTS_PER_S_PER_PLACER * placers,
+        running_tasks=TASKS_PER_PLACER * placers,
     )
     command = f"python -m benchmarks.scale_calibration {' '.join(sys.argv[1:])}".strip()
     options = RunOptions(
@@ -48,11 +48,11 @@
     )
     began = time.monotonic()
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         print(f"{time.monotonic() - began:6.1f} s  {text}", file=sys.stderr, flush=True)
 
     try:
-        hollow, real = calibrate(size, arguments.repeats, options, say)
+        hollow, real = calibrate(size, arguments.repeats, options, print_progress)
     except ScaleError as error:
         print(f"scale: {error}", file=sys.stderr)
         return 2
--- a/benchmarks/scale_ranking.py
+++ b/benchmarks/scale_ranking.py
@@ -1,8 +1,7 @@
-"""What a planned day demands and the program does not carry, worst first, and whether the first place hangs on one
-assumption.
+"""Rank the unmet demands of a planned day by harm, and test whether the first place depends on one assumption.
 
 ``python -m benchmarks.scale_ranking [SETTINGS] [SEED]`` (deploy/scale/two-years.json, 1); prints Markdown tables. No
-process is started: the plan is drawn, and what the program does with it follows from ``sprucepost.scale.present``.
+process is started: the plan is generated, and ``sprucepost.scale.present`` says how the program handles it.
 """
 
 from __future__ import annotations
@@ -71,14 +70,14 @@
     print(
         f"{size.name}, seed {seed}: {len(plan.jobs):,} jobs, {plan.tasks:,} task starts, {size.processes} processes\n"
     )
-    print("What is not carried is missed:\n")
+    print("Unmet demands:\n")
     print(ranking(plan, Assumptions()))
-    print(f"\nChanges each by hand ({HAND_S_PER_PROCESS:g} s), one gang member in ten late:\n")
+    print(f"\nEach change by hand ({HAND_S_PER_PROCESS:g} s), one gang member in ten late:\n")
     print(ranking(plan, Assumptions(HAND_S_PER_PROCESS, 0.1)))
     roll_s = ROLL_S_PER_PROCESS * size.processes
     print(f"\nChanges as quick as a roll ({roll_s:.0f} s each), one gang member in a hundred late:\n")
     print(ranking(plan, Assumptions(ROLL_S_PER_PROCESS, 0.01)))
-    print("\nOne assumption moved at a time:\n")
+    print("\nOne assumption varied at a time:\n")
     print(sensitivity(size, seed))
     print("\nHow often each comes first, over all weights and 1, 0.3 and 0.1 of what an old configuration places:\n")
     firsts = [
@@ -89,7 +88,7 @@
     restarts = sum(not change.reloadable for change in plan.changes) * size.placers
     quota = plan.quotas[0]
     unseen = unseen_excess(quota, 2.0 * quota, size.placers)
-    print(f"\nPlacers that do not see the largest team at twice its quota: {unseen:.1%}")
+    print(f"\nPlacers that do not see that the largest team exceeds its quota twofold: {unseen:.1%}")
     print(f"Restarts of placers that the day's changes need: {restarts:,}")
     return 0
 
--- a/benchmarks/scale_sweep.py
+++ b/benchmarks/scale_sweep.py
@@ -14,23 +14,28 @@
 from sprucepost.scale.size import RunSize
 
 
-def sizes_of(text: str) -> tuple[str, list[float]]:
-    """``NAME=SIZE,SIZE``."""
+def parse_sizes(text: str) -> tuple[str, list[float]]:
+    """Parse ``NAME=SIZE,SIZE``."""
     name, _, values = text.partition("=")
     return name, [float(value) for value in values.split(",")]
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("variables", nargs="+", type=sizes_of, metavar="NAME=SIZE,SIZE")
+    parser.add_argument("variables", nargs="+", type=parse_sizes, metavar="NAME=SIZE,SIZE")
     parser.add_argument(
-        "--at", nargs="*", default=[], type=sizes_of, metavar="NAME=SIZE", help="the other variables, else RunSize's"
+        "--at",
+        nargs="*",
+        default=[],
+        type=parse_sizes,
+        metavar="NAME=SIZE",
+        help="the other variables; by default those of RunSize",
     )
     parser.add_argument("--repeats", type=int, default=3)
-    parser.add_argument("--at-a-time", type=int, default=4, help="points that are measured beside each other")
+    parser.add_argument("--at-a-time", type=int, default=4, help="points measured concurrently")
     parser.add_argument("--seconds", type=float, default=6.0, help="of each measured interval")
-    parser.add_argument("--settle", type=float, default=120.0, help="seconds at most until a fleet is settled")
-    parser.add_argument("--real", action="store_true", help="real companions in place of hollow ones")
+    parser.add_argument("--settle", type=float, default=120.0, help="maximum seconds until a fleet is settled")
+    parser.add_argument("--real", action="store_true", help="real peers instead of hollow ones")
     parser.add_argument("--out", type=Path, required=True)
     arguments = parser.parse_args()
     command = f"python -m benchmarks.scale_sweep {' '.join(sys.argv[1:])}"
@@ -43,14 +48,14 @@
     )
     began = time.monotonic()
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         print(f"{time.monotonic() - began:6.1f} s  {text}", file=sys.stderr, flush=True)
 
     try:
         base = RunSize()
         for name, (size, *_) in arguments.at:
             base = size_with(base, name, size)
-        save(sweep(dict(arguments.variables), base, arguments.repeats, options, say), arguments.out)
+        save(sweep(dict(arguments.variables), base, arguments.repeats, options, print_progress), arguments.out)
     except ScaleError as error:
         print(f"scale: {error}", file=sys.stderr)
         return 2
--- a/benchmarks/soak_placer.py
+++ b/benchmarks/soak_placer.py
@@ -1,9 +1,9 @@
-"""A placer process for as long as you like: ever new owners, services and tasks, with the list and without.
+"""Run a placer process for a long time with new owners, services and tasks, with and without a list.
 
-``python -m benchmarks.soak_placer [--minutes 60] [--rate 300]``; writes ``docs/results/soak-placer.json``. A placer process
-and its light machines; every two seconds new owners come with sessions of their own and the oldest go, every ask is of
-a new service. The first half has a list, in the second list and machines are gone. What counts is growth of memory over the
-last half of each part, and CPU for each ask.
+``python -m benchmarks.soak_placer [--minutes 60] [--rate 300]``; writes ``docs/results/soak-placer.json``. Starts a placer
+process and minimal machines. Owners with separate sessions are replaced continually, all of them every two seconds, and
+every request is of a new service. In the second half the list and the machines are gone. The results are the memory growth
+over the last half of each part, and the CPU per request.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from tests.placer.support import cluster
 
 OWNERS, RENEW_MS, SAMPLES = 8, 2000.0, 40
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def resident_kib(pid: int) -> int:
@@ -40,11 +40,11 @@
 
 def cpu_s(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-class Asking:
-    """Owners that come and go, and what became of their asks."""
+class RotatingOwners:
+    """Owners that are replaced continually, and the outcomes of their requests."""
 
     def __init__(self, loop: Loop, scope: Scope, address: Address) -> None:
         self._loop, self._scope, self._address = loop, scope, address
@@ -58,7 +58,7 @@
             self.outcomes[kind] = self.outcomes.get(kind, 0) + 1
 
     def renew(self) -> None:
-        """A new owner; the oldest goes, its last asks long answered."""
+        """Add an owner and remove the oldest, whose last requests were answered long before."""
         self.owners += 1
         self._links.append(
             OwnerLink(self._loop, self._scope, self._address, f"owner-{self.owners}", self._frame, lambda resumed: None)
@@ -78,8 +78,8 @@
         up[self.asked % len(up)].submit(f"t{self.asked}", task, 2000.0)
 
 
-def part(asking: Asking, loop: Loop, pid: int, length_ms: float, rate: float) -> Co[list[dict[str, float]]]:
-    """Ask for so long; samples of memory and CPU."""
+def run_part(asking: RotatingOwners, loop: Loop, pid: int, length_ms: float, rate: float) -> Co[list[dict[str, float]]]:
+    """Send requests for ``length_ms``; return samples of memory and CPU."""
     rows, began, cpu, asked = [], loop.now(), cpu_s(pid), asking.asked
     base, sample = asking.asked, 1
     renewed = began
@@ -91,7 +91,7 @@
         while asking.asked - base < passed * rate / 1000.0:
             asking.ask()
             if asking.asked == before:
-                break  # nobody is attached
+                break  # no owner is connected
         if passed >= sample * length_ms / SAMPLES:
             now = cpu_s(pid)
             each = (now - cpu) / max(1, asking.asked - asked) * 1e6
@@ -144,15 +144,15 @@
             host, _, port = str(line(placer)["listen"]).rpartition(":")
 
             def body(scope: Scope) -> Co[dict[str, Any]]:
-                asking = Asking(loop, scope, (host, int(port)))
+                asking = RotatingOwners(loop, scope, (host, int(port)))
                 asking.renew()
                 yield from sleep(1500.0)
                 result: dict[str, Any] = {"minutes": arguments.minutes, "rate": arguments.rate}
-                rows = yield from part(asking, loop, placer.pid, length_ms, arguments.rate)
+                rows = yield from run_part(asking, loop, placer.pid, length_ms, arguments.rate)
                 result["with_list"] = {**summary(rows), "asked": asking.asked, "samples": rows}
                 before = asking.asked
-                machines.kill()  # the machines and the list are gone; what is asked now is refused in time
-                rows = yield from part(asking, loop, placer.pid, length_ms, arguments.rate)
+                machines.kill()  # without machines and list, requests are refused within their deadline
+                rows = yield from run_part(asking, loop, placer.pid, length_ms, arguments.rate)
                 result["without_list"] = {**summary(rows), "asked": asking.asked - before, "samples": rows}
                 yield from sleep(2500.0)
                 result |= {"owners": asking.owners, "asked": asking.asked, "outcomes": asking.outcomes}
