--- a/benchmarks/bursts.py
+++ b/benchmarks/bursts.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from benchmarks.whole_path import line
+from benchmarks.whole_path import read_json_line
 from sprucepost.cli.tables import table
 from sprucepost.loop import Co, Scope, in_scope, sleep
 from sprucepost.loop.epoll import EpollLoop
@@ -136,14 +136,14 @@
         return process
 
     try:
-        listed = line(start(ROOT, "benchmarks.light", "0", "12", "serve"))["list"]
+        listed = read_json_line(start(ROOT, "benchmarks.light", "0", "12", "serve"))["list"]
         with tempfile.TemporaryDirectory() as name:
             file = Path(name) / "placer.json"
             raw = msgspec.to_builtins(cluster(accepts_cores=1e4, accepts_memory=1e4, report_counts="asked"))
             options = {"number": 0, "instances": 1, "zone": "room-a", "list": f"127.0.0.1:{listed}", "seed": 1}
             file.write_text(json.dumps({"cluster": raw, "placer": options}))
             process = start(checkout, "sprucepost", "placer", str(file))
-            address = str(line(process)["listen"])
+            address = str(read_json_line(process)["listen"])
             time.sleep(1.0)
             return phases(address, process.pid)
     finally:
--- a/benchmarks/configuration_fleet.py
+++ b/benchmarks/configuration_fleet.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.view_fleet import all_see, cpu_s, sent
+from benchmarks.view_fleet import bytes_sent, cpu_s, wait_for_views
 from sprucepost.cli.configuration import call_placer
 from sprucepost.placer.configuration_service import PROPOSE_PATH
 from sprucepost.settings import ConfigurationOptions
@@ -45,13 +45,13 @@
 def total_usage(fleet: Fleet) -> tuple[float, float]:
     """Return the CPU seconds and the bytes sent to other placers so far, summed over all placers."""
     cpu = sum(cpu_s(process.pid) for process in fleet.processes.values())
-    return cpu, sum(sent(fleet, number) for number in fleet.processes)
+    return cpu, sum(bytes_sent(fleet, number) for number in fleet.processes)
 
 
 def start_fleet(fleet: Fleet) -> None:
     """Start the placers; wait until all see each other and have the fleet's first change."""
     fleet.start(*range(fleet.size), deployment=deployment())
-    all_see(fleet, lambda shown: sum(m["condition"] == "here" for m in shown["members"]) == fleet.size, 180.0)
+    wait_for_views(fleet, lambda shown: sum(m["condition"] == "here" for m in shown["members"]) == fleet.size, 180.0)
     for _ in range(60):
         if propose(fleet, 0, "cluster.max_attempts", 5):
             break
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,10 +1,9 @@
-"""Offered load up to five times what a placer can do, side by side with another version's placer.
+"""Offer up to five times the capacity of a placer, side by side with another version's placer.
 
 ``python -m benchmarks.overload [--baseline DIR]``; writes ``docs/results/overload.json`` and ``overload.html``. Each
-placer is pinned to a processor that it shares with busy loops, so that generators on the others can offer five times what
-it can do. First the peak is sought, then twice and five times the peak are offered: by owners that take credit, and
-by owners of before, which take neither credit nor refusals in one frame. At each load all versions are played before
-the next load.
+placer is pinned to a processor that it shares with busy loops, so that generators on the others can offer five times its
+capacity. The peak is determined first; then twice and five times the peak are offered: by owners that accept credit, and by
+older owners, which accept neither credit nor batched refusals. At each load all versions are measured before the next load.
 """
 
 from __future__ import annotations
@@ -21,19 +20,19 @@
 
 import msgspec
 
-from benchmarks.whole_path import line
+from benchmarks.whole_path import read_json_line
 from sprucepost.cli.tables import table
 from sprucepost.load.report import render_page
 from sprucepost.plotting import ChartsUnavailable
 from tests.placer.support import cluster
 
-HOGS, GENERATORS, LENGTH_S = 3, 3, 5.0
-SEEK = (
+BUSY_LOOPS, GENERATORS, LENGTH_S = 3, 3, 5.0
+PEAK_SEARCH = (
     300.0,
     1.4,
-)  # asks a second at first, and the factor until less than FULFILLED of what is offered is placed in time
-FULFILLED = 0.8
-TIMES = (2.0, 5.0)
+)  # initial requests per second, and the factor of each step until less than PEAK_GOODPUT_SHARE of the load is goodput
+PEAK_GOODPUT_SHARE = 0.8
+LOAD_FACTORS = (2.0, 5.0)
 OWNERS = {"credit": {"credit": True, "batches": True}, "of before": {"credit": False, "batches": False}}
 ROOT = Path(__file__).parent.parent
 CLUSTER = cluster(accepts_cores=1e4, accepts_memory=1e4, report_counts="asked")
@@ -41,7 +40,7 @@
 
 
 class Bench:
-    """Processes that end with it."""
+    """The processes of a run; :meth:`end` kills them."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -57,22 +56,22 @@
         return process
 
     def placer(self, checkout: Path, listed: int, cpu: int) -> str:
-        """A placer of that checkout, alone with busy loops on one processor; its address."""
+        """Start a placer of that checkout on one processor, shared only with busy loops; return its address."""
         options = {"number": 0, "instances": 1, "zone": "room-a", "list": f"127.0.0.1:{listed}", "seed": 1}
         file = self.folder / f"placer-{cpu}.json"
         file.write_text(json.dumps({"cluster": msgspec.to_builtins(CLUSTER), "placer": options}))
         process = self.start(checkout, "sprucepost", "placer", str(file))
-        address = str(line(process)["listen"])
+        address = str(read_json_line(process)["listen"])
         os.sched_setaffinity(process.pid, {cpu})
         self._pids[address] = process.pid
-        for _ in range(HOGS):
-            hog = subprocess.Popen([sys.executable, "-c", "while True: pass"], text=True)
-            self._processes.append(hog)
-            os.sched_setaffinity(hog.pid, {cpu})
+        for _ in range(BUSY_LOOPS):
+            busy_loop = subprocess.Popen([sys.executable, "-c", "while True: pass"], text=True)
+            self._processes.append(busy_loop)
+            os.sched_setaffinity(busy_loop.pid, {cpu})
         return address
 
     def offer(self, address: str, rate: float, seed: int, owners: dict[str, bool]) -> dict[str, Any]:
-        """Generators beside one another; their figures together."""
+        """Run the generators concurrently; return their combined figures."""
         runs, cpu_s = [], self._cpu_s(address)
         for n in range(GENERATORS):
             plan = {
@@ -128,33 +127,33 @@
     with tempfile.TemporaryDirectory() as name:
         bench = Bench(Path(name))
         try:
-            listed = line(bench.start(ROOT, "benchmarks.light", "0", "12", "serve"))["list"]
+            listed = read_json_line(bench.start(ROOT, "benchmarks.light", "0", "12", "serve"))["list"]
             addresses = {
                 version: bench.placer(folder, listed, n) for n, (version, folder) in enumerate(checkouts.items())
             }
             time.sleep(1.5)
-            result = played(bench, addresses)
+            result = measure_versions(bench, addresses)
         finally:
             bench.end()
     report(result, arguments.out)
 
 
-def played(bench: Bench, addresses: dict[str, str]) -> dict[str, Any]:
-    """Per version: its peak, and each load above it by each kind of owners."""
+def measure_versions(bench: Bench, addresses: dict[str, str]) -> dict[str, Any]:
+    """Measure for each version its peak, and each load above it by each kind of owners."""
     seek: dict[str, list[dict[str, Any]]] = {version: [] for version in addresses}
-    rate, seeking, n = SEEK[0], list(addresses), 0
+    rate, seeking, n = PEAK_SEARCH[0], list(addresses), 0
     while seeking:
         for version in list(seeking):
             found = bench.offer(addresses[version], rate, n, OWNERS["credit"])
             seek[version].append({"rate": rate, **found})
             print(version, round(rate), found["goodput_per_s"], found["placed_p99_ms"], found["cpu_s"], flush=True)
-            if found["goodput_per_s"] < FULFILLED * found["offered_per_s"]:
+            if found["goodput_per_s"] < PEAK_GOODPUT_SHARE * found["offered_per_s"]:
                 seeking.remove(version)
-        rate, n = rate * SEEK[1], n + 1
+        rate, n = rate * PEAK_SEARCH[1], n + 1
     result: dict[str, Any] = {}
     for version, rows in seek.items():
         result[version] = {"peak_per_s": max(row["goodput_per_s"] for row in rows), "seek": rows, "above": []}
-    for times in TIMES:
+    for times in LOAD_FACTORS:
         for kind, owners in OWNERS.items():
             for version, address in addresses.items():
                 time.sleep(2.0)
@@ -178,7 +177,7 @@
     sides = {f"{version}, 5 times, credit": row for version, found in result.items() for row in found["above"]
              if row["times"] == 5.0 and row["owners"] == "credit"}  # fmt: skip
     try:
-        chart = render_page("Five times what a placer can do", sides, {})
+        chart = render_page("Five times a placer's capacity", sides, {})
         out.with_suffix(".html").write_text("\n".join(text.rstrip() for text in chart.splitlines()) + "\n")
     except ChartsUnavailable as error:
         print(error)
--- a/benchmarks/refusals.py
+++ b/benchmarks/refusals.py
@@ -1,10 +1,10 @@
-"""What a refused ask costs the placer's processor beside a placed one, in one run.
+"""Compare the placer's CPU time of a refused request with that of a placed one, in one run.
 
-``python -m benchmarks.refusals [--profile FILE]``; writes ``docs/results/refusals.json``. The same asks go to a placer at a
-rate that it bears, at five times that to one that may have a single task open, so that it refuses nearly all, and at many
-times that to one whose line refuses: an owner that takes refusals in one frame, and one of before. Figures are the
-processes' own CPU for each ask, idle work included. The line refuses a part only, and under a flood a placement costs less;
-two floods of different sizes tell the two apart.
+``python -m benchmarks.refusals [--profile FILE]``; writes ``docs/results/refusals.json``. The same requests go to a placer
+at a rate that it sustains; at five times that rate to one that may have a single open task, so that it refuses nearly all;
+and at many times that rate to one whose queue refuses, from an owner that accepts batched refusals and from an older one.
+Figures are the processes' own CPU time per request, including idle work. The queue refuses only a part, and a placement
+costs less under a flood; two floods of different sizes separate the two costs.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 from benchmarks.bursts import Owner
 from benchmarks.stream_cpu import cpu_s
-from benchmarks.whole_path import line, start
+from benchmarks.whole_path import read_json_line, start
 from sprucepost.loop import Co, Scope, in_scope, sleep
 from sprucepost.loop.epoll import EpollLoop
 from tests.placer.support import cluster
 
-EVERY_MS, LENGTH_MS = 50.0, 5000.0
-PLACED, REFUSED, FLOODS = 80, 400, (450, 650)  # asks in one burst: what a placer bears, and more than that
+BURST_INTERVAL_MS, LENGTH_MS = 50.0, 5000.0
+PLACED, REFUSED, FLOODS = 80, 400, (450, 650)  # requests in one burst: a sustainable number, and larger ones
 
 
 def cost(open_tasks: int, size: int, profile: Path | None = None, batches: bool = True) -> dict[str, Any]:
@@ -36,7 +36,7 @@
     try:
         driver = start(["benchmarks.light", "0", "12", "serve"])
         processes.append(driver)
-        listed = line(driver)["list"]
+        listed = read_json_line(driver)["list"]
         with tempfile.TemporaryDirectory() as name:
             file = Path(name) / "placer.json"
             raw = msgspec.to_builtins(cluster(accepts_cores=1e4, accepts_memory=1e4, report_counts="asked"))
@@ -48,7 +48,7 @@
             under = ["cProfile", "-o", str(profile), "-m"] if profile is not None else []
             process = start([*under, "sprucepost", "placer", str(file)])
             processes.append(process)
-            address = str(line(process)["listen"])
+            address = str(read_json_line(process)["listen"])
             time.sleep(1.0)
             loop = EpollLoop(1)
 
@@ -57,9 +57,9 @@
                 owner.link.accepts_credit, owner.link.accepts_batches = False, batches
                 while not owner.link.up:
                     yield from sleep(20.0)
-                yield from owner.play(size, EVERY_MS, 1000.0)
+                yield from owner.play(size, BURST_INTERVAL_MS, 1000.0)
                 before = cpu_s(process.pid)
-                found = yield from owner.play(size, EVERY_MS, LENGTH_MS)
+                found = yield from owner.play(size, BURST_INTERVAL_MS, LENGTH_MS)
                 spent = cpu_s(process.pid) - before
                 scope.cancel()
                 return {**found, "cpu_us_each": round(spent / found["asked"] * 1e6, 1)}
@@ -75,8 +75,8 @@
             process.kill()
 
 
-def apart(less: dict[str, Any], more: dict[str, Any]) -> float:
-    """What a refused ask costs, in placed ones, from two floods of which a different part was refused."""
+def refused_to_placed_cost(less: dict[str, Any], more: dict[str, Any]) -> float:
+    """Return the cost of a refused request relative to a placed one, from two floods with different shares of refusals."""
     (placed, refused, cost_us), (placed_more, refused_more, cost_more_us) = (
         (
             row["asked"] * (1.0 - row["refused_share"]),
@@ -93,7 +93,7 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--profile", type=Path, help="of the refusing placer, for pstats")
+    parser.add_argument("--profile", type=Path, help="write a profile of the refusing placer, for pstats")
     arguments = parser.parse_args()
     if arguments.profile is not None:
         print(cost(1, REFUSED, arguments.profile.resolve()))
@@ -103,7 +103,7 @@
     result["ratio"] = {"refused_to_placed": round(result["refused"]["cpu_us_each"] / placed, 3)}
     for name, batches in (("by_the_line", True), ("by_the_line_of_before", False)):
         rows = result[name] = [cost(20_000, size, None, batches) for size in FLOODS]
-        result["ratio"][name] = round(apart(*rows), 3)
+        result["ratio"][name] = round(refused_to_placed_cost(*rows), 3)
     print(json.dumps(result, indent=1))
     Path("docs/results/refusals.json").write_text(json.dumps(result, indent=1) + "\n")
 
--- a/benchmarks/soak_placer.py
+++ b/benchmarks/soak_placer.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from benchmarks.whole_path import line
+from benchmarks.whole_path import read_json_line
 from sprucepost.loop import Address, Co, Loop, Scope, in_scope, sleep
 from sprucepost.loop.epoll import EpollLoop
 from sprucepost.standin.owner_link import OwnerLink
@@ -132,7 +132,7 @@
 
     try:
         machines = start("benchmarks.light", "0", "12", "serve")
-        listed = line(machines)["list"]
+        listed = read_json_line(machines)["list"]
         with tempfile.TemporaryDirectory() as name:
             raw = msgspec.to_builtins(cluster(accepts_cores=1e4, accepts_memory=1e4, report_counts="asked"))
             options = {
@@ -141,7 +141,7 @@
             file = Path(name) / "placer.json"
             file.write_text(json.dumps({"cluster": raw, "placer": options}))
             placer = start("sprucepost", "placer", str(file))
-            host, _, port = str(line(placer)["listen"]).rpartition(":")
+            host, _, port = str(read_json_line(placer)["listen"]).rpartition(":")
 
             def body(scope: Scope) -> Co[dict[str, Any]]:
                 asking = RotatingOwners(loop, scope, (host, int(port)))
--- a/benchmarks/view_fleet.py
+++ b/benchmarks/view_fleet.py
@@ -1,7 +1,8 @@
-"""Placers by the hundred on this machine, each a process, that keep a view: ``python -m benchmarks.view_fleet [SIZE ...]``.
+"""Measure the views of hundreds of placer processes on one machine: ``python -m benchmarks.view_fleet [SIZE ...]``.
 
-For each size: how long until all show one view after a start at once; after one was killed, and after a tenth was; what a
-quiet placer costs in processor time and in bytes said to others. Times are those of the placers' own log lines. Writes
+For each size: the time until all placers show the same view after a simultaneous start, after one was killed, and after a
+tenth was killed; the CPU time of an idle placer and its bytes sent to others. Times are those of the placers' own log lines.
+Writes
 ``docs/results/view-fleet.json`` and a chart beside it. ``resize BEFORE AFTER`` measures a change of size instead.
 """
 
@@ -22,17 +23,17 @@
 from sprucepost.settings import GenerationOptions
 from tests.peers.fleet import Fleet
 
-QUIET_S = 20.0
-ROUND = 12  # placers asked at a time
+IDLE_MEASURE_S = 20.0
+CONCURRENT_QUERIES = 12  # placers queried concurrently
 
 
-def sent(fleet: Fleet, number: int) -> float:
-    """Bytes said to other placers so far."""
+def bytes_sent(fleet: Fleet, number: int) -> float:
+    """Return the bytes sent to other placers so far."""
     return read_metrics(f"127.0.0.1:{fleet.ports[fleet.size + number]}")["sprucepost_view_bytes_sent"]
 
 
-def all_see(fleet: Fleet, done: Any, limit_s: float) -> None:
-    """Until each placer's view is as ``done`` wants it; RuntimeError where that takes too long."""
+def wait_for_views(fleet: Fleet, done: Any, limit_s: float) -> None:
+    """Wait until ``done`` holds for each placer's view; RuntimeError after ``limit_s``."""
     began, left = time.monotonic(), list(fleet.processes)
 
     def look(number: int) -> bool:
@@ -41,18 +42,18 @@
         except OSError:
             return False
 
-    with ThreadPoolExecutor(ROUND) as pool:
+    with ThreadPoolExecutor(CONCURRENT_QUERIES) as pool:
         while left and time.monotonic() - began < limit_s:
             left = [number for number, good in zip(left, pool.map(look, left), strict=True) if not good]
     if left:
-        raise RuntimeError(f"{len(left)} have not seen it after {limit_s} s")
+        raise RuntimeError(f"{len(left)} placers do not show the expected view after {limit_s} s")
 
 
 def settled_ms(fleet: Fleet, numbers: Iterable[int]) -> float | None:
-    """When the last of them wrote that all of them are here; None while one has not.
+    """Return when the last of the placers logged that all of them are here; None while one has not.
 
-    A placer shows a change on its pages at once, but writes of it only when nothing else has changed for a while
-    (``view.REPORT_DELAY_MS``). So one that shows the whole fleet may have written nothing yet, or of a part of it.
+    A placer shows a change on its pages at once, but logs it only when nothing else has changed for a while
+    (``view.REPORT_DELAY_MS``). So one that shows the whole fleet may have logged nothing yet, or only a part of it.
     """
     names = {f"p{number}" for number in numbers}
     times = []
@@ -65,17 +66,17 @@
 
 
 def wait_settled_ms(fleet: Fleet, numbers: Iterable[int], limit_s: float) -> float:
-    """:func:`settled_ms`, once it is known; RuntimeError where that takes too long."""
+    """Wait for the time of :func:`settled_ms` and return it; RuntimeError after ``limit_s``."""
     until = time.monotonic() + limit_s
     while (found := settled_ms(fleet, numbers)) is None:
         if time.monotonic() > until:
-            raise RuntimeError(f"not every placer has written of the whole fleet after {limit_s} s")
+            raise RuntimeError(f"not every placer has logged the whole fleet after {limit_s} s")
         time.sleep(0.1)
     return found
 
 
-def told(fleet: Fleet, numbers: list[int], since_ms: float, gone: set[str]) -> list[float]:
-    """Seconds from then until each of them wrote that those are away."""
+def detection_times_s(fleet: Fleet, numbers: list[int], since_ms: float, gone: set[str]) -> list[float]:
+    """Return the seconds from ``since_ms`` until each placer logged that all of ``gone`` are away."""
     found = []
     for number in numbers:
         for line in fleet.logged(number, "view"):
@@ -90,16 +91,16 @@
     with Fleet(folder, size, f"fleet{size}") as fleet:
         began = time.time() * 1000.0
         fleet.start(*range(size))
-        all_see(fleet, lambda shown: sum(m["condition"] == "here" for m in shown["members"]) == size, 120.0)
+        wait_for_views(fleet, lambda shown: sum(m["condition"] == "here" for m in shown["members"]) == size, 120.0)
         settled = wait_settled_ms(fleet, range(size), 120.0) - began
         time.sleep(5.0)
         row: dict[str, Any] = {"size": size, "settled_after_start_s": round(settled / 1000.0, 2)}
         some = rng.sample(range(size), min(20, size))
-        before = {n: (cpu_s(fleet.processes[n].pid), sent(fleet, n)) for n in some}
+        before = {n: (cpu_s(fleet.processes[n].pid), bytes_sent(fleet, n)) for n in some}
         at = time.monotonic()
-        time.sleep(QUIET_S)
+        time.sleep(IDLE_MEASURE_S)
         passed = time.monotonic() - at
-        after = {n: (cpu_s(fleet.processes[n].pid), sent(fleet, n)) for n in some}
+        after = {n: (cpu_s(fleet.processes[n].pid), bytes_sent(fleet, n)) for n in some}
         row["idle_cpu_percent"] = round(100 * sum(after[n][0] - before[n][0] for n in some) / passed / len(some), 3)
         row["bytes_per_s"] = round(sum(after[n][1] - before[n][1] for n in some) / passed / len(some))
         streams = [fleet.text(n, "/metrics").partition("\nsprucepost_view_streams ")[2].split()[0] for n in some]
@@ -112,7 +113,7 @@
             for n in those:
                 fleet.processes.pop(n).wait()
             time.sleep(12.0)
-            times = sorted(told(fleet, sorted(fleet.processes), since, names))
+            times = sorted(detection_times_s(fleet, sorted(fleet.processes), since, names))
             row[what] = {
                 "told": len(times), "of": len(fleet.processes), "p50_s": round(times[len(times) // 2], 2),
                 "p99_s": round(times[int(0.99 * (len(times) - 1))], 2), "most_s": round(times[-1], 2),
@@ -121,10 +122,10 @@
 
 
 def resize(before: int, after: int, folder: Path) -> dict[str, Any]:
-    """One of the old placers is told of a size, the new ones are started: until the new size alone counts for all."""
+    """Give one old placer a new fleet size and start the new placers; measure until only the new size is in force."""
     with Fleet(folder, after, "resize") as fleet:
         fleet.start(*range(before), instances=before, generation=GenerationOptions(1))
-        all_see(fleet, lambda shown: sum(m["condition"] == "here" for m in shown["members"]) == before, 120.0)
+        wait_for_views(fleet, lambda shown: sum(m["condition"] == "here" for m in shown["members"]) == before, 120.0)
         begins = time.time() * 1000.0 + 2000.0
         change = GenerationOptions(2, before, begins, 600_000.0, announced=True)
         fleet.file(0, instances=after, generation=change)
@@ -134,7 +135,7 @@
         fleet.start(*range(before, after), instances=after, generation=change)
         while not all(line["phase"] == "done" for n in range(after) for line in fleet.logged(n, "seat")[-1:]):
             if time.time() * 1000.0 > begins + 300_000.0:
-                raise RuntimeError("the change is not over after five minutes")
+                raise RuntimeError("the resize has not ended after five minutes")
             time.sleep(1.0)
         seats = {(line["seat"], line["seats"]) for n in range(after) for line in fleet.logged(n, "seat")[-1:]}
         ends = [line["at_ms"] for n in range(after) for line in fleet.logged(n, "seat")[-1:]]
@@ -147,7 +148,7 @@
 
 
 def chart(rows: list[dict[str, Any]], path: Path) -> None:
-    """Cost of a quiet placer and times of the news, over the size of the fleet."""
+    """Draw the cost of an idle placer and the detection time of a lost one, over the size of the fleet."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -158,9 +159,9 @@
     figure, axes = pyplot.subplots(1, 4, figsize=(16, 4))
     shown = (
         ("idle CPU, % of a core", [row["idle_cpu_percent"] for row in rows]),
-        ("bytes a second said to others", [row["bytes_per_s"] for row in rows]),
+        ("bytes a second sent to others", [row["bytes_per_s"] for row in rows]),
         ("streams", [row["streams"] for row in rows]),
-        ("one killed, p99 of the others' knowing, s", [row["one killed"]["p99_s"] for row in rows]),
+        ("one killed, p99 until the others report it, s", [row["one killed"]["p99_s"] for row in rows]),
     )
     for each, (title, values) in zip(axes, shown, strict=True):
         each.semilogx(sizes, values, marker="o", base=2)
--- a/benchmarks/whole_path.py
+++ b/benchmarks/whole_path.py
@@ -33,7 +33,7 @@
     )  # fmt: skip
 
 
-def line(process: subprocess.Popen[str]) -> dict[str, object]:
+def read_json_line(process: subprocess.Popen[str]) -> dict[str, object]:
     assert process.stdout is not None
     return dict(json.loads(process.stdout.readline()))
 
@@ -55,7 +55,7 @@
     try:
         drivers = [start(["benchmarks.light", str(n), "6"]) for n in range(DRIVERS)]
         processes += drivers
-        lists = [line(driver)["list"] for driver in drivers]
+        lists = [read_json_line(driver)["list"] for driver in drivers]
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / "placer.json"
             raw = msgspec.to_builtins(cluster(accepts_cores=100.0, accepts_memory=100.0, report_counts="asked"))
@@ -76,7 +76,7 @@
                 command = ["cProfile", "-o", "/tmp/placer.prof", "-m", *command]
             process = start(command)
             processes.append(process)
-            address = line(process)["listen"]
+            address = read_json_line(process)["listen"]
             time.sleep(5.0 if "--peers" in sys.argv else 1.0)  # until all placers see each other
             result: dict[str, object] = {}
             for name, active, opened in (("one at a time", 1, 1), ("64 open", 1, 64), ("2 x 100 open", 2, 100)):
@@ -85,7 +85,7 @@
                     assert driver.stdin is not None
                     driver.stdin.write(f"go {address} {opened} 4\n")
                     driver.stdin.flush()
-                done = [line(driver) for driver in drivers[:active]]
+                done = [read_json_line(driver) for driver in drivers[:active]]
                 settled = sum(int(str(d["bound"])) for d in done)
                 cpu, wall = cpu_s(process.pid) - before, time.monotonic() - began
                 result[name] = {
