--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -49,14 +49,23 @@
 
 
 class Day:
+    """One run of the fleet, with simulated machines, owners and list behind recording proxies."""
+
     def __init__(
-        self, size: int, small: int, machines: int, bears: float, rate: float, folder: Path, short: bool = False
+        self,
+        size: int,
+        small: int,
+        machines: int,
+        cold_allowance: float,
+        rate: float,
+        folder: Path,
+        short: bool = False,
     ) -> None:
         self.size, self.small, self.machines, self.rate, self.folder = size, small, machines, rate, folder
         self.short = short  # skip the idle figures and use the shortest overlaps
         self.cluster = cluster(
             kinds=[Kind("std", CORES, 64.0)],
-            cold_bears=bears,
+            cold_bears=cold_allowance,
             accepts_cores=1.2,
             accepts_memory=8.0,
             warm_after_ms=120_000.0,
@@ -65,7 +74,7 @@
         self.loop = EpollLoop()
         self.processes: dict[str, Process] = {}
         self.controls: dict[str, ClientConnection] = {}
-        self.result: dict[str, Any] = {"size": size, "small": small, "machines": machines, "cold_bears": bears}
+        self.result: dict[str, Any] = {"size": size, "small": small, "machines": machines, "cold_bears": cold_allowance}
 
     def run_co(self, co: Any) -> Any:
         return self.loop.run(lambda: in_scope(lambda scope: co()))
--- a/benchmarks/view_fleet.py
+++ b/benchmarks/view_fleet.py
@@ -1,9 +1,9 @@
 """Measure the views of hundreds of placer processes on one machine: ``python -m benchmarks.view_fleet [SIZE ...]``.
 
 For each size: the time until all placers show the same view after a simultaneous start, after one was killed, and after a
-tenth was killed; the CPU time of an idle placer and its bytes sent to others. Times are those of the placers' own log lines.
-Writes
-``docs/results/view-fleet.json`` and a chart beside it. ``resize BEFORE AFTER`` measures a change of size instead.
+tenth was killed; the CPU time of an idle placer and its bytes sent to others. Times are those of the placers' own log
+lines. Writes ``docs/results/view-fleet.json`` and a chart beside it. ``resize BEFORE AFTER`` measures a change of size
+instead.
 """
 
 from __future__ import annotations
--- a/benchmarks/whole_path.py
+++ b/benchmarks/whole_path.py
@@ -34,11 +34,13 @@
 
 
 def read_json_line(process: subprocess.Popen[str]) -> dict[str, object]:
+    """Read one line of JSON from the output of a process."""
     assert process.stdout is not None
     return dict(json.loads(process.stdout.readline()))
 
 
 async def unary_us(port: int) -> dict[str, float]:
+    """Return the latency of a unary echo in microseconds."""
     took = []
     async with grpc.aio.insecure_channel(f"127.0.0.1:{port}") as channel:
         call = channel.unary_unary("/b.B/Unary")
