--- a/benchmarks/whole_path.py
+++ b/benchmarks/whole_path.py
@@ -1,8 +1,9 @@
-"""Submit, decide, offer, accept, bind: what a placer process spends on a task, and what it adds in time.
+"""Measure CPU and latency of a placer per task, from submission to binding.
 
-``python -m benchmarks.whole_path [--profile] [--peers]``; writes ``docs/results/whole-path.json``. The figure is CPU: tasks
-settled for each second of the placer's own processor time, as the lightest outside world runs on other cores. The time added
-is compared with a unary echo on grpc.aio, under its own client, in the same run. ``--peers``: it sees five others.
+``python -m benchmarks.whole_path [--profile] [--peers]``; writes ``docs/results/whole-path.json``. The figure is tasks
+settled per second of the placer's own CPU time; the minimal peers (``benchmarks.light``) run on other cores. The added
+latency is compared with a unary echo on grpc.aio, under its own client, in the same run. ``--peers``: the placer has five
+others in its view.
 """
 
 from __future__ import annotations
@@ -32,12 +33,14 @@
     )  # fmt: skip
 
 
-def line(process: subprocess.Popen[str]) -> dict[str, object]:
+def read_json_line(process: subprocess.Popen[str]) -> dict[str, object]:
+    """Read one line of JSON from the output of a process."""
     assert process.stdout is not None
     return dict(json.loads(process.stdout.readline()))
 
 
 async def unary_us(port: int) -> dict[str, float]:
+    """Return the latency of a unary echo in microseconds."""
     took = []
     async with grpc.aio.insecure_channel(f"127.0.0.1:{port}") as channel:
         call = channel.unary_unary("/b.B/Unary")
@@ -54,12 +57,12 @@
     try:
         drivers = [start(["benchmarks.light", str(n), "6"]) for n in range(DRIVERS)]
         processes += drivers
-        lists = [line(driver)["list"] for driver in drivers]
+        lists = [read_json_line(driver)["list"] for driver in drivers]
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / "placer.json"
             raw = msgspec.to_builtins(cluster(accepts_cores=100.0, accepts_memory=100.0, report_counts="asked"))
             placer = {"number": 0, "instances": 6, "zone": "room-a", "list": f"127.0.0.1:{lists[0]}", "seed": 1}
-            if "--peers" in sys.argv:  # the same placer, with five others in its view
+            if "--peers" in sys.argv:  # add five other placers to its view
                 ports = free_ports(6)
                 seeds = [f"127.0.0.1:{port}" for port in ports[:2]]
                 for number in range(1, 6):
@@ -75,8 +78,8 @@
                 command = ["cProfile", "-o", "/tmp/placer.prof", "-m", *command]
             process = start(command)
             processes.append(process)
-            address = line(process)["listen"]
-            time.sleep(5.0 if "--peers" in sys.argv else 1.0)  # until all see each other
+            address = read_json_line(process)["listen"]
+            time.sleep(5.0 if "--peers" in sys.argv else 1.0)  # until all placers see each other
             result: dict[str, object] = {}
             for name, active, opened in (("one at a time", 1, 1), ("64 open", 1, 64), ("2 x 100 open", 2, 100)):
                 before, began = cpu_s(process.pid), time.monotonic()
@@ -84,7 +87,7 @@
                     assert driver.stdin is not None
                     driver.stdin.write(f"go {address} {opened} 4\n")
                     driver.stdin.flush()
-                done = [line(driver) for driver in drivers[:active]]
+                done = [read_json_line(driver) for driver in drivers[:active]]
                 settled = sum(int(str(d["bound"])) for d in done)
                 cpu, wall = cpu_s(process.pid) - before, time.monotonic() - began
                 result[name] = {
