--- a/tests/node/test_many_hosts.py
+++ b/tests/node/test_many_hosts.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import gc
 import time
 from pathlib import Path
 
@@ -20,6 +21,7 @@
         event = {"no": 2, "roster": {"rev": 2, "all": False, "targets": whole[HOSTS:]}}
         update = placer.service.feed.bulletin.apply({"no": 2, "items": [event]})
         assert update is not None
+        gc.collect()  # as the node does at its start: a full collection of the test process itself takes up to 200 ms
         began = time.process_time()
         placer.service.hosts.apply_list(update)
         assert time.process_time() - began <= MAX_BATCH_S
