--- a/sprucepost/standin/list_service.py
+++ b/sprucepost/standin/list_service.py
@@ -175,7 +175,7 @@
         elif kind == "gone":
             self._wrong_list = [entry for name, entry in self._entries.items() if name not in (machines or [])]
         else:
-            raise ValueError(f"unknown kind of wrong list {kind!r}")
+            raise ValueError(f"no lie {kind!r}")
         self._broadcast_full_list()
         return {"named": len(self._wrong_list)}
 
--- a/sprucepost/standin/recording_proxy.py
+++ b/sprucepost/standin/recording_proxy.py
@@ -261,7 +261,7 @@
             elif kind == "truncate":
                 direction.truncate_after = after
             else:
-                raise ValueError(f"unknown kind of break {kind!r}")
+                raise ValueError(f"no blow {kind!r}")
         return len(matching)
 
     def stop(self) -> None:
